--- a/crates/harefield/examples/target.rs
+++ b/crates/harefield/examples/target.rs
@@ -12,7 +12,7 @@
 use harefield::domain::cell;
 use harefield::domain::cell::CellSize;
 use harefield::domain::cell::Cells;
-use harefield::domain::cold::Bound;
+use harefield::domain::cold::ColdBounds;
 use harefield::domain::feed::Change;
 use harefield::domain::feed::Items;
 use harefield::domain::hosts::HostList;
@@ -139,7 +139,7 @@
         fleet: &[],
         size: CellSize::default(),
         places: &PLACES,
-        cold: Bound::default(),
+        cold: ColdBounds::default(),
         keyed: false,
     }
 }
@@ -169,7 +169,7 @@
     let third = second.next(&sources(&own, &changed, &hosts));
     let listed = millis(begun);
 
-    let mut router = Router::new(Policy::Cost, Budgets::one(0.05), 1, Instant::now());
+    let mut router = Router::new(Policy::Cost, Budgets::single(0.05), 1, Instant::now());
     router.apply(&second, begun);
     let begun = Instant::now();
     router.apply(&third, begun);
--- a/crates/harefield/src/adapters/settings/sections.rs
+++ b/crates/harefield/src/adapters/settings/sections.rs
@@ -10,7 +10,7 @@
 
 use crate::domain::accounts::Overage;
 use crate::domain::cell::CellSize;
-use crate::domain::cold::Bound;
+use crate::domain::cold::ColdBounds;
 use crate::domain::routing::Policy;
 use crate::domain::time::millis;
 
@@ -282,8 +282,8 @@
             fixed_ms: None,
             cell_size: CellSize::default().most,
             connections: CellSize::default().wanted,
-            cold_overage: Bound::default().overage,
-            cold_slack: Bound::default().slack,
+            cold_overage: ColdBounds::default().overage,
+            cold_slack: ColdBounds::default().slack,
             drain_ms: 1000,
         }
     }
@@ -292,8 +292,8 @@
 impl Routing {
     /// Returns how far above what cold upstreams bear the fleet may go.
     #[must_use]
-    pub fn cold(&self) -> Bound {
-        Bound { overage: self.cold_overage, slack: self.cold_slack }
+    pub fn cold(&self) -> ColdBounds {
+        ColdBounds { overage: self.cold_overage, slack: self.cold_slack }
     }
 }
 
--- a/crates/harefield/src/adapters/upstreams/mod.rs
+++ b/crates/harefield/src/adapters/upstreams/mod.rs
@@ -29,8 +29,8 @@
 use crate::domain::fanout::AttemptEnd;
 use crate::domain::ids::UpstreamId;
 use crate::domain::outcome::Gap;
+use crate::domain::routing::AttemptOutcome;
 use crate::domain::routing::Report;
-use crate::domain::routing::Verdict;
 use crate::memory::Memory;
 use crate::ports::Call;
 use crate::ports::CallEnd;
@@ -237,8 +237,8 @@
 pub fn unsent(why: Gap) -> CallEnd {
     let verdict = match why {
         // No connection was free here, which says nothing of the upstream.
-        Gap::Overloaded | Gap::Unconfirmed => Verdict::Declined,
-        _ => Verdict::Broken,
+        Gap::Overloaded | Gap::Unconfirmed => AttemptOutcome::Declined,
+        _ => AttemptOutcome::Failed,
     };
     CallEnd { end: AttemptEnd::NotSent { why }, verdict, report: Report::default() }
 }
@@ -246,6 +246,6 @@
 /// Makes the end of a call that was written and brought no usable reply.
 #[must_use]
 pub fn lost(why: Gap, report: Report) -> CallEnd {
-    let verdict = if why == Gap::SnapshotWrong { Verdict::Declined } else { Verdict::Lost };
+    let verdict = if why == Gap::SnapshotWrong { AttemptOutcome::Declined } else { AttemptOutcome::Lost };
     CallEnd { end: AttemptEnd::Lost { why }, verdict, report }
 }
--- a/crates/harefield/src/adapters/upstreams/protocol.rs
+++ b/crates/harefield/src/adapters/upstreams/protocol.rs
@@ -19,9 +19,9 @@
 use crate::domain::fanout::verify;
 use crate::domain::outcome::Gap;
 use crate::domain::reply::Reply;
+use crate::domain::routing::AttemptOutcome;
 use crate::domain::routing::Load;
 use crate::domain::routing::Report;
-use crate::domain::routing::Verdict;
 use crate::domain::time::millis;
 use crate::domain::word::Word;
 use crate::domain::word::WordStamp;
@@ -103,7 +103,7 @@
 }
 
 fn read_report(headers: &HeaderMap) -> Report {
-    Report { load: read_load(headers), word: read_word(headers) }
+    Report { load: read_load(headers), announcement: read_word(headers) }
 }
 
 fn read_load(headers: &HeaderMap) -> Option<Load> {
@@ -122,9 +122,11 @@
 
 fn answered(body: &Bytes, report: Report) -> CallEnd {
     match serde_json::from_slice::<Box<RawValue>>(body) {
-        Ok(reply) => {
-            CallEnd { end: AttemptEnd::Answered(Reply::Json(reply)), verdict: Verdict::Good, report }
-        }
+        Ok(reply) => CallEnd {
+            end: AttemptEnd::Answered(Reply::Json(reply)),
+            verdict: AttemptOutcome::Succeeded,
+            report,
+        },
         Err(_malformed) => lost(Gap::Failed, report),
     }
 }
@@ -134,12 +136,12 @@
     let begun = text(headers, "harefield-begun") != Some("false");
     let wait = text(headers, "harefield-retry-ms").and_then(|ms| ms.parse().ok()).map(Duration::from_millis);
     let (why, verdict) = match text(headers, "harefield-refused") {
-        Some("overloaded" | "connections" | "shedding") => (Gap::Overloaded, Verdict::Full(wait)),
-        Some("draining") => (Gap::Leaving, Verdict::Declined),
-        Some("snapshot") => (Gap::SnapshotMissing, Verdict::Declined),
-        Some("shard") => (Gap::ShardMoved, Verdict::Declined),
-        Some("late" | "cancelled") => (Gap::Late, Verdict::Abandoned),
-        _ => (Gap::Failed, Verdict::Broken),
+        Some("overloaded" | "connections" | "shedding") => (Gap::Overloaded, AttemptOutcome::Rejected(wait)),
+        Some("draining") => (Gap::Leaving, AttemptOutcome::Declined),
+        Some("snapshot") => (Gap::SnapshotMissing, AttemptOutcome::Declined),
+        Some("shard") => (Gap::ShardMoved, AttemptOutcome::Declined),
+        Some("late" | "cancelled") => (Gap::Late, AttemptOutcome::Abandoned),
+        _ => (Gap::Failed, AttemptOutcome::Failed),
     };
     CallEnd { end: AttemptEnd::Refused { why, begun }, verdict, report }
 }
--- a/crates/harefield/src/control/duty.rs
+++ b/crates/harefield/src/control/duty.rs
@@ -22,7 +22,7 @@
 use crate::domain::carried::CarryTimes;
 use crate::domain::cell::Candidate;
 use crate::domain::cell::CellSize;
-use crate::domain::cold::Bound;
+use crate::domain::cold::ColdBounds;
 use crate::domain::configuration::Configuration;
 use crate::domain::configuration::Offer;
 use crate::domain::event::Event;
@@ -85,7 +85,7 @@
     /// How large cells may be.
     pub cell: CellSize,
     /// How far above what cold upstreams bear the fleet may go.
-    pub cold: Bound,
+    pub cold: ColdBounds,
     /// Whether lookups ask for keys also where no account is published.
     pub keyed: bool,
     /// Whether the platform lists the daemons; else cells are assigned among
--- a/crates/harefield/src/domain/cold/mod.rs
+++ b/crates/harefield/src/domain/cold/mod.rs
@@ -8,10 +8,10 @@
 //! anything that daemons share: `share` gives each daemon a fixed part, `spell` keeps to it
 //! and says for how long.
 
+mod period;
 mod share;
-mod spell;
 
+pub use period::ColdPeriod;
 pub use share::Allowance;
-pub use share::Bound;
-pub use share::part;
-pub use spell::Spell;
+pub use share::ColdBounds;
+pub use share::quota;
--- a/crates/harefield/src/domain/cold/share.rs
+++ b/crates/harefield/src/domain/cold/share.rs
@@ -15,24 +15,24 @@
 
 /// How far above what a cold upstream bears the fleet may go; the operator's own bounds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bound {
+pub struct ColdBounds {
     /// Times what it bears a second.
     pub overage: f64,
     /// Requests on top within any second.
     pub slack: f64,
 }
 
-impl Default for Bound {
+impl Default for ColdBounds {
     fn default() -> Self {
         Self { overage: 1.0, slack: 0.0 }
     }
 }
 
-impl Bound {
+impl ColdBounds {
     /// Returns how many requests within any second are given out over the whole fleet, for
     /// an upstream that bears `per_s` while it is cold.
     #[must_use]
-    pub fn given_out(self, per_s: f64) -> usize {
+    pub fn distributed(self, per_s: f64) -> usize {
         let allowed = (per_s * self.overage + self.slack) * GIVEN_OUT;
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "it is clamped")]
         let whole = allowed.clamp(0.0, f64::from(u16::MAX)) as usize;
@@ -44,9 +44,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Allowance {
     /// Requests within any second.
-    pub part: u32,
+    pub quota: u32,
     /// How long an upstream is cold that may have started unseen.
-    pub spell: Duration,
+    pub assumed_cold: Duration,
 }
 
 /// Returns a daemon's part of what is given out for an upstream in `zone`: equal for all
@@ -56,7 +56,7 @@
 /// ask it, whether they answer now or not: a daemon that is cut off from the others then
 /// ranks them as before and does not take itself for the only one.
 #[must_use]
-pub fn part(
+pub fn quota(
     given_out: usize,
     upstream: &UpstreamId,
     zone: &str,
--- a/crates/harefield/src/domain/fanout/groups.rs
+++ b/crates/harefield/src/domain/fanout/groups.rs
@@ -27,12 +27,12 @@
 use crate::domain::ids::HostId;
 use crate::domain::ids::UpstreamId;
 use crate::domain::outcome::Gap;
-use crate::domain::routing::Allowance;
-use crate::domain::routing::Portion;
-use crate::domain::routing::RelayVerdict;
+use crate::domain::routing::Assignment;
+use crate::domain::routing::DelegationLimits;
+use crate::domain::routing::PendingShard;
+use crate::domain::routing::RelayOutcome;
 use crate::domain::routing::Router;
-use crate::domain::routing::Wanted;
-use crate::domain::routing::share;
+use crate::domain::routing::assign_shards;
 use crate::domain::view::ReplicaLimit;
 use crate::domain::view::ShardPlan;
 
@@ -80,25 +80,28 @@
 
     /// Sorts the shards by the region of their nearest replicas; those that are far from
     /// any daemon to hand them to are returned by themselves.
-    fn by_region<S: Sink>(&self, step: &mut Step<'_, S>) -> (BTreeMap<Arc<str>, Vec<Wanted>>, Vec<usize>) {
-        let own = Arc::clone(step.router.own_zone());
+    fn by_region<S: Sink>(
+        &self,
+        step: &mut Step<'_, S>,
+    ) -> (BTreeMap<Arc<str>, Vec<PendingShard>>, Vec<usize>) {
+        let own = Arc::clone(step.router.local_zone());
         let home = step.router.region_of(&own);
-        let typical = step.router.pace(&self.rules.kind).mean().as_secs_f64();
-        let mut regions: BTreeMap<Arc<str>, Vec<Wanted>> = BTreeMap::new();
+        let typical = step.router.latency(&self.rules.kind).mean().as_secs_f64();
+        let mut regions: BTreeMap<Arc<str>, Vec<PendingShard>> = BTreeMap::new();
         let mut away: BTreeMap<usize, Vec<Arc<str>>> = BTreeMap::new();
         for (at, ShardPlan { shard, replicas, .. }) in self.plan.shards.iter().enumerate() {
-            if let Some(found) = step.router.away_zones(replicas, typical, step.now) {
+            if let Some(found) = step.router.remote_zones(replicas, typical, step.now) {
                 away.insert(at, found);
                 continue;
             }
-            let wanted = Wanted { at, shard: Arc::clone(shard), zone: Arc::clone(&own) };
+            let wanted = PendingShard { index: at, shard: Arc::clone(shard), zone: Arc::clone(&own) };
             regions.entry(Arc::clone(&home)).or_default().push(wanted);
         }
         while let Some((zone, shards)) = largest(&away, &self.plan.index, &self.rules.kind, step) {
             let held = regions.entry(step.router.region_of(&zone)).or_default();
             for at in shards {
                 away.remove(&at);
-                held.push(Wanted { at, shard: self.name(at), zone: Arc::clone(&zone) });
+                held.push(PendingShard { index: at, shard: self.name(at), zone: Arc::clone(&zone) });
             }
         }
         (regions, away.into_keys().collect())
@@ -109,19 +112,19 @@
     fn share_out<S: Sink>(
         &mut self,
         region: &str,
-        wanted: Vec<Wanted>,
+        wanted: Vec<PendingShard>,
         step: &mut Step<'_, S>,
     ) -> Vec<usize> {
-        let carriers = step.router.carriers(&self.plan.index, region, &self.rules.kind, step.now);
+        let carriers = step.router.delegates(&self.plan.index, region, &self.rules.kind, step.now);
         let most = usize::try_from(self.rules.attempts).unwrap_or(usize::MAX);
-        let affinity = wanted.iter().any(|wanted| self.plan.shards[wanted.at].replicas.len() > most);
-        let allowance = self.allowance(step).map(|allowance| Allowance { affinity, ..allowance });
-        let portions = allowance.and_then(|allowance| share(&wanted, &carriers, allowance));
+        let affinity = wanted.iter().any(|wanted| self.plan.shards[wanted.index].replicas.len() > most);
+        let allowance = self.allowance(step).map(|allowance| DelegationLimits { affinity, ..allowance });
+        let portions = allowance.and_then(|allowance| assign_shards(&wanted, &carriers, allowance));
         let Some(portions) = portions else { return self.hand_by_zone(wanted, step) };
         let mut own = Vec::new();
-        for Portion { carrier, shards } in portions {
-            if carrier.own {
-                own = shards.into_iter().map(|wanted| wanted.at).collect();
+        for Assignment { delegate: carrier, shards } in portions {
+            if carrier.local {
+                own = shards.into_iter().map(|wanted| wanted.index).collect();
             } else {
                 self.hand(Arc::clone(&carrier.host), shards, step);
             }
@@ -130,43 +133,43 @@
     }
 
     /// Returns how much this daemon may ask by itself; none without an objective.
-    fn allowance<S: Sink>(&self, step: &Step<'_, S>) -> Option<Allowance> {
+    fn allowance<S: Sink>(&self, step: &Step<'_, S>) -> Option<DelegationLimits> {
         let left = self.rules.objective?.saturating_duration_since(self.rules.start);
-        Some(Allowance::new(step.router.shard_time(), left))
+        Some(DelegationLimits::new(step.router.shard_time(), left))
     }
 
-    fn hand_by_zone<S: Sink>(&mut self, wanted: Vec<Wanted>, step: &mut Step<'_, S>) -> Vec<usize> {
-        let mut zones: BTreeMap<Arc<str>, Vec<Wanted>> = BTreeMap::new();
+    fn hand_by_zone<S: Sink>(&mut self, wanted: Vec<PendingShard>, step: &mut Step<'_, S>) -> Vec<usize> {
+        let mut zones: BTreeMap<Arc<str>, Vec<PendingShard>> = BTreeMap::new();
         for shard in wanted {
             zones.entry(Arc::clone(&shard.zone)).or_default().push(shard);
         }
         let mut own = Vec::new();
         for (zone, shards) in zones {
-            let near = zone == *step.router.own_zone();
+            let near = zone == *step.router.local_zone();
             let relay =
                 (!near).then(|| step.router.pick_relay(&self.plan.index, &zone, &self.rules.kind, step.now));
             match relay.flatten() {
                 Some(host) => self.hand(host, shards, step),
-                None => own.extend(shards.into_iter().map(|wanted| wanted.at)),
+                None => own.extend(shards.into_iter().map(|wanted| wanted.index)),
             }
         }
         own
     }
 
     /// Hands shards to a daemon.
-    fn hand<S: Sink>(&mut self, host: HostId, wanted: Vec<Wanted>, step: &mut Step<'_, S>) {
+    fn hand<S: Sink>(&mut self, host: HostId, wanted: Vec<PendingShard>, step: &mut Step<'_, S>) {
         let (attempt, start) = (self.next, step.now);
         self.next += 1;
-        let way = step.router.relays().way_of(&host);
+        let way = step.router.relays().rtt_of(&host);
         let gather = self.rules.cut.map(|cut| cut.saturating_duration_since(start).saturating_sub(way));
-        let slow = step.router.relays().pace(&self.rules.kind).slow().mul_f64(REVOKE_FACTOR);
+        let slow = step.router.relays().latency(&self.rules.kind).slow().mul_f64(REVOKE_FACTOR);
         let slow = slow.max(way + LEAST_PATIENCE);
         let due = self.rules.objective.map(|objective| objective.saturating_duration_since(start));
         let due = due.map_or(slow, |due| due + way + OVERDUE);
         let revoke = start + due.max(way + LEAST_PATIENCE);
         let lost = revoke + LOST;
         let fallbacks = self.choose_fallbacks(&wanted, step);
-        let shards: Vec<usize> = wanted.into_iter().map(|wanted| wanted.at).collect();
+        let shards: Vec<usize> = wanted.into_iter().map(|wanted| wanted.index).collect();
         step.router.relays_mut().begin(&host, start);
         for shard in &shards {
             let state = &mut self.shards[*shard];
@@ -186,15 +189,15 @@
     /// group goes to: it carries nearly all of the shard's requests, and sees who rejects.
     fn choose_fallbacks<S: Sink>(
         &mut self,
-        wanted: &[Wanted],
+        wanted: &[PendingShard],
         step: &Step<'_, S>,
     ) -> Vec<(usize, UpstreamId)> {
         let most = usize::try_from(self.rules.attempts).unwrap_or(usize::MAX);
         let mut all = Vec::new();
-        for Wanted { at, zone, .. } in wanted {
+        for PendingShard { index: at, zone, .. } in wanted {
             let replicas = &self.plan.shards[*at].replicas;
             if replicas.len() > most
-                && let Some(best) = step.router.best(replicas, zone, step.now)
+                && let Some(best) = step.router.best_replica(replicas, zone, step.now)
             {
                 self.shards[*at].limit = Some(ReplicaLimit { named: vec![Arc::clone(&best)], free: 0 });
                 all.push((*at, best));
@@ -226,7 +229,7 @@
             &hand.host,
             &self.rules.kind,
             hand.start,
-            RelayVerdict::Silent,
+            RelayOutcome::Silent,
             step.now,
         );
         step.emit(Event::GroupRevoked { from: Arc::clone(&hand.host), attempt: hand.attempt });
@@ -252,14 +255,14 @@
         let hand = &self.handed[at];
         let taken_back = self.shards.iter().filter(|shard| shard.retry_at.is_some()).count();
         let asked = hand.shards.len() + taken_back;
-        let capacity = u64::from(step.router.own().capacity);
+        let capacity = u64::from(step.router.local().capacity);
         if self.allowance(step).is_some_and(|allowance| !allowance.allows(asked, capacity)) {
             return false;
         }
         let mut expected = 0;
         for (number, shard) in self.shards.iter().enumerate() {
             let counts = if hand.shards.contains(&number) {
-                self.may_send(number) && step.router.budget(&self.plan.shards[number].shard).has_retry()
+                self.may_send(number) && step.router.budget(&self.plan.shards[number].shard).can_retry()
             } else {
                 shard.part.is_some() || shard.is_open()
             };
--- a/crates/harefield/src/domain/fanout/machine.rs
+++ b/crates/harefield/src/domain/fanout/machine.rs
@@ -345,7 +345,7 @@
     /// Says whether the budget would pay for asking for a shard now; where it does not, there
     /// is nothing to wait for.
     fn is_paid<S: Sink>(&self, shard: usize, step: &mut Step<'_, S>) -> bool {
-        self.shards[shard].sent == 0 || step.router.budget(&self.plan.shards[shard].shard).has_retry()
+        self.shards[shard].sent == 0 || step.router.budget(&self.plan.shards[shard].shard).can_retry()
     }
 
     fn after_failure<S: Sink>(&mut self, shard: usize, step: &mut Step<'_, S>) {
--- a/crates/harefield/src/domain/fanout/sending.rs
+++ b/crates/harefield/src/domain/fanout/sending.rs
@@ -15,11 +15,11 @@
 use crate::domain::event::Sink;
 use crate::domain::ids::UpstreamId;
 use crate::domain::outcome::Gap;
-use crate::domain::routing::Ask;
-use crate::domain::routing::Bar;
 use crate::domain::routing::Choice;
+use crate::domain::routing::ChoiceRequest;
+use crate::domain::routing::Exclusion;
+use crate::domain::routing::ExclusionEnd;
 use crate::domain::routing::Router;
-use crate::domain::routing::Until;
 
 /// How often a shard that waits for room asks again.
 const POLL_EVERY: Duration = Duration::from_millis(1);
@@ -110,31 +110,31 @@
         self.shards[shard].sent < self.rules.attempts
     }
 
-    fn ask<'a>(&'a self, shard: usize, tried: &'a [UpstreamId]) -> Ask<'a> {
+    fn ask<'a>(&'a self, shard: usize, tried: &'a [UpstreamId]) -> ChoiceRequest<'a> {
         let all = &self.plan.shards[shard].replicas;
         let limit = self.shards[shard].limit.as_ref();
-        Ask {
+        ChoiceRequest {
             replicas: self.shards[shard].only().unwrap_or(all),
             tried,
             // The free choice is for one that takes the request.
-            checkable: limit.map_or(all, |limit| &limit.named),
+            check_candidates: limit.map_or(all, |limit| &limit.named),
             version: self.plan.version,
             kind: &self.rules.kind,
         }
     }
 
-    fn choose<S: Sink>(&self, shard: usize, step: &mut Step<'_, S>) -> Result<Choice, Bar> {
+    fn choose<S: Sink>(&self, shard: usize, step: &mut Step<'_, S>) -> Result<Choice, Exclusion> {
         let tried = self.shards[shard].tried();
         let chosen = step.router.choose(&self.ask(shard, &tried), step.now);
         let abroad = self.plan.shards[shard].abroad;
-        chosen.map_err(|bar| if abroad { Bar { gap: Gap::OutsideRegions, ..bar } } else { bar })
+        chosen.map_err(|bar| if abroad { Exclusion { gap: Gap::OutsideRegions, ..bar } } else { bar })
     }
 
-    fn wait<S: Sink>(&mut self, shard: usize, bar: Bar, step: &mut Step<'_, S>) {
+    fn wait<S: Sink>(&mut self, shard: usize, bar: Exclusion, step: &mut Step<'_, S>) {
         let again = match bar.until {
-            Until::Soon => Some(step.now + POLL_EVERY),
-            Until::At(at) => Some(at),
-            Until::Never => None,
+            ExclusionEnd::Soon => Some(step.now + POLL_EVERY),
+            ExclusionEnd::At(at) => Some(at),
+            ExclusionEnd::Never => None,
         };
         let name = self.name(shard);
         let state = &mut self.shards[shard];
@@ -188,14 +188,14 @@
         if !self.rules.repeatable {
             return None;
         }
-        let from = start + router.way_to(first);
+        let from = start + router.rtt_to(first);
         if let Some(fixed) = self.rules.fixed {
             return Some(from + fixed);
         }
-        let pace = router.pace(&self.rules.kind);
+        let pace = router.latency(&self.rules.kind);
         let slow = from + pace.slow().mul_f64(self.rules.hedge?);
         let others = self.plan.shards[shard].replicas.iter().filter(|name| *name != first);
-        let way = others.map(|name| router.way_to(name)).min();
+        let way = others.map(|name| router.rtt_to(name)).min();
         let (Some(cut), Some(way)) = (self.rules.cut, way) else { return Some(slow) };
         let Some(latest) = cut.checked_sub(way + pace.mean()) else { return Some(slow) };
         Some(slow.min(latest.max(from + pace.mean())))
--- a/crates/harefield/src/domain/routing/budget.rs
+++ b/crates/harefield/src/domain/routing/budget.rs
@@ -56,12 +56,12 @@
         let first = (most * FIRST_PART).max(LEAST_MOST);
         let mut budget =
             Self { share: share * USED_SHARE, tokens: first, most, reserve: 0.0, hedges: 1.0, probes: 1.0 };
-        budget.bound(most);
+        budget.set_cap(most);
         budget
     }
 
     /// Takes a new bound on unspent earnings.
-    pub fn bound(&mut self, most: f64) {
+    pub fn set_cap(&mut self, most: f64) {
         self.most = most;
         self.hedges = (most * KEPT_FOR_RETRIES).max(1.0);
         self.probes = (most * KEPT_FOR_HEDGES).max(1.0);
@@ -86,7 +86,7 @@
 
     /// Returns whether a retry may be sent.
     #[must_use]
-    pub fn has_retry(&self) -> bool {
+    pub fn can_retry(&self) -> bool {
         self.tokens >= 1.0 - self.reserve
     }
 
--- a/crates/harefield/src/domain/routing/budgets.rs
+++ b/crates/harefield/src/domain/routing/budgets.rs
@@ -22,7 +22,7 @@
 /// The share of the requests handed on that may be handed to a second member: a
 /// member that does not answer is rare, and each such request asks every shard
 /// again.
-pub const RERUN_SHARE: f64 = 0.05;
+pub const MAX_RERUN_SHARE: f64 = 0.05;
 
 /// What the whole fleet may send to one service beyond its first requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -35,7 +35,7 @@
 
 /// The daemons that ask for one service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Sharers {
+struct ServiceClients {
     /// The most that were ever known.
     most: u32,
     /// How many of them come before this one.
@@ -49,14 +49,14 @@
     all: Budget,
     fleet: Option<FleetSlack>,
     daemons: u32,
-    sharers: HashMap<Arc<str>, Sharers>,
+    sharers: HashMap<Arc<str>, ServiceClients>,
     services: HashMap<Arc<str>, Budget>,
 }
 
 impl Budgets {
     /// Creates one budget for all.
     #[must_use]
-    pub fn one(share: f64) -> Self {
+    pub fn single(share: f64) -> Self {
         Self {
             all: Budget::new(share),
             fleet: None,
@@ -68,13 +68,13 @@
 
     /// Creates budgets by service, of which each of `daemons` daemons has its part.
     #[must_use]
-    pub fn by_service(fleet: FleetSlack, daemons: u32) -> Self {
+    pub fn per_service(fleet: FleetSlack, daemons: u32) -> Self {
         let all = Budget::new(fleet.share);
         Self { all, fleet: Some(fleet), daemons, sharers: HashMap::new(), services: HashMap::new() }
     }
 
     /// Takes how many daemons share what the fleet may send.
-    pub fn share_with(&mut self, daemons: u32) {
+    pub fn set_daemons(&mut self, daemons: u32) {
         self.daemons = daemons;
         for service in self.services.keys().map(Arc::clone).collect::<Vec<_>>() {
             self.bind(&service);
@@ -84,11 +84,11 @@
     /// Takes how many daemons ask for some services, and how many of them come before this
     /// one; the most that were ever known counts, since one that is not seen now may be asking
     /// all the same.
-    pub fn share_services<'a>(&mut self, services: impl Iterator<Item = &'a str>, sharers: u32, rank: u32) {
+    pub fn set_clients<'a>(&mut self, services: impl Iterator<Item = &'a str>, sharers: u32, rank: u32) {
         for service in services {
             let known = self.sharers.get(service).copied();
             let most = known.map_or(sharers, |known| known.most.max(sharers));
-            let now = Sharers { most, rank };
+            let now = ServiceClients { most, rank };
             if known != Some(now) {
                 self.sharers.insert(service.into(), now);
                 self.bind(service);
@@ -99,7 +99,7 @@
     fn bind(&mut self, service: &str) {
         let most = self.most(service);
         if let (Some(most), Some(budget)) = (most, self.services.get_mut(service)) {
-            budget.bound(most);
+            budget.set_cap(most);
         }
     }
 
@@ -107,14 +107,14 @@
     /// where services have no budgets of their own.
     fn most(&self, service: &str) -> Option<f64> {
         let fleet = self.fleet?;
-        let alike = Sharers { most: self.daemons, rank: 0 };
-        let Sharers { most, rank } = self.sharers.get(service).copied().unwrap_or(alike);
+        let alike = ServiceClients { most: self.daemons, rank: 0 };
+        let ServiceClients { most, rank } = self.sharers.get(service).copied().unwrap_or(alike);
         let used = if most < self.daemons { MEMBERS_SLACK } else { USED_SLACK };
-        Some(part(fleet.slack * used, most, rank))
+        Some(quota(fleet.slack * used, most, rank))
     }
 
     /// Returns the budget that a shard's attempts are paid from.
-    pub fn of(&mut self, shard: &ShardId) -> &mut Budget {
+    pub fn for_shard(&mut self, shard: &ShardId) -> &mut Budget {
         let service = service_of(shard);
         let (Some(fleet), Some(most)) = (self.fleet, self.most(service)) else { return &mut self.all };
         if !self.services.contains_key(service) {
@@ -133,15 +133,15 @@
 /// service, in requests, of one of `members` daemons that run them, before which come `rank`
 /// others.
 #[must_use]
-pub fn rerun_part(slack: f64, members: u32, rank: u32) -> f64 {
-    part(slack * RERUN_SLACK, members, rank)
+pub fn rerun_quota(slack: f64, members: u32, rank: u32) -> f64 {
+    quota(slack * RERUN_SLACK, members, rank)
 }
 
 /// Returns a sharer's part of an amount of requests: equal parts, or one request for each of
 /// the first sharers where an equal part would be less. All parts together are no more than
 /// the amount, however many share it.
 #[must_use]
-pub fn part(amount: f64, sharers: u32, rank: u32) -> f64 {
+pub fn quota(amount: f64, sharers: u32, rank: u32) -> f64 {
     let equal = amount / f64::from(sharers.max(1));
     if equal >= LEAST_MOST {
         equal
--- a/crates/harefield/src/domain/routing/choice.rs
+++ b/crates/harefield/src/domain/routing/choice.rs
@@ -4,9 +4,9 @@
 use std::time::Instant;
 
 use super::policy::Policy;
-use super::rejections::CHECKED_SHARE;
-use super::report::Bar;
-use super::report::Until;
+use super::rejections::CHECK_FRACTION;
+use super::report::Exclusion;
+use super::report::ExclusionEnd;
 use super::router::Router;
 use crate::domain::event::Score;
 use crate::domain::ids::UpstreamId;
@@ -41,24 +41,24 @@
 
 /// What is asked for when a replica is chosen.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct ChoiceRequest<'a> {
     /// The replicas configured for the shard.
     pub replicas: &'a [UpstreamId],
     /// Those already tried, in vain or still under way.
     pub tried: &'a [UpstreamId],
     /// Those that may be asked to see whether they still reject.
-    pub checkable: &'a [UpstreamId],
+    pub check_candidates: &'a [UpstreamId],
     /// The snapshot's version.
     pub version: Version,
     /// The kind of request, for its pace.
     pub kind: &'a Arc<str>,
 }
 
-impl<'a> Ask<'a> {
+impl<'a> ChoiceRequest<'a> {
     /// Asks for any of a shard's replicas, none of which was tried.
     #[must_use]
     pub fn first(replicas: &'a [UpstreamId], version: Version, kind: &'a Arc<str>) -> Self {
-        Self { replicas, tried: &[], checkable: replicas, version, kind }
+        Self { replicas, tried: &[], check_candidates: replicas, version, kind }
     }
 
     /// Returns the replicas that were not tried.
@@ -74,16 +74,16 @@
     /// # Errors
     ///
     /// Returns why none may be asked now; the reason that passes first.
-    pub fn choose(&mut self, ask: &Ask<'_>, now: Instant) -> Result<Choice, Bar> {
+    pub fn choose(&mut self, ask: &ChoiceRequest<'_>, now: Instant) -> Result<Choice, Exclusion> {
         if !self.lease.held(now) {
-            return Err(Bar { gap: Gap::Unconfirmed, until: Until::Soon });
+            return Err(Exclusion { gap: Gap::Unconfirmed, until: ExclusionEnd::Soon });
         }
-        let typical = self.pace(ask.kind).mean().as_secs_f64();
+        let typical = self.latency(ask.kind).mean().as_secs_f64();
         let rejects = self.any_rejects(ask, now);
         let check = if rejects { self.draw_check(ask, now) } else { None };
         let mut scores = Vec::with_capacity(ask.replicas.len());
         let mut best: Option<(Rank, UpstreamId)> = None;
-        let mut bar = Bar { gap: Gap::NoReplica, until: Until::Never };
+        let mut bar = Exclusion { gap: Gap::NoReplica, until: ExclusionEnd::Never };
         for name in ask.untried() {
             let found = self.score(name, ask.version, typical, now);
             scores.push(Score {
@@ -112,31 +112,37 @@
     }
 
     /// Says whether any of a shard's replicas rejects often.
-    fn any_rejects(&self, ask: &Ask<'_>, now: Instant) -> bool {
-        let rejects = |name| self.searchers.get(name).is_some_and(|s| s.rejections.is_rejecting(now));
+    fn any_rejects(&self, ask: &ChoiceRequest<'_>, now: Instant) -> bool {
+        let rejects = |name| self.upstreams.get(name).is_some_and(|s| s.rejections.is_rejecting(now));
         self.policy == Policy::Cost && ask.replicas.iter().any(rejects)
     }
 
     /// Draws whether a request checks a replica that rejects often, and returns that one.
     ///
     /// Only first attempts do: what is rejected can still go to another replica.
-    fn draw_check(&mut self, ask: &Ask<'_>, now: Instant) -> Option<UpstreamId> {
-        if !ask.tried.is_empty() || self.draw() >= CHECKED_SHARE {
+    fn draw_check(&mut self, ask: &ChoiceRequest<'_>, now: Instant) -> Option<UpstreamId> {
+        if !ask.tried.is_empty() || self.draw() >= CHECK_FRACTION {
             return None;
         }
-        let found = |name| self.searchers.get(name).map(|searcher| (name, searcher));
-        let warm = ask.checkable.iter().filter_map(found).filter(|(_, s)| !s.cold.is_cold(now));
-        let due = warm.filter_map(|(name, searcher)| Some((searcher.rejections.due(now)?, name)));
+        let found = |name| self.upstreams.get(name).map(|searcher| (name, searcher));
+        let warm = ask.check_candidates.iter().filter_map(found).filter(|(_, s)| !s.cold.is_cold(now));
+        let due = warm.filter_map(|(name, searcher)| Some((searcher.rejections.check_due(now)?, name)));
         due.max().map(|(_, name)| Arc::clone(name))
     }
 
-    fn score(&mut self, name: &UpstreamId, version: Version, typical: f64, now: Instant) -> Result<f64, Bar> {
+    fn score(
+        &mut self,
+        name: &UpstreamId,
+        version: Version,
+        typical: f64,
+        now: Instant,
+    ) -> Result<f64, Exclusion> {
         let draw = self.draw();
-        let unknown = Bar { gap: Gap::NoReplica, until: Until::Never };
-        let searcher = self.searchers.get(name).ok_or(unknown)?;
-        searcher.admits(version, now)?;
-        if searcher.cold.is_cold(now) && !self.settled.has_part(self.own.others, now) {
-            return Err(Bar { gap: Gap::Cold, until: Until::Never });
+        let unknown = Exclusion { gap: Gap::NoReplica, until: ExclusionEnd::Never };
+        let searcher = self.upstreams.get(name).ok_or(unknown)?;
+        searcher.check_available(version, now)?;
+        if searcher.cold.is_cold(now) && !self.startup.has_quota(self.local.expects_peers, now) {
+            return Err(Exclusion { gap: Gap::Cold, until: ExclusionEnd::Never });
         }
         Ok(self.policy.cost(searcher, typical, draw, now))
     }
@@ -147,20 +153,20 @@
         &self,
         name: &UpstreamId,
         cost: f64,
-        ask: &Ask<'_>,
+        ask: &ChoiceRequest<'_>,
         rejects: bool,
         (typical, now): (f64, Instant),
     ) -> Rank {
-        let found = self.searchers.get(name).filter(|_| self.policy == Policy::Cost);
+        let found = self.upstreams.get(name).filter(|_| self.policy == Policy::Cost);
         let Some(searcher) = found else {
             return Rank { passed_over: false, unproven: false, distance: Distance::Near, cost };
         };
         let others =
-            ask.untried().filter(|other| *other != name).filter_map(|other| self.searchers.get(other));
-        let mut good = others.filter(|s| !s.on_probation() && s.admits(ask.version, now).is_ok());
-        let slow = searcher.on_probation() || good.any(|other| searcher.passed_over(other, typical, now));
+            ask.untried().filter(|other| *other != name).filter_map(|other| self.upstreams.get(other));
+        let mut good = others.filter(|s| !s.on_probation() && s.check_available(ask.version, now).is_ok());
+        let slow = searcher.on_probation() || good.any(|other| searcher.ranks_behind(other, typical, now));
         let passed_over = slow || searcher.is_silent(typical, now) || searcher.cold.is_cold(now);
-        let unproven = rejects && !searcher.rejections.has_answered(now);
+        let unproven = rejects && !searcher.rejections.answered_recently(now);
         Rank { passed_over, unproven, distance: searcher.distance, cost }
     }
 
@@ -168,18 +174,18 @@
     /// extra request beside the one to the replica chosen. One that is farther
     /// than that would not be asked anyway.
     #[must_use]
-    pub fn probe(&self, ask: &Ask<'_>, chosen: &UpstreamId, now: Instant) -> Option<UpstreamId> {
-        let typical = self.pace(ask.kind).mean().as_secs_f64();
-        let chosen_one = self.searchers.get(chosen)?;
+    pub fn probe(&self, ask: &ChoiceRequest<'_>, chosen: &UpstreamId, now: Instant) -> Option<UpstreamId> {
+        let typical = self.latency(ask.kind).mean().as_secs_f64();
+        let chosen_one = self.upstreams.get(chosen)?;
         let due = |name: &&UpstreamId| {
-            let found = self.searchers.get(*name);
+            let found = self.upstreams.get(*name);
             found.is_some_and(|s| {
                 s.distance <= chosen_one.distance
-                    && s.passed_over(chosen_one, typical, now)
-                    && !s.rejects_beside(chosen_one, now)
+                    && s.ranks_behind(chosen_one, typical, now)
+                    && !s.rejects_more(chosen_one, now)
                     && s.probe_due(now)
                     && !s.cold.is_cold(now)
-                    && s.admits(ask.version, now).is_ok()
+                    && s.check_available(ask.version, now).is_ok()
             })
         };
         let others = ask.untried().filter(|name| *name != chosen);
@@ -188,6 +194,6 @@
 }
 
 /// Returns the bar that passes first; a known reason goes before no replica.
-fn softer(held: Bar, found: Bar) -> Bar {
+fn softer(held: Exclusion, found: Exclusion) -> Exclusion {
     if found.until < held.until || held.gap == Gap::NoReplica { found } else { held }
 }
--- a/crates/harefield/src/domain/routing/estimate.rs
+++ b/crates/harefield/src/domain/routing/estimate.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use super::searcher::Searcher;
+use super::upstream_state::UpstreamState;
 
 /// A replica that takes this many times as long as another is passed over.
 const PASSED_OVER: f64 = 2.5;
@@ -23,16 +23,16 @@
 /// How long a load report counts.
 const REPORT_LIFE: Duration = Duration::from_millis(200);
 
-impl Searcher {
+impl UpstreamState {
     /// Returns the expected time of one more request, in seconds; `typical`
     /// stands in for what was not observed or is long past.
     #[must_use]
-    pub fn expected(&self, typical: f64, now: Instant) -> f64 {
-        let base = self.observed_time(typical).max(self.oldest_age(now) - self.way);
-        let ahead = f64::from(u32::try_from(self.under_way()).unwrap_or(u32::MAX));
+    pub fn expected_time(&self, typical: f64, now: Instant) -> f64 {
+        let base = self.observed_time(typical).max(self.oldest_age(now) - self.rtt);
+        let ahead = f64::from(u32::try_from(self.in_flight()).unwrap_or(u32::MAX));
         let wait = base * ahead / f64::from(self.spec.slots.max(1));
-        let once = base * self.reported_factor(now) + wait + self.connect_time() + self.way;
-        once * self.rejections.factor(now)
+        let once = base * self.reported_factor(now) + wait + self.connect_time() + self.rtt;
+        once * self.rejections.cost_factor(now)
     }
 
     /// Returns the observed time of a request, in seconds; `typical` where
@@ -52,15 +52,15 @@
     /// rejects much more often, or takes much longer by itself and longer with the way. A
     /// request takes `typical` seconds where nothing was observed yet.
     #[must_use]
-    pub fn passed_over(&self, other: &Self, typical: f64, now: Instant) -> bool {
-        self.probation || self.rejects_beside(other, now) || self.is_slower(other, typical)
+    pub fn ranks_behind(&self, other: &Self, typical: f64, now: Instant) -> bool {
+        self.probation || self.rejects_more(other, now) || self.is_slower(other, typical)
     }
 
     /// Returns whether it rejects much more often than another replica. It is not probed for
     /// that: a probe would take the attempt that a rejected request is sent again with.
     #[must_use]
-    pub fn rejects_beside(&self, other: &Self, now: Instant) -> bool {
-        self.rejections.passed_over(&other.rejections, now)
+    pub fn rejects_more(&self, other: &Self, now: Instant) -> bool {
+        self.rejections.ranks_behind(&other.rejections, now)
     }
 
     /// Returns whether it takes much longer than another replica by itself, and
@@ -68,7 +68,7 @@
     #[must_use]
     pub fn is_slower(&self, other: &Self, typical: f64) -> bool {
         let quick = other.observed_time(typical);
-        let slower = |own: f64| own > quick * PASSED_OVER && own + self.way > quick + other.way;
+        let slower = |own: f64| own > quick * PASSED_OVER && own + self.rtt > quick + other.rtt;
         self.observed.is_some_and(slower)
     }
 
@@ -76,7 +76,7 @@
     /// look how it does now.
     #[must_use]
     pub fn probe_due(&self, now: Instant) -> bool {
-        let quiet = self.heard.is_some_and(|at| now.saturating_duration_since(at) >= PROBE_EVERY);
+        let quiet = self.last_end.is_some_and(|at| now.saturating_duration_since(at) >= PROBE_EVERY);
         quiet && self.starts.is_empty()
     }
 
@@ -86,14 +86,14 @@
     #[must_use]
     pub fn is_silent(&self, typical: f64, now: Instant) -> bool {
         let usual = self.observed_time(typical).max(typical);
-        self.oldest_age(now) - self.way > (usual * SILENT_FACTOR).max(SILENT_LEAST)
+        self.oldest_age(now) - self.rtt > (usual * SILENT_FACTOR).max(SILENT_LEAST)
     }
 
     /// Returns whether it takes new work and nothing speaks against it, load and
     /// versions aside: no failure last, and no silence beyond any usual time.
     #[must_use]
     pub fn is_healthy(&self, typical: f64, now: Instant) -> bool {
-        let usable = self.takes_work().is_ok() && !self.is_backed_off(now);
+        let usable = self.accepts_work().is_ok() && !self.is_backed_off(now);
         usable && !self.cold.is_cold(now) && !self.on_probation() && !self.is_silent(typical, now)
     }
 
--- a/crates/harefield/src/domain/routing/learning.rs
+++ b/crates/harefield/src/domain/routing/learning.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use super::report::AttemptOutcome;
 use super::report::Load;
 use super::report::Report;
-use super::report::Verdict;
-use super::searcher::Searcher;
+use super::upstream_state::UpstreamState;
 use crate::domain::backoff::backoff;
 
 /// The first pause after a failure; it doubles with each further one.
@@ -48,24 +48,24 @@
 /// How far a believed queue shrinks the window.
 const QUEUE_SHRINK: f64 = 0.9;
 
-impl Searcher {
+impl UpstreamState {
     /// Notes how the request that left at `start` ended. One that is not under way was of a
     /// former start of the upstream, and tells nothing of this one.
-    pub fn end(&mut self, start: Instant, verdict: Verdict, report: &Report, now: Instant) {
-        let under_way = self.under_way();
+    pub fn end(&mut self, start: Instant, verdict: AttemptOutcome, report: &Report, now: Instant) {
+        let under_way = self.in_flight();
         let Some(at) = self.starts.iter().position(|s| *s == start) else { return };
         self.starts.swap_remove(at);
         let whole = now.saturating_duration_since(start).as_secs_f64();
-        let took = (whole - self.way).max(whole * LEAST_OWN_PART);
-        self.heard = Some(now);
+        let took = (whole - self.rtt).max(whole * LEAST_OWN_PART);
+        self.last_end = Some(now);
         self.load = report.load.filter(|load| self.believes(*load, took)).map(|load| (load, now));
         match verdict {
-            Verdict::Good => self.good(took, under_way, now),
-            Verdict::Full(wait) => self.full(wait, report.load, now),
-            Verdict::Declined => {}
-            Verdict::Abandoned => self.abandoned(took),
-            Verdict::Lost => self.lost(now),
-            Verdict::Broken => self.broken(now),
+            AttemptOutcome::Succeeded => self.good(took, under_way, now),
+            AttemptOutcome::Rejected(wait) => self.full(wait, report.load, now),
+            AttemptOutcome::Declined => {}
+            AttemptOutcome::Abandoned => self.abandoned(took),
+            AttemptOutcome::Lost => self.lost(now),
+            AttemptOutcome::Failed => self.broken(now),
         }
     }
 
@@ -76,10 +76,10 @@
     }
 
     fn good(&mut self, took: f64, under_way: usize, now: Instant) {
-        self.rejections.answer(now);
+        self.rejections.record_answer(now);
         self.failures = 0;
-        self.retry = None;
-        self.shed = None;
+        self.retry_at = None;
+        self.shed_until = None;
         self.probation = false;
         self.observe(took);
         self.best = Some(self.best.map_or(took, |best| (best * BEST_DRIFT).min(took)));
@@ -116,13 +116,13 @@
         // Beside one that takes its requests it is passed over: until it answers, or for as
         // long as it has rejected often where it says that it has room.
         if load.is_some_and(|load| load.queued == 0 && load.active < self.spec.slots.max(1)) {
-            self.rejections.reject(now);
+            self.rejections.record_rejection(now);
         } else {
             self.probation = true;
         }
         let Some(wait) = wait else { return };
         let doubled = wait.saturating_mul(1 << self.failures.min(4));
-        self.shed = Some(now + wait.max(doubled.min(LONGEST_BACKOFF)).min(LONGEST_SHED));
+        self.shed_until = Some(now + wait.max(doubled.min(LONGEST_BACKOFF)).min(LONGEST_SHED));
         self.failures = self.failures.saturating_add(1);
     }
 
@@ -136,7 +136,7 @@
     }
 
     fn broken(&mut self, now: Instant) {
-        self.retry = Some(now + backoff(BACKOFF, self.failures, LONGEST_BACKOFF));
+        self.retry_at = Some(now + backoff(BACKOFF, self.failures, LONGEST_BACKOFF));
         self.probation = true;
         self.failures = self.failures.saturating_add(1);
     }
--- a/crates/harefield/src/domain/routing/pace.rs
+++ b/crates/harefield/src/domain/routing/pace.rs
@@ -20,28 +20,28 @@
 
 /// The observed pace of one kind of request.
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct LatencyStats {
     mean: f64,
     slow: f64,
 }
 
-impl Default for Pace {
+impl Default for LatencyStats {
     fn default() -> Self {
         Self { mean: FIRST.as_secs_f64(), slow: FIRST.as_secs_f64() }
     }
 }
 
-impl Pace {
+impl LatencyStats {
     /// Creates the pace of a kind of request before its first sample: a part of
     /// the time within which its answers are wanted.
     #[must_use]
-    pub fn expected(objective: Duration) -> Self {
+    pub fn from_objective(objective: Duration) -> Self {
         let first = objective.as_secs_f64() * FIRST_PART;
         Self { mean: first, slow: first }
     }
 
     /// Takes one reply's time.
-    pub fn sample(&mut self, took: Duration) {
+    pub fn record(&mut self, took: Duration) {
         let took = took.as_secs_f64();
         self.mean += (took - self.mean) * GAIN;
         let weight = if took > self.slow { SLOW } else { SLOW - 1.0 };
--- a/crates/harefield/src/domain/routing/policy.rs
+++ b/crates/harefield/src/domain/routing/policy.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::searcher::Searcher;
+use super::upstream_state::UpstreamState;
 
 /// A way to choose among replicas; all but `Cost` are kept as baselines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -43,10 +43,10 @@
     /// Returns the cost of asking `searcher`; the lowest is chosen. `draw`
     /// is a random number in 0..1 for this replica at this choice.
     #[must_use]
-    pub fn cost(self, searcher: &Searcher, typical: f64, draw: f64, now: Instant) -> f64 {
-        let under_way = f64::from(u32::try_from(searcher.under_way()).unwrap_or(u32::MAX));
+    pub fn cost(self, searcher: &UpstreamState, typical: f64, draw: f64, now: Instant) -> f64 {
+        let under_way = f64::from(u32::try_from(searcher.in_flight()).unwrap_or(u32::MAX));
         match self {
-            Self::Cost => spread(searcher.expected(typical, now), draw),
+            Self::Cost => spread(searcher.expected_time(typical, now), draw),
             Self::Random => draw,
             Self::LeastInFlight | Self::TwoChoices => under_way + draw * 0.5,
             Self::GeneralizedCMu => {
--- a/crates/harefield/src/domain/routing/readiness.rs
+++ b/crates/harefield/src/domain/routing/readiness.rs
@@ -34,11 +34,11 @@
     /// Returns how many connections to an upstream are to be kept ready.
     #[must_use]
     pub fn ready_connections(&self, name: &UpstreamId, now: Instant) -> usize {
-        let Some(searcher) = self.searchers.get(name) else { return 0 };
-        let used = searcher.asked.is_some_and(|at| now.saturating_duration_since(at) < USED_FOR);
-        if !used && self.searchers.len() > FEW {
+        let Some(searcher) = self.upstreams.get(name) else { return 0 };
+        let used = searcher.last_sent.is_some_and(|at| now.saturating_duration_since(at) < USED_FOR);
+        if !used && self.upstreams.len() > FEW {
             return 0;
         }
-        if self.is_away(searcher) { READY_AWAY } else { READY }
+        if self.is_remote(searcher) { READY_AWAY } else { READY }
     }
 }
--- a/crates/harefield/src/domain/routing/rejections.rs
+++ b/crates/harefield/src/domain/routing/rejections.rs
@@ -27,7 +27,7 @@
 
 /// The share of a shard's first attempts that are checks: each of them may be rejected, and
 /// takes an attempt that another replica is needed for.
-pub const CHECKED_SHARE: f64 = 1.0 / 16.0;
+pub const CHECK_FRACTION: f64 = 1.0 / 16.0;
 
 /// An answer shows for this time that an upstream takes its requests.
 const SHOWN_FOR: Duration = Duration::from_secs(2);
@@ -51,13 +51,13 @@
 
 impl Rejections {
     /// Takes a rejection.
-    pub fn reject(&mut self, now: Instant) {
+    pub fn record_rejection(&mut self, now: Instant) {
         let rate = self.rate(now);
         *self = Self { rate: rate + (1.0 - rate) * GAIN, heard: Some(now), ..*self };
     }
 
     /// Takes an answer.
-    pub fn answer(&mut self, now: Instant) {
+    pub fn record_answer(&mut self, now: Instant) {
         *self = Self { rate: self.rate(now) * KEPT, heard: Some(now), answered: Some(now) };
     }
 
@@ -71,21 +71,21 @@
 
     /// Says whether an upstream with these rejections is passed over beside one with others.
     #[must_use]
-    pub fn passed_over(&self, other: &Self, now: Instant) -> bool {
+    pub fn ranks_behind(&self, other: &Self, now: Instant) -> bool {
         let rate = self.rate(now);
         rate >= PASSED_OVER && other.rate(now) * 2.0 <= rate
     }
 
     /// Returns for how long nothing was heard of an upstream that is due to be checked.
     #[must_use]
-    pub fn due(&self, now: Instant) -> Option<Duration> {
+    pub fn check_due(&self, now: Instant) -> Option<Duration> {
         let quiet = now.saturating_duration_since(self.heard?);
         (self.is_rejecting(now) && quiet >= CHECKED_AFTER).then_some(quiet)
     }
 
     /// Says whether it answered a moment ago.
     #[must_use]
-    pub fn has_answered(&self, now: Instant) -> bool {
+    pub fn answered_recently(&self, now: Instant) -> bool {
         self.answered.is_some_and(|at| now.saturating_duration_since(at) < SHOWN_FOR)
     }
 
@@ -97,7 +97,7 @@
 
     /// Returns by how much the expected time of a request grows.
     #[must_use]
-    pub fn factor(&self, now: Instant) -> f64 {
+    pub fn cost_factor(&self, now: Instant) -> f64 {
         1.0 / (1.0 - self.rate(now).min(MOST_COUNTED))
     }
 }
--- a/crates/harefield/src/domain/routing/relays.rs
+++ b/crates/harefield/src/domain/routing/relays.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use super::pace::Pace;
+use super::pace::LatencyStats;
 use crate::domain::backoff::backoff;
 use crate::domain::ids::HostId;
 
@@ -37,13 +37,13 @@
 
 /// Another daemon as it is seen.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct RelayStatus {
     /// The daemon.
     pub host: HostId,
     /// Its availability zone.
     pub zone: Arc<str>,
     /// Whether that is in another region.
-    pub far: bool,
+    pub other_region: bool,
     /// Whether it is seen to answer.
     pub live: bool,
     /// What it can carry, in thousandths of a core.
@@ -58,12 +58,12 @@
     capacity: u32,
     starts: Vec<Instant>,
     failures: u32,
-    retry: Option<Instant>,
+    retry_at: Option<Instant>,
 }
 
 /// How a group that was handed to a daemon ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RelayVerdict {
+pub enum RelayOutcome {
     /// It answered; the time that the message and the answer travelled.
     Answered(Duration),
     /// It answered that it does not take the group.
@@ -78,19 +78,19 @@
 #[derive(Clone, Debug, Default)]
 pub struct Relays {
     hosts: BTreeMap<HostId, Relay>,
-    paces: HashMap<Arc<str>, Pace>,
-    ways: HashMap<Arc<str>, Duration>,
+    latencies: HashMap<Arc<str>, LatencyStats>,
+    rtts: HashMap<Arc<str>, Duration>,
 }
 
 impl Relays {
     /// Takes the other daemons as they are seen now.
-    pub fn update(&mut self, seen: impl IntoIterator<Item = Seen>) {
+    pub fn update(&mut self, seen: impl IntoIterator<Item = RelayStatus>) {
         let mut hosts = BTreeMap::new();
-        for Seen { host, zone, far, live, capacity } in seen {
-            self.ways.entry(Arc::clone(&zone)).or_insert(if far { FIRST_FAR_WAY } else { FIRST_WAY });
+        for RelayStatus { host, zone, other_region: far, live, capacity } in seen {
+            self.rtts.entry(Arc::clone(&zone)).or_insert(if far { FIRST_FAR_WAY } else { FIRST_WAY });
             let relay = match self.hosts.remove(&host) {
                 Some(known) => Relay { zone, live, capacity, ..known },
-                None => Relay { zone, live, capacity, starts: Vec::new(), failures: 0, retry: None },
+                None => Relay { zone, live, capacity, starts: Vec::new(), failures: 0, retry_at: None },
             };
             hosts.insert(host, relay);
         }
@@ -137,31 +137,31 @@
 
     /// Returns how long a message and its answer travel to a daemon and back.
     #[must_use]
-    pub fn way_of(&self, host: &HostId) -> Duration {
-        self.hosts.get(host).map_or(FIRST_FAR_WAY, |relay| self.way_to(&relay.zone))
+    pub fn rtt_of(&self, host: &HostId) -> Duration {
+        self.hosts.get(host).map_or(FIRST_FAR_WAY, |relay| self.rtt_to(&relay.zone))
     }
 
     fn usable(&self, kind: &Arc<str>, now: Instant) -> impl Iterator<Item = (&HostId, &Relay)> {
-        let usual = self.pace(kind).mean();
+        let usual = self.latency(kind).mean();
         let silent_after = usual.mul_f64(SILENT_FACTOR).max(SILENT_LEAST);
         self.hosts.iter().filter(move |(_, relay)| {
             let oldest = relay.starts.iter().min();
             let silent = oldest.is_some_and(|start| now.saturating_duration_since(*start) > silent_after);
-            relay.live && !silent && relay.retry.is_none_or(|at| now >= at)
+            relay.live && !silent && relay.retry_at.is_none_or(|at| now >= at)
         })
     }
 
     /// Returns how long a message and its answer travel to an availability zone and
     /// back.
     #[must_use]
-    pub fn way_to(&self, zone: &str) -> Duration {
-        self.ways.get(zone).copied().unwrap_or(FIRST_FAR_WAY)
+    pub fn rtt_to(&self, zone: &str) -> Duration {
+        self.rtts.get(zone).copied().unwrap_or(FIRST_FAR_WAY)
     }
 
     /// Returns the pace of groups of a kind of request.
     #[must_use]
-    pub fn pace(&self, kind: &Arc<str>) -> Pace {
-        self.paces.get(kind).cloned().unwrap_or_default()
+    pub fn latency(&self, kind: &Arc<str>) -> LatencyStats {
+        self.latencies.get(kind).cloned().unwrap_or_default()
     }
 
     /// Notes a group that leaves for a daemon.
@@ -177,31 +177,31 @@
         host: &HostId,
         kind: &Arc<str>,
         start: Instant,
-        verdict: RelayVerdict,
+        verdict: RelayOutcome,
         now: Instant,
     ) {
         let took = now.saturating_duration_since(start);
         // One that was given up would have taken longer still: else only the
         // quick ones would ever count.
-        if let RelayVerdict::Answered(_) | RelayVerdict::Silent = verdict {
-            self.paces.entry(Arc::clone(kind)).or_default().sample(took);
+        if let RelayOutcome::Answered(_) | RelayOutcome::Silent = verdict {
+            self.latencies.entry(Arc::clone(kind)).or_default().record(took);
         }
         let Some(relay) = self.hosts.get_mut(host) else { return };
         if let Some(at) = relay.starts.iter().position(|held| *held == start) {
             relay.starts.swap_remove(at);
         }
         match verdict {
-            RelayVerdict::Answered(way) => {
+            RelayOutcome::Answered(way) => {
                 relay.failures = 0;
-                relay.retry = None;
-                let held = self.ways.entry(Arc::clone(&relay.zone)).or_insert(way);
+                relay.retry_at = None;
+                let held = self.rtts.entry(Arc::clone(&relay.zone)).or_insert(way);
                 *held = held.mul_f64(1.0 - GAIN) + way.mul_f64(GAIN);
             }
-            RelayVerdict::Silent | RelayVerdict::Declined => {
-                relay.retry = Some(now + backoff(BACKOFF, relay.failures, LONGEST_BACKOFF));
+            RelayOutcome::Silent | RelayOutcome::Declined => {
+                relay.retry_at = Some(now + backoff(BACKOFF, relay.failures, LONGEST_BACKOFF));
                 relay.failures = relay.failures.saturating_add(1);
             }
-            RelayVerdict::Abandoned => {}
+            RelayOutcome::Abandoned => {}
         }
     }
 }
--- a/crates/harefield/src/domain/routing/report.rs
+++ b/crates/harefield/src/domain/routing/report.rs
@@ -24,12 +24,12 @@
     /// The load that the reply carried.
     pub load: Option<Load>,
     /// The upstream's word that the reply carried.
-    pub word: Option<Word>,
+    pub announcement: Option<Word>,
 }
 
 /// When an upstream that may not be asked now may be asked again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Until {
+pub enum ExclusionEnd {
     /// When a request under way ends.
     Soon,
     /// At this time.
@@ -40,20 +40,20 @@
 
 /// Why an upstream may not be asked, and until when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bar {
+pub struct Exclusion {
     /// The reason, as the gap it would leave.
     pub gap: Gap,
     /// Until when it holds.
-    pub until: Until,
+    pub until: ExclusionEnd,
 }
 
 /// How one attempt ended, as far as routing is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AttemptOutcome {
     /// It was answered.
-    Good,
+    Succeeded,
     /// It was refused since the upstream is full, until then if it said.
-    Full(Option<Duration>),
+    Rejected(Option<Duration>),
     /// It was refused for a reason that says nothing of the upstream's load.
     Declined,
     /// It was given up; the time so far is the least that it would have taken.
@@ -61,5 +61,5 @@
     /// It was sent, and its reply was lost or no use.
     Lost,
     /// No connection could be had, or the upstream failed.
-    Broken,
+    Failed,
 }
--- a/crates/harefield/src/domain/routing/router.rs
+++ b/crates/harefield/src/domain/routing/router.rs
@@ -11,14 +11,14 @@
 use super::budget::Budget;
 use super::budgets::Budgets;
 use super::budgets::service_of;
-use super::effort::Effort;
-use super::pace::Pace;
+use super::pace::LatencyStats;
 use super::policy::Policy;
 use super::relays::Relays;
+use super::report::AttemptOutcome;
 use super::report::Report;
-use super::report::Verdict;
-use super::searcher::Searcher;
-use super::settled::Settled;
+use super::shard_time::ShardTime;
+use super::startup_delay::StartupDelay;
+use super::upstream_state::UpstreamState;
 use crate::domain::cell::Cells;
 use crate::domain::cell::connection_share;
 use crate::domain::cold::Allowance;
@@ -37,27 +37,27 @@
 /// Routes the requests of one worker.
 #[derive(Debug)]
 pub struct Router {
-    pub(super) searchers: HashMap<UpstreamId, Searcher>,
-    pub(super) paces: HashMap<Arc<str>, Pace>,
+    pub(super) upstreams: HashMap<UpstreamId, UpstreamState>,
+    pub(super) latencies: HashMap<Arc<str>, LatencyStats>,
     pub(super) policy: Policy,
     budgets: Budgets,
     pub(super) places: Places,
     pub(super) relays: Relays,
     /// How many daemons share connections at the least.
-    least_sharers: u32,
+    min_sharers: u32,
     cells: Cells,
-    pub(super) own: Own,
+    pub(super) local: LocalDaemon,
     /// The time that a shard takes here, learnt.
-    shard_time: Effort,
+    shard_time: ShardTime,
     pub(super) lease: Lease,
     /// When this daemon began to know others.
-    pub(super) settled: Settled,
+    pub(super) startup: StartupDelay,
     seed: u64,
 }
 
 /// This daemon, as others see it.
 #[derive(Clone, Debug)]
-pub struct Own {
+pub struct LocalDaemon {
     /// Its name.
     pub host: HostId,
     /// What it can carry, in thousandths of a core.
@@ -65,23 +65,23 @@
     /// How many workers it has, each with a router.
     pub workers: u32,
     /// The number of this one among them.
-    pub number: u32,
+    pub worker: u32,
     /// Whether there are to be other daemons, by its settings.
-    pub others: bool,
+    pub expects_peers: bool,
 }
 
-impl Default for Own {
+impl Default for LocalDaemon {
     fn default() -> Self {
-        Self { host: HostId::default(), capacity: 1000, workers: 1, number: 0, others: false }
+        Self { host: HostId::default(), capacity: 1000, workers: 1, worker: 0, expects_peers: false }
     }
 }
 
-impl Own {
+impl LocalDaemon {
     /// Returns this worker's part of what its daemon may send to a cold upstream.
     fn cold_part(&self, allowance: Allowance) -> Allowance {
         let workers = self.workers.max(1);
-        let part = allowance.part / workers + u32::from(self.number < allowance.part % workers);
-        Allowance { part, ..allowance }
+        let part = allowance.quota / workers + u32::from(self.worker < allowance.quota % workers);
+        Allowance { quota: part, ..allowance }
     }
 }
 
@@ -90,33 +90,33 @@
     #[must_use]
     pub fn new(policy: Policy, budgets: Budgets, seed: u64, now: Instant) -> Self {
         Self {
-            searchers: HashMap::new(),
-            paces: HashMap::new(),
+            upstreams: HashMap::new(),
+            latencies: HashMap::new(),
             policy,
             budgets,
             places: Places::default(),
             relays: Relays::default(),
-            least_sharers: 1,
+            min_sharers: 1,
             cells: Cells::default(),
-            own: Own::default(),
-            shard_time: Effort::default(),
+            local: LocalDaemon::default(),
+            shard_time: ShardTime::default(),
             lease: Lease::new(now),
-            settled: Settled::new(now),
+            startup: StartupDelay::new(now),
             seed,
         }
     }
 
     /// Takes where this daemon and the availability zones are.
     #[must_use]
-    pub fn at(mut self, places: Places) -> Self {
+    pub fn with_places(mut self, places: Places) -> Self {
         self.places = places;
         self
     }
 
     /// Takes which daemon this is.
     #[must_use]
-    pub fn of(mut self, own: Own) -> Self {
-        self.own = own;
+    pub fn with_local(mut self, own: LocalDaemon) -> Self {
+        self.local = own;
         self
     }
 
@@ -127,20 +127,20 @@
     }
 
     /// Takes how long it took here to choose and send some shards' requests.
-    pub fn sample_sending(&mut self, shards: usize, took: Duration) {
-        self.shard_time.sample(shards, took, self.own.capacity);
+    pub fn record_sending(&mut self, shards: usize, took: Duration) {
+        self.shard_time.record(shards, took, self.local.capacity);
     }
 
     /// Takes how many daemons share connections at the least, whatever is known.
     #[must_use]
-    pub fn sharing(mut self, daemons: u32) -> Self {
-        self.least_sharers = daemons.max(1);
+    pub fn with_sharers(mut self, daemons: u32) -> Self {
+        self.min_sharers = daemons.max(1);
         self
     }
 
     /// Takes how many daemons there are: they share the budgets.
-    pub fn share_with(&mut self, daemons: u32) {
-        self.budgets.share_with(daemons.max(1));
+    pub fn set_daemons(&mut self, daemons: u32) {
+        self.budgets.set_daemons(daemons.max(1));
     }
 
     /// Draws a number below `count`, which is at least 1.
@@ -156,26 +156,27 @@
     pub fn apply(&mut self, view: &View, now: Instant) {
         let own = &view.upstreams;
         let longest = longest_deadline(view);
-        let begun =
-            |name: &UpstreamId, s: &Searcher| s.left_within(longest, now) && named(view, name, s).is_some();
-        self.searchers.retain(|name, s| own.contains_key(name) || s.under_way() > 0 || begun(name, s));
+        let begun = |name: &UpstreamId, s: &UpstreamState| {
+            s.left_within(longest, now) && named(view, name, s).is_some()
+        };
+        self.upstreams.retain(|name, s| own.contains_key(name) || s.in_flight() > 0 || begun(name, s));
         for (name, upstream) in own {
             let OwnUpstream { spec, sharers, rank, connections, cold } = upstream;
-            let cold = cold.map(|cold| self.own.cold_part(cold));
-            let sharers = (*sharers).max(self.least_sharers);
+            let cold = cold.map(|cold| self.local.cold_part(cold));
+            let sharers = (*sharers).max(self.min_sharers);
             let share = connection_share(*connections, sharers);
-            self.budgets.share_services(services_of(spec), sharers, *rank);
+            self.budgets.set_clients(services_of(spec), sharers, *rank);
             let searcher = self
-                .searchers
+                .upstreams
                 .entry(Arc::clone(name))
                 .and_modify(|s| s.update(spec, share, now))
-                .or_insert_with(|| Searcher::new(Arc::clone(spec), sharers, share).told(now));
-            searcher.cold.allow(cold);
-            searcher.place(self.places.distance(&spec.zone));
+                .or_insert_with(|| UpstreamState::new(Arc::clone(spec), sharers, share).with_cold(now));
+            searcher.cold.set_allowance(cold);
+            searcher.set_distance(self.places.distance(&spec.zone));
             searcher.join_cell();
             list(searcher, spec, view, now);
         }
-        for (name, searcher) in &mut self.searchers {
+        for (name, searcher) in &mut self.upstreams {
             if own.contains_key(name) {
                 continue;
             }
@@ -184,15 +185,15 @@
             // binds them as before.
             match named(view, name, searcher) {
                 Some(spec) => list(searcher, spec, view, now),
-                None => searcher.list(true),
+                None => searcher.set_leaving(true),
             }
         }
         self.cells.clone_from(&view.cells);
-        self.paces.retain(|kind, _| view.lookups.contains_key(kind));
+        self.latencies.retain(|kind, _| view.lookups.contains_key(kind));
         for (kind, plan) in &view.lookups {
             if let Some(millis) = plan.lookup.objective_ms {
-                let first = || Pace::expected(Duration::from_millis(millis));
-                self.paces.entry(Arc::clone(kind)).or_insert_with(first);
+                let first = || LatencyStats::from_objective(Duration::from_millis(millis));
+                self.latencies.entry(Arc::clone(kind)).or_insert_with(first);
             }
         }
     }
@@ -207,13 +208,13 @@
 
     /// Returns the state of an upstream.
     #[must_use]
-    pub fn searcher(&self, name: &UpstreamId) -> Option<&Searcher> {
-        self.searchers.get(name)
+    pub fn upstream(&self, name: &UpstreamId) -> Option<&UpstreamState> {
+        self.upstreams.get(name)
     }
 
     /// Returns every upstream with its state.
-    pub fn searchers(&self) -> impl Iterator<Item = (&UpstreamId, &Searcher)> {
-        self.searchers.iter()
+    pub fn upstreams(&self) -> impl Iterator<Item = (&UpstreamId, &UpstreamState)> {
+        self.upstreams.iter()
     }
 
     /// Returns the lease on what the router knows.
@@ -229,14 +230,14 @@
 
     /// Returns the pace of a kind of request.
     #[must_use]
-    pub fn pace(&self, kind: &Arc<str>) -> Pace {
-        self.paces.get(kind).cloned().unwrap_or_default()
+    pub fn latency(&self, kind: &Arc<str>) -> LatencyStats {
+        self.latencies.get(kind).cloned().unwrap_or_default()
     }
 
     /// Returns whether an upstream may serve a version, load aside.
     #[must_use]
-    pub fn usable(&self, name: &UpstreamId, version: Version) -> bool {
-        self.searchers.get(name).is_some_and(|s| s.may_serve(version).is_ok())
+    pub fn can_serve(&self, name: &UpstreamId, version: Version) -> bool {
+        self.upstreams.get(name).is_some_and(|s| s.may_serve(version).is_ok())
     }
 
     /// Draws a number in 0..1 from the router's own seeded sequence.
@@ -248,7 +249,7 @@
 
     /// Notes a request that leaves for an upstream.
     pub fn begin(&mut self, name: &UpstreamId, now: Instant) {
-        if let Some(searcher) = self.searchers.get_mut(name) {
+        if let Some(searcher) = self.upstreams.get_mut(name) {
             searcher.begin(now);
         }
     }
@@ -258,65 +259,65 @@
         &mut self,
         name: &UpstreamId,
         start: Instant,
-        verdict: Verdict,
+        verdict: AttemptOutcome,
         report: &Report,
         now: Instant,
     ) {
-        let way = self.way_to(name).as_secs_f64();
-        if let Some(searcher) = self.searchers.get_mut(name) {
-            searcher.set_way(way);
+        let way = self.rtt_to(name).as_secs_f64();
+        if let Some(searcher) = self.upstreams.get_mut(name) {
+            searcher.set_rtt(way);
             searcher.end(start, verdict, report, now);
         }
     }
 
     /// Takes a good reply's time into the pace of its kind of request, less its
     /// way.
-    pub fn sample(&mut self, kind: &Arc<str>, name: &UpstreamId, took: Duration) {
-        let own = took.saturating_sub(self.way_to(name));
-        self.paces.entry(Arc::clone(kind)).or_default().sample(own);
+    pub fn record_latency(&mut self, kind: &Arc<str>, name: &UpstreamId, took: Duration) {
+        let own = took.saturating_sub(self.rtt_to(name));
+        self.latencies.entry(Arc::clone(kind)).or_default().record(own);
     }
 
     /// Takes an upstream's word; returns whether it was news.
-    pub fn hear(&mut self, name: &UpstreamId, word: &Word) -> bool {
-        self.searchers.get_mut(name).is_some_and(|s| s.hear(word))
+    pub fn merge_announcement(&mut self, name: &UpstreamId, word: &Word) -> bool {
+        self.upstreams.get_mut(name).is_some_and(|s| s.merge_announcement(word))
     }
 
     /// Takes words that peers passed on.
-    pub fn hear_all(&mut self, words: &[NamedWord]) {
+    pub fn merge_announcements(&mut self, words: &[NamedWord]) {
         for named in words {
-            self.hear(&named.upstream, &named.word);
+            self.merge_announcement(&named.upstream, &named.word);
         }
     }
 
     /// Takes that an upstream ended or could not be reached: it may start again, and be cold.
-    pub fn note_down(&mut self, name: &UpstreamId, now: Instant) {
-        if let Some(searcher) = self.searchers.get_mut(name) {
-            searcher.cold.suspect(now);
+    pub fn record_down(&mut self, name: &UpstreamId, now: Instant) {
+        if let Some(searcher) = self.upstreams.get_mut(name) {
+            searcher.cold.assume_cold(now);
         }
     }
 
     /// Takes how many idle connections an upstream has.
     pub fn set_idle(&mut self, name: &UpstreamId, idle: usize) {
-        if let Some(searcher) = self.searchers.get_mut(name) {
+        if let Some(searcher) = self.upstreams.get_mut(name) {
             searcher.set_idle(idle);
         }
     }
 
     /// Returns the budget that extra load on a shard is paid from.
     pub fn budget(&mut self, shard: &ShardId) -> &mut Budget {
-        self.budgets.of(shard)
+        self.budgets.for_shard(shard)
     }
 }
 
 /// Returns what a view says of an upstream; none where it names no such start of it.
-fn named<'a>(view: &'a View, name: &UpstreamId, searcher: &Searcher) -> Option<&'a Arc<Upstream>> {
-    view.set.upstreams.get(name).filter(|spec| searcher.is_same(spec))
+fn named<'a>(view: &'a View, name: &UpstreamId, searcher: &UpstreamState) -> Option<&'a Arc<Upstream>> {
+    view.set.upstreams.get(name).filter(|spec| searcher.same_incarnation(spec))
 }
 
 /// Takes what a view says of an upstream that may be asked.
-fn list(searcher: &mut Searcher, spec: &Upstream, view: &View, now: Instant) {
-    searcher.list(spec.leaving || view.leaving.contains(&spec.address));
-    searcher.evacuate(view.evacuated.contains(&spec.zone), now);
+fn list(searcher: &mut UpstreamState, spec: &Upstream, view: &View, now: Instant) {
+    searcher.set_leaving(spec.leaving || view.leaving.contains(&spec.address));
+    searcher.set_evacuated(view.evacuated.contains(&spec.zone), now);
 }
 
 /// Returns how long a request of a view may take.
--- a/crates/harefield/src/domain/routing/effort.rs
+++ b/crates/harefield/src/domain/routing/shard_time.rs
@@ -8,7 +8,7 @@
 
 /// The fewest shards whose sending shows anything: the clock and other tasks show more
 /// in fewer.
-pub const LEAST_SHARDS: usize = 8;
+pub const MIN_SAMPLE_SHARDS: usize = 8;
 
 /// How far one sample moves what was learnt.
 const GAIN: f64 = 0.1;
@@ -23,21 +23,21 @@
 
 /// The learnt time of one shard, for a whole core.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Effort {
+pub(super) struct ShardTime {
     seconds: f64,
 }
 
-impl Default for Effort {
+impl Default for ShardTime {
     fn default() -> Self {
         Self { seconds: FIRST.as_secs_f64() }
     }
 }
 
-impl Effort {
+impl ShardTime {
     /// Takes how long choosing and sending `shards` requests took a daemon of `capacity`
     /// thousandths of a core.
-    pub fn sample(&mut self, shards: usize, took: Duration, capacity: u32) {
-        if shards < LEAST_SHARDS {
+    pub fn record(&mut self, shards: usize, took: Duration, capacity: u32) {
+        if shards < MIN_SAMPLE_SHARDS {
             return;
         }
         let count = f64::from(u32::try_from(shards).unwrap_or(u32::MAX));
--- a/crates/harefield/src/domain/routing/sharing.rs
+++ b/crates/harefield/src/domain/routing/sharing.rs
@@ -49,11 +49,11 @@
 
 /// A daemon that may take a part of a fan-out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Carrier {
+pub struct Delegate {
     /// The daemon.
     pub host: HostId,
     /// Whether it is this one.
-    pub own: bool,
+    pub local: bool,
     /// What it can carry, in thousandths of a core.
     pub capacity: u32,
     /// Its availability zone.
@@ -62,9 +62,9 @@
 
 /// A shard that is to be asked.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wanted {
+pub struct PendingShard {
     /// Its place in the plan.
-    pub at: usize,
+    pub index: usize,
     /// Its name.
     pub shard: ShardId,
     /// The availability zone of the replicas that are to be asked.
@@ -73,29 +73,29 @@
 
 /// What one daemon takes of a fan-out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Portion<'a> {
+pub struct Assignment<'a> {
     /// The daemon.
-    pub carrier: &'a Carrier,
+    pub delegate: &'a Delegate,
     /// Its shards.
-    pub shards: Vec<Wanted>,
+    pub shards: Vec<PendingShard>,
 }
 
 /// What sharing is weighed by.
 #[derive(Clone, Copy, Debug)]
-pub struct Allowance {
+pub struct DelegationLimits {
     /// The time that one shard takes on a whole core.
-    pub shard: Duration,
+    pub shard_time: Duration,
     /// How long sending may take.
-    pub allowed: Duration,
+    pub send_limit: Duration,
     /// Whether a shard's requests are to go to the same daemon, whoever sends them.
     pub affinity: bool,
 }
 
-impl Allowance {
+impl DelegationLimits {
     /// Creates the allowance of a fan-out that has `left` until its objective.
     #[must_use]
     pub fn new(shard: Duration, left: Duration) -> Self {
-        Self { shard, allowed: left * SENDING_PERCENT / 100, affinity: false }
+        Self { shard_time: shard, send_limit: left * SENDING_PERCENT / 100, affinity: false }
     }
 
     /// Says whether a daemon of `capacity` sends `shards` within the time allowed.
@@ -103,7 +103,7 @@
     pub fn allows(&self, shards: usize, capacity: u64) -> bool {
         let shards = u32::try_from(shards).unwrap_or(u32::MAX);
         let capacity = u32::try_from(capacity.max(1)).unwrap_or(u32::MAX);
-        self.shard.saturating_mul(shards).saturating_mul(1000) / capacity <= self.allowed
+        self.shard_time.saturating_mul(shards).saturating_mul(1000) / capacity <= self.send_limit
     }
 }
 
@@ -114,11 +114,11 @@
 /// A shard goes to the same daemon whoever shares it out, as long as the same daemons
 /// share: connections to its replicas are kept at one daemon, and used.
 #[must_use]
-pub fn share<'a>(
-    wanted: &[Wanted],
-    carriers: &'a [Carrier],
-    allowance: Allowance,
-) -> Option<Vec<Portion<'a>>> {
+pub fn assign_shards<'a>(
+    wanted: &[PendingShard],
+    carriers: &'a [Delegate],
+    allowance: DelegationLimits,
+) -> Option<Vec<Assignment<'a>>> {
     if wanted.len() < NARROW {
         return None;
     }
@@ -137,7 +137,7 @@
         sharers.extend(strongest(others));
     }
     let quotas = quotas(wanted.len(), sharers);
-    if quotas.iter().all(|(carrier, _)| carrier.own) {
+    if quotas.iter().all(|(carrier, _)| carrier.local) {
         return None;
     }
     Some(deal(wanted, quotas))
@@ -145,39 +145,39 @@
 
 /// Says whether one daemon of an availability zone, this one if it is there, carries the
 /// shards with replicas there.
-fn is_carried_alone(shards: usize, zone: &str, carriers: &[Carrier], allowance: Allowance) -> bool {
+fn is_carried_alone(shards: usize, zone: &str, carriers: &[Delegate], allowance: DelegationLimits) -> bool {
     let beside = || carriers.iter().filter(|carrier| *carrier.zone == *zone);
-    let alone = beside().find(|carrier| carrier.own).or(beside().max_by_key(|carrier| carrier.capacity));
+    let alone = beside().find(|carrier| carrier.local).or(beside().max_by_key(|carrier| carrier.capacity));
     alone.is_some_and(|carrier| allowance.allows(shards, u64::from(carrier.capacity)))
 }
 
 /// Returns the strongest of some daemons.
-fn strongest(mut carriers: Vec<&Carrier>) -> Vec<&Carrier> {
+fn strongest(mut carriers: Vec<&Delegate>) -> Vec<&Delegate> {
     carriers.sort_by_key(|carrier| (Reverse(carrier.capacity), &carrier.host));
     carriers.truncate(MOST_SHARERS);
     carriers
 }
 
-fn together(carriers: &[&Carrier]) -> u64 {
+fn together(carriers: &[&Delegate]) -> u64 {
     carriers.iter().map(|carrier| u64::from(carrier.capacity.max(1))).sum()
 }
 
 /// Returns what a fan-out costs that is shared, in shards.
-fn with_groups(shards: usize, sharers: &[&Carrier]) -> usize {
-    shards + GROUP_COST * sharers.iter().filter(|carrier| !carrier.own).count()
+fn with_groups(shards: usize, sharers: &[&Delegate]) -> usize {
+    shards + GROUP_COST * sharers.iter().filter(|carrier| !carrier.local).count()
 }
 
 /// Returns how many shards each daemon takes, so that all are done at the same time;
 /// this one's part is less by what its groups cost it. Those are left out for whom
 /// hardly any would be left.
-fn quotas(shards: usize, mut sharers: Vec<&Carrier>) -> Vec<(&Carrier, usize)> {
+fn quotas(shards: usize, mut sharers: Vec<&Delegate>) -> Vec<(&Delegate, usize)> {
     loop {
         let (all, capacity) = (with_groups(shards, &sharers), together(&sharers));
         let groups = all - shards;
-        let part = |carrier: &Carrier| {
+        let part = |carrier: &Delegate| {
             let part = (all as u64 * u64::from(carrier.capacity.max(1))).div_ceil(capacity.max(1));
             let part = usize::try_from(part).unwrap_or(usize::MAX);
-            if carrier.own { part.saturating_sub(groups) } else { part }
+            if carrier.local { part.saturating_sub(groups) } else { part }
         };
         let least = sharers.iter().enumerate().min_by_key(|(_, carrier)| part(carrier));
         let spare = least.filter(|(_, carrier)| part(carrier) < LEAST_PART && sharers.len() > 1);
@@ -190,14 +190,14 @@
 
 /// Deals shards out by rendezvous hashing, to nobody more than its quota; those beside a
 /// shard's replicas go first.
-fn deal<'a>(wanted: &[Wanted], quotas: Vec<(&'a Carrier, usize)>) -> Vec<Portion<'a>> {
+fn deal<'a>(wanted: &[PendingShard], quotas: Vec<(&'a Delegate, usize)>) -> Vec<Assignment<'a>> {
     let mut left: Vec<usize> = quotas.iter().map(|(_, quota)| *quota).collect();
-    let mut portions: Vec<Portion<'a>> =
-        quotas.into_iter().map(|(carrier, _)| Portion { carrier, shards: Vec::new() }).collect();
+    let mut portions: Vec<Assignment<'a>> =
+        quotas.into_iter().map(|(carrier, _)| Assignment { delegate: carrier, shards: Vec::new() }).collect();
     for shard in wanted {
         let open = (0..portions.len()).filter(|at| left[*at] > 0);
         let rank = |at: &usize| {
-            let carrier = portions[*at].carrier;
+            let carrier = portions[*at].delegate;
             (carrier.zone == shard.zone, weight(&shard.shard, &carrier.host))
         };
         let best = open.max_by_key(rank).unwrap_or(0);
--- a/crates/harefield/src/domain/routing/settled.rs
+++ b/crates/harefield/src/domain/routing/startup_delay.rs
@@ -10,25 +10,25 @@
 
 /// Since when a daemon runs, and whether it has heard of another.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Settled {
+pub(super) struct StartupDelay {
     start: Instant,
     met: bool,
 }
 
-impl Settled {
+impl StartupDelay {
     /// Creates the state of a daemon that starts.
     pub fn new(now: Instant) -> Self {
         Self { start: now, met: false }
     }
 
     /// Takes that another daemon is known.
-    pub fn meet(&mut self) {
+    pub fn record_peer(&mut self) {
         self.met = true;
     }
 
     /// Says whether it has a part, where there are to be `others`. One that starts while it
     /// is cut off from them has none.
-    pub fn has_part(self, others: bool, now: Instant) -> bool {
+    pub fn has_quota(self, others: bool, now: Instant) -> bool {
         now.saturating_duration_since(self.start) >= SETTLE && (self.met || !others)
     }
 }
--- a/crates/harefield/src/domain/routing/searcher.rs
+++ b/crates/harefield/src/domain/routing/upstream_state.rs
@@ -8,11 +8,11 @@
 use std::time::Instant;
 
 use super::rejections::Rejections;
-use super::report::Bar;
+use super::report::Exclusion;
+use super::report::ExclusionEnd;
 use super::report::Load;
-use super::report::Until;
 use super::window::Window;
-use crate::domain::cold::Spell;
+use crate::domain::cold::ColdPeriod;
 use crate::domain::ids::Version;
 use crate::domain::outcome::Gap;
 use crate::domain::places::Distance;
@@ -21,7 +21,7 @@
 
 /// One upstream, as one worker sees it.
 #[derive(Clone, Debug)]
-pub struct Searcher {
+pub struct UpstreamState {
     pub(super) spec: Arc<Upstream>,
     pub(super) share: u32,
     pub(super) window: Window,
@@ -29,25 +29,25 @@
     pub(super) observed: Option<f64>,
     pub(super) best: Option<f64>,
     pub(super) load: Option<(Load, Instant)>,
-    pub(super) heard: Option<Instant>,
-    pub(super) asked: Option<Instant>,
+    pub(super) last_end: Option<Instant>,
+    pub(super) last_sent: Option<Instant>,
     pub(super) probation: bool,
-    pub(super) way: f64,
+    pub(super) rtt: f64,
     pub(super) distance: Distance,
-    pub(super) word: Word,
-    pub(super) listed: bool,
+    pub(super) announcement: Word,
+    pub(super) listed_leaving: bool,
     /// When this daemon left the last cell of the upstream; none while it is in one.
-    pub(super) left: Option<Instant>,
+    pub(super) left_at: Option<Instant>,
     pub(super) evacuated: bool,
-    pub(super) cold: Spell,
-    pub(super) shed: Option<Instant>,
+    pub(super) cold: ColdPeriod,
+    pub(super) shed_until: Option<Instant>,
     pub(super) failures: u32,
     pub(super) rejections: Rejections,
-    pub(super) retry: Option<Instant>,
+    pub(super) retry_at: Option<Instant>,
     pub(super) idle: usize,
 }
 
-impl Searcher {
+impl UpstreamState {
     /// Creates the state of an upstream that nothing is known of yet.
     #[must_use]
     pub fn new(spec: Arc<Upstream>, sharers: u32, share: u32) -> Self {
@@ -60,28 +60,28 @@
             observed: None,
             best: None,
             load: None,
-            heard: None,
-            asked: None,
+            last_end: None,
+            last_sent: None,
             probation: false,
-            way: 0.0,
+            rtt: 0.0,
             distance: Distance::Near,
-            word: Word::default(),
-            listed: false,
-            left: None,
+            announcement: Word::default(),
+            listed_leaving: false,
+            left_at: None,
             evacuated: false,
-            cold: Spell::default(),
-            shed: None,
+            cold: ColdPeriod::default(),
+            shed_until: None,
             failures: 0,
             rejections: Rejections::default(),
-            retry: None,
+            retry_at: None,
             idle: 0,
         }
     }
 
     /// Takes what its specification says of a cold spell.
     #[must_use]
-    pub(super) fn told(mut self, now: Instant) -> Self {
-        self.cold.hear(Duration::from_millis(self.spec.cold_ms), now);
+    pub(super) fn with_cold(mut self, now: Instant) -> Self {
+        self.cold.record_cold(Duration::from_millis(self.spec.cold_ms), now);
         self
     }
 
@@ -91,15 +91,15 @@
     /// One that crashed and came back under its name would be left alone for as long as the
     /// failures of the former one ask for, up to 4 s, and be judged by its times.
     pub fn update(&mut self, spec: &Arc<Upstream>, share: u32, now: Instant) {
-        if !self.is_same(spec) {
+        if !self.same_incarnation(spec) {
             let before = std::mem::take(&mut self.cold);
             *self = Self { cold: before, ..Self::new(Arc::clone(spec), 1, share) };
             // Its entry may be of before its start, and say that it is warm.
-            self.cold.suspect(now);
+            self.cold.assume_cold(now);
             return;
         }
         if spec.cold_ms != self.spec.cold_ms {
-            self.cold.hear(Duration::from_millis(spec.cold_ms), now);
+            self.cold.record_cold(Duration::from_millis(spec.cold_ms), now);
         }
         self.spec = Arc::clone(spec);
         self.share = share;
@@ -108,7 +108,7 @@
 
     /// Takes how far it is, which is looked at for each replica of each shard: 180 shards
     /// are sorted into groups in 93 µs, in place of 105 where it is worked out anew.
-    pub fn place(&mut self, distance: Distance) {
+    pub fn set_distance(&mut self, distance: Distance) {
         self.distance = distance;
     }
 
@@ -126,13 +126,13 @@
 
     /// Returns the upstream's own word.
     #[must_use]
-    pub fn word(&self) -> &Word {
-        &self.word
+    pub fn announcement(&self) -> &Word {
+        &self.announcement
     }
 
     /// Returns how many requests are under way.
     #[must_use]
-    pub fn under_way(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.starts.len()
     }
 
@@ -144,41 +144,41 @@
 
     /// Takes that this daemon is in a cell that may ask the upstream.
     pub(super) fn join_cell(&mut self) {
-        self.left = None;
+        self.left_at = None;
     }
 
     /// Takes that this daemon is in no cell any more that may ask the upstream.
     pub(super) fn leave_cell(&mut self, now: Instant) {
-        self.left.get_or_insert(now);
+        self.left_at.get_or_insert(now);
     }
 
     /// Says whether this daemon left the upstream's cell less than `time` ago, or not yet.
     pub(super) fn left_within(&self, time: Duration, now: Instant) -> bool {
-        self.left.is_none_or(|at| now.saturating_duration_since(at) < time)
+        self.left_at.is_none_or(|at| now.saturating_duration_since(at) < time)
     }
 
     /// Says whether a specification is of the same start of the upstream.
-    pub(super) fn is_same(&self, spec: &Upstream) -> bool {
+    pub(super) fn same_incarnation(&self, spec: &Upstream) -> bool {
         spec.address == self.spec.address && spec.born == self.spec.born
     }
 
     /// Takes whether the platform lists the host as leaving.
-    pub fn list(&mut self, leaving: bool) {
-        self.listed = leaving;
+    pub fn set_leaving(&mut self, leaving: bool) {
+        self.listed_leaving = leaving;
     }
 
     /// Takes whether its availability zone is evacuated; when that is taken back, it may have
     /// turned cold meanwhile.
-    pub fn evacuate(&mut self, evacuated: bool, now: Instant) {
+    pub fn set_evacuated(&mut self, evacuated: bool, now: Instant) {
         if self.evacuated && !evacuated {
-            self.cold.suspect(now);
+            self.cold.assume_cold(now);
         }
         self.evacuated = evacuated;
     }
 
     /// Takes the upstream's word, heard directly or through a peer.
-    pub fn hear(&mut self, word: &Word) -> bool {
-        self.word.join(word)
+    pub fn merge_announcement(&mut self, word: &Word) -> bool {
+        self.announcement.join(word)
     }
 
     /// Takes how many idle connections are open.
@@ -189,7 +189,7 @@
     /// Returns whether the upstream takes no new work.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
-        self.listed || self.word.draining
+        self.listed_leaving || self.announcement.draining
     }
 
     /// Returns whether new work may be sent to it, load and versions aside.
@@ -197,7 +197,7 @@
     /// # Errors
     ///
     /// Returns why not, as the gap it would leave.
-    pub fn takes_work(&self) -> Result<(), Gap> {
+    pub fn accepts_work(&self) -> Result<(), Gap> {
         if self.is_leaving() {
             return Err(Gap::Leaving);
         }
@@ -209,19 +209,19 @@
     /// # Errors
     ///
     /// Returns the reason, and until when it holds.
-    pub fn admits(&self, version: Version, now: Instant) -> Result<(), Bar> {
-        self.may_serve(version).map_err(|gap| Bar { gap, until: Until::Never })?;
-        if let Some(at) = self.retry.filter(|at| now < *at) {
-            return Err(Bar { gap: Gap::Unreachable, until: Until::At(at) });
+    pub fn check_available(&self, version: Version, now: Instant) -> Result<(), Exclusion> {
+        self.may_serve(version).map_err(|gap| Exclusion { gap, until: ExclusionEnd::Never })?;
+        if let Some(at) = self.retry_at.filter(|at| now < *at) {
+            return Err(Exclusion { gap: Gap::Unreachable, until: ExclusionEnd::At(at) });
         }
-        if let Some(at) = self.shed.filter(|at| now < *at) {
-            return Err(Bar { gap: Gap::Overloaded, until: Until::At(at) });
+        if let Some(at) = self.shed_until.filter(|at| now < *at) {
+            return Err(Exclusion { gap: Gap::Overloaded, until: ExclusionEnd::At(at) });
         }
-        if let Some(at) = self.cold.barred_until(now) {
-            return Err(Bar { gap: Gap::Cold, until: Until::At(at) });
+        if let Some(at) = self.cold.excluded_until(now) {
+            return Err(Exclusion { gap: Gap::Cold, until: ExclusionEnd::At(at) });
         }
-        if !self.window.has_room(self.under_way()) {
-            return Err(Bar { gap: Gap::Overloaded, until: Until::Soon });
+        if !self.window.has_room(self.in_flight()) {
+            return Err(Exclusion { gap: Gap::Overloaded, until: ExclusionEnd::Soon });
         }
         Ok(())
     }
@@ -229,7 +229,7 @@
     /// Returns whether it is left alone for a while after failures.
     #[must_use]
     pub fn is_backed_off(&self, now: Instant) -> bool {
-        self.retry.is_some_and(|at| now < at)
+        self.retry_at.is_some_and(|at| now < at)
     }
 
     /// Says whether the upstream could serve `version` at all, load aside.
@@ -238,8 +238,8 @@
     ///
     /// Returns the reason as the gap it would leave.
     pub fn may_serve(&self, version: Version) -> Result<(), Gap> {
-        self.takes_work()?;
-        if !self.word.may_hold(version) {
+        self.accepts_work()?;
+        if !self.announcement.may_hold(version) {
             return Err(Gap::SnapshotMissing);
         }
         Ok(())
@@ -248,13 +248,13 @@
     /// Notes that a request leaves at `now`.
     pub fn begin(&mut self, now: Instant) {
         self.starts.push(now);
-        self.cold.send(now);
-        self.asked = Some(now);
+        self.cold.record_send(now);
+        self.last_sent = Some(now);
     }
 
     /// Takes how long a request and its reply travel, in seconds: it is taken
     /// off their time, so that what is observed is the upstream's own time.
-    pub fn set_way(&mut self, way: f64) {
-        self.way = way;
+    pub fn set_rtt(&mut self, way: f64) {
+        self.rtt = way;
     }
 }
--- a/crates/harefield/src/domain/routing/zones.rs
+++ b/crates/harefield/src/domain/routing/zones.rs
@@ -6,12 +6,12 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use super::relays::RelayStatus;
 use super::relays::Relays;
-use super::relays::Seen;
-use super::router::Own;
+use super::router::LocalDaemon;
 use super::router::Router;
-use super::searcher::Searcher;
-use super::sharing::Carrier;
+use super::sharing::Delegate;
+use super::upstream_state::UpstreamState;
 use crate::domain::ids::HostId;
 use crate::domain::ids::UpstreamId;
 use crate::domain::membership::PeerState;
@@ -20,31 +20,31 @@
 
 impl Router {
     /// Takes the other daemons as they are seen now; they are handed groups.
-    pub fn see_daemons<'a>(&mut self, rows: impl IntoIterator<Item = &'a Row>) {
+    pub fn update_daemons<'a>(&mut self, rows: impl IntoIterator<Item = &'a Row>) {
         let places = &self.places;
-        let seen = rows.into_iter().map(|row| Seen {
+        let seen = rows.into_iter().map(|row| RelayStatus {
             host: Arc::clone(&row.host),
             zone: Arc::clone(&row.zone),
-            far: places.distance(&row.zone) == Distance::Far,
+            other_region: places.distance(&row.zone) == Distance::Far,
             live: row.state == PeerState::Live,
             capacity: row.capacity,
         });
         let mut seen = seen.peekable();
         if seen.peek().is_some() {
-            self.settled.meet();
+            self.startup.record_peer();
         }
         self.relays.update(seen);
     }
 
     /// Returns this daemon.
     #[must_use]
-    pub fn own(&self) -> &Own {
-        &self.own
+    pub fn local(&self) -> &LocalDaemon {
+        &self.local
     }
 
     /// Returns this daemon's availability zone.
     #[must_use]
-    pub fn own_zone(&self) -> &Arc<str> {
+    pub fn local_zone(&self) -> &Arc<str> {
         &self.places.zone
     }
 
@@ -57,15 +57,15 @@
     /// Returns the daemons that may take a part of a fan-out over replicas in a region:
     /// members of the index's cell there, this one among them.
     #[must_use]
-    pub fn carriers(&self, index: &str, region: &str, kind: &Arc<str>, now: Instant) -> Vec<Carrier> {
-        let Own { host, capacity, .. } = &self.own;
+    pub fn delegates(&self, index: &str, region: &str, kind: &Arc<str>, now: Instant) -> Vec<Delegate> {
+        let LocalDaemon { host, capacity, .. } = &self.local;
         let own = (host, &self.places.zone, *capacity);
         let others = self.relays.capacities(kind, now).filter(|(host, ..)| self.is_member(index, host));
         let all = std::iter::once(own).chain(others);
         let there = all.filter(|(_, zone, _)| *self.region_of(zone) == *region);
-        let carrier = |(other, zone, capacity): (&HostId, &Arc<str>, u32)| Carrier {
+        let carrier = |(other, zone, capacity): (&HostId, &Arc<str>, u32)| Delegate {
             host: Arc::clone(other),
-            own: other == host,
+            local: other == host,
             capacity,
             zone: Arc::clone(zone),
         };
@@ -99,8 +99,8 @@
     /// Returns the availability zones of the nearest replicas that may be asked;
     /// none where one is in the own zone, or none may be asked.
     #[must_use]
-    pub fn away_zones(&self, replicas: &[UpstreamId], typical: f64, now: Instant) -> Option<Vec<Arc<str>>> {
-        let known = || replicas.iter().filter_map(|name| self.searchers.get(name));
+    pub fn remote_zones(&self, replicas: &[UpstreamId], typical: f64, now: Instant) -> Option<Vec<Arc<str>>> {
+        let known = || replicas.iter().filter_map(|name| self.upstreams.get(name));
         let healthy = || known().filter(|searcher| searcher.is_healthy(typical, now));
         let nearest = healthy().map(|searcher| searcher.distance).min()?;
         if nearest == Distance::Near {
@@ -116,9 +116,9 @@
     /// Returns the best of some replicas: one that may be asked first, then one of an
     /// availability zone, then the quickest.
     #[must_use]
-    pub fn best(&self, replicas: &[UpstreamId], zone: &str, now: Instant) -> Option<UpstreamId> {
+    pub fn best_replica(&self, replicas: &[UpstreamId], zone: &str, now: Instant) -> Option<UpstreamId> {
         let rank = |name: &UpstreamId| {
-            let found = self.searchers.get(name);
+            let found = self.upstreams.get(name);
             let usable = found.is_some_and(|s| s.is_healthy(0.0, now));
             let elsewhere = found.is_none_or(|s| *s.spec().zone != *zone);
             (!usable, elsewhere, found.map_or(f64::INFINITY, |s| s.observed_time(0.0)))
@@ -132,23 +132,23 @@
 
     /// Returns whether an upstream stands in another availability zone.
     #[must_use]
-    pub fn is_away(&self, searcher: &Searcher) -> bool {
+    pub fn is_remote(&self, searcher: &UpstreamState) -> bool {
         searcher.distance != Distance::Near
     }
 
     /// Returns how long a request and its reply travel to an upstream and back,
     /// in seconds.
-    fn way(&self, searcher: &Searcher) -> f64 {
+    fn rtt(&self, searcher: &UpstreamState) -> f64 {
         match searcher.distance {
             Distance::Near | Distance::Region => 0.0,
-            Distance::Far => self.relays.way_to(&searcher.spec().zone).as_secs_f64(),
+            Distance::Far => self.relays.rtt_to(&searcher.spec().zone).as_secs_f64(),
         }
     }
 
     /// Returns how long a request and its reply travel to an upstream and back.
     #[must_use]
-    pub fn way_to(&self, name: &UpstreamId) -> Duration {
-        let way = self.searchers.get(name).map_or(0.0, |searcher| self.way(searcher));
+    pub fn rtt_to(&self, name: &UpstreamId) -> Duration {
+        let way = self.upstreams.get(name).map_or(0.0, |searcher| self.rtt(searcher));
         Duration::from_secs_f64(way)
     }
 }
--- a/crates/harefield/src/domain/view/builder.rs
+++ b/crates/harefield/src/domain/view/builder.rs
@@ -207,9 +207,9 @@
         let members: Vec<&Candidate> =
             hosts.iter().filter_map(|host| self.fleet.get(host).copied()).collect();
         let ViewSources { own, places, cold, .. } = self.sources;
-        let part = cold::part(cold.given_out(per_s), name, &upstream.zone, &members, own, places);
+        let part = cold::quota(cold.distributed(per_s), name, &upstream.zone, &members, own, places);
         let part = u32::try_from(part).unwrap_or(u32::MAX);
-        Some(Allowance { part, spell: Duration::from_millis(start_ms) })
+        Some(Allowance { quota: part, assumed_cold: Duration::from_millis(start_ms) })
     }
 }
 
--- a/crates/harefield/src/domain/view/mod.rs
+++ b/crates/harefield/src/domain/view/mod.rs
@@ -28,7 +28,7 @@
 use super::cell::CellSize;
 use super::cell::Cells;
 use super::cold::Allowance;
-use super::cold::Bound;
+use super::cold::ColdBounds;
 use super::hosts::HostList;
 use super::ids::Edition;
 use super::ids::HostId;
@@ -74,7 +74,7 @@
     /// Which region each availability zone is in.
     pub places: &'a Places,
     /// How far above what cold upstreams bear the fleet may go.
-    pub cold: Bound,
+    pub cold: ColdBounds,
     /// Whether lookups that are not public ask for a key also where no account is published.
     pub keyed: bool,
 }
--- a/crates/harefield/src/engine/attempt.rs
+++ b/crates/harefield/src/engine/attempt.rs
@@ -32,9 +32,9 @@
 use crate::domain::ids::AttemptId;
 use crate::domain::ids::ShardId;
 use crate::domain::outcome::Gap;
-use crate::domain::routing::LEAST_SHARDS;
+use crate::domain::routing::AttemptOutcome;
+use crate::domain::routing::MIN_SAMPLE_SHARDS;
 use crate::domain::routing::Report;
-use crate::domain::routing::Verdict;
 use crate::domain::suspects::Standing;
 use crate::domain::view::Plan;
 use crate::domain::word::NamedWord;
@@ -107,7 +107,7 @@
         let Send { upstream, start, .. } = &self.attempt.send;
         let now = self.worker.ports.clock.now();
         let mut router = self.worker.router.borrow_mut();
-        router.end(upstream, *start, Verdict::Declined, &Report::default(), now);
+        router.end(upstream, *start, AttemptOutcome::Declined, &Report::default(), now);
     }
 }
 
@@ -183,14 +183,14 @@
     /// Measures how long `sent` requests that were decided on at `start` take this daemon:
     /// a task behind theirs runs once all of them are written.
     fn measure_sending(self: &Rc<Self>, sent: usize, start: Instant) {
-        if sent < LEAST_SHARDS {
+        if sent < MIN_SAMPLE_SHARDS {
             return;
         }
         let this = Rc::clone(self);
         let measure = async move {
             future::yield_now().await;
             let took = this.ports.clock.now().saturating_duration_since(start);
-            this.router.borrow_mut().sample_sending(sent, took);
+            this.router.borrow_mut().record_sending(sent, took);
         };
         self.executor.spawn(measure).detach();
     }
@@ -258,11 +258,11 @@
     async fn ask(&self, attempt: &Attempt) -> CallEnd {
         let upstream = Arc::clone(&attempt.send.upstream);
         let now = self.ports.clock.now();
-        let found = self.router.borrow().searcher(&upstream).map(|s| (s.spec().address, s.share()));
+        let found = self.router.borrow().upstream(&upstream).map(|s| (s.spec().address, s.share()));
         let Some((address, share)) = found else {
             return CallEnd {
                 end: AttemptEnd::NotSent { why: Gap::NoReplica },
-                verdict: Verdict::Declined,
+                verdict: AttemptOutcome::Declined,
                 report: Report::default(),
             };
         };
@@ -282,7 +282,7 @@
             let router = self.router.borrow();
             // One may have begun to leave, or its zone to be evacuated, while a connection
             // was opened.
-            let takes = router.searcher(&attempt.send.upstream).is_some_and(|s| s.takes_work().is_ok());
+            let takes = router.upstream(&attempt.send.upstream).is_some_and(|s| s.accepts_work().is_ok());
             now < attempt.job.deadline && !withheld && takes && router.lease().held(now)
         };
         self.ports.upstreams.ask(call, permit).await
@@ -294,22 +294,24 @@
         let now = self.ports.clock.now();
         let Send { upstream, start, .. } = &attempt.send;
         let mut router = self.router.borrow_mut();
-        let before = router.searcher(upstream).map(|s| s.window().size());
+        let before = router.upstream(upstream).map(|s| s.window().size());
         router.end(upstream, *start, end.verdict, &end.report, now);
-        let window = router.searcher(upstream).map(|s| s.window().size());
+        let window = router.upstream(upstream).map(|s| s.window().size());
         if let (Some(before), Some(window)) = (before, window)
             && window.floor() < before.floor()
         {
             self.duty_trace().emit(Event::LimitChanged { upstream: Arc::clone(upstream), window });
         }
         if matches!(end.end.gap(), Some(Gap::Unreachable | Gap::UpstreamEnded)) {
-            router.note_down(upstream, now);
+            router.record_down(upstream, now);
         }
-        if end.verdict == Verdict::Good && attempt.send.cause != Cause::Probe {
-            router.sample(&attempt.job.kind, upstream, now.saturating_duration_since(*start));
+        if end.verdict == AttemptOutcome::Succeeded && attempt.send.cause != Cause::Probe {
+            router.record_latency(&attempt.job.kind, upstream, now.saturating_duration_since(*start));
         }
         router.set_idle(upstream, self.ports.upstreams.idle(upstream));
-        let Some(word) = end.report.word.as_ref().filter(|word| router.hear(upstream, word)) else {
+        let Some(word) =
+            end.report.announcement.as_ref().filter(|word| router.merge_announcement(upstream, word))
+        else {
             return;
         };
         drop(router);
--- a/crates/harefield/src/engine/caution.rs
+++ b/crates/harefield/src/engine/caution.rs
@@ -181,7 +181,7 @@
     }
 
     async fn has_ended(&self, upstream: &UpstreamId) -> bool {
-        let found = self.router.borrow().searcher(upstream).map(|s| (s.spec().address, s.share()));
+        let found = self.router.borrow().upstream(upstream).map(|s| (s.spec().address, s.share()));
         // One that the configuration no longer names has ended, or is about to.
         let Some((address, share)) = found else { return true };
         let place = Place { upstream: Arc::clone(upstream), address };
@@ -320,7 +320,7 @@
     fn choose_one(&self, found: &Found) -> Option<(Arc<Plan>, Arc<Plan>)> {
         let plan = self.choose_snapshot(found)?;
         let router = self.router.borrow();
-        let usable = |name: &&Arc<str>| router.usable(name, plan.version);
+        let usable = |name: &&Arc<str>| router.can_serve(name, plan.version);
         let shards = plan.shards.iter().filter(|shard| shard.replicas.iter().any(|name| usable(&name)));
         let shards: Vec<&ShardPlan> = shards.collect();
         let one = plan.only(shards.choose(&mut rand::rng())?);
--- a/crates/harefield/src/engine/group.rs
+++ b/crates/harefield/src/engine/group.rs
@@ -23,7 +23,7 @@
 use crate::domain::query::Query;
 use crate::domain::reply::ByteReply;
 use crate::domain::reply::Reply;
-use crate::domain::routing::RelayVerdict;
+use crate::domain::routing::RelayOutcome;
 use crate::domain::time::micros;
 use crate::domain::view::Plan;
 use crate::domain::view::ReplicaLimit;
@@ -47,7 +47,7 @@
 impl<U: Upstreams, P: Peers, C: Clock> Drop for Underway<'_, U, P, C> {
     fn drop(&mut self) {
         if !self.settled {
-            self.worker.end_relay(self.kind, self.hand, RelayVerdict::Abandoned);
+            self.worker.end_relay(self.kind, self.hand, RelayOutcome::Abandoned);
         }
     }
 }
@@ -106,25 +106,25 @@
         }
     }
 
-    fn end_relay(&self, kind: &Arc<str>, hand: &Hand, verdict: RelayVerdict) {
+    fn end_relay(&self, kind: &Arc<str>, hand: &Hand, verdict: RelayOutcome) {
         let now = self.ports.clock.now();
         self.router.borrow_mut().relays_mut().end(&hand.host, kind, hand.start, verdict, now);
     }
 
-    fn group_end(&self, hand: &Hand, result: Result<GroupReply, PeerError>) -> (RelayVerdict, GroupEnd) {
+    fn group_end(&self, hand: &Hand, result: Result<GroupReply, PeerError>) -> (RelayOutcome, GroupEnd) {
         let reply = match result {
             Ok(reply) if !reply.declined => reply,
-            Ok(_declined) => return (RelayVerdict::Declined, GroupEnd::NotSent),
-            Err(PeerError::Unreachable) => return (RelayVerdict::Silent, GroupEnd::NotSent),
-            Err(PeerError::Silent) => return (RelayVerdict::Silent, GroupEnd::Silent),
+            Ok(_declined) => return (RelayOutcome::Declined, GroupEnd::NotSent),
+            Err(PeerError::Unreachable) => return (RelayOutcome::Silent, GroupEnd::NotSent),
+            Err(PeerError::Silent) => return (RelayOutcome::Silent, GroupEnd::Silent),
         };
         self.receive(reply.stamp);
         let total = self.ports.clock.now().saturating_duration_since(hand.start);
         let way = total.saturating_sub(Duration::from_micros(reply.took));
-        (RelayVerdict::Answered(way), GroupEnd::Brought(brought(hand, reply)))
+        (RelayOutcome::Answered(way), GroupEnd::Brought(brought(hand, reply)))
     }
 
-    fn note_group(&self, job: &Job, hand: &Hand, verdict: RelayVerdict, end: &GroupEnd) {
+    fn note_group(&self, job: &Job, hand: &Hand, verdict: RelayOutcome, end: &GroupEnd) {
         let parts = match end {
             GroupEnd::Brought(all) => {
                 all.iter().filter(|(_, brought)| matches!(brought, Brought::Part(_))).count()
@@ -132,8 +132,8 @@
             GroupEnd::NotSent | GroupEnd::Silent => 0,
         };
         let way = match verdict {
-            RelayVerdict::Answered(way) => micros(way),
-            RelayVerdict::Declined | RelayVerdict::Silent | RelayVerdict::Abandoned => 0,
+            RelayOutcome::Answered(way) => micros(way),
+            RelayOutcome::Declined | RelayOutcome::Silent | RelayOutcome::Abandoned => 0,
         };
         let took = self.ports.clock.now().saturating_duration_since(hand.start);
         let event = Event::GroupEnded {
--- a/crates/harefield/src/engine/members.rs
+++ b/crates/harefield/src/engine/members.rs
@@ -79,7 +79,7 @@
         let Some(row) = peers.row(host) else { return TIME_BACK };
         let router = self.router.borrow();
         match self.distance_to(Some(row)) {
-            Distance::Far => TIME_BACK + router.relays().way_to(&row.zone),
+            Distance::Far => TIME_BACK + router.relays().rtt_to(&row.zone),
             Distance::Near | Distance::Region => TIME_BACK,
         }
     }
--- a/crates/harefield/src/engine/relay.rs
+++ b/crates/harefield/src/engine/relay.rs
@@ -142,7 +142,7 @@
             return plan;
         }
         let router = self.router.borrow();
-        let region = |name: &UpstreamId| Some(router.region_of(&router.searcher(name)?.spec().zone));
+        let region = |name: &UpstreamId| Some(router.region_of(&router.upstream(name)?.spec().zone));
         plan.narrowed(|name| residency.allows(region(name).as_ref()))
     }
 
--- a/crates/harefield/src/engine/run.rs
+++ b/crates/harefield/src/engine/run.rs
@@ -287,7 +287,7 @@
     pub(super) fn choose_snapshot(&self, found: &Found) -> Option<Arc<Plan>> {
         let router = self.router.borrow();
         let plans = &found.plan.plans;
-        let plan = snapshot::choose(plans, |upstream, version| router.usable(upstream, version))?;
+        let plan = snapshot::choose(plans, |upstream, version| router.can_serve(upstream, version))?;
         if found.asker.regions.is_empty() {
             return Some(Arc::clone(plan));
         }
--- a/crates/harefield/src/engine/status.rs
+++ b/crates/harefield/src/engine/status.rs
@@ -29,14 +29,14 @@
     fn status(&self, opened: u64) -> WorkerStatus {
         let router = self.router.borrow();
         let mut upstreams: Vec<_> = router
-            .searchers()
+            .upstreams()
             .map(|(name, searcher)| UpstreamStatus {
                 upstream: Arc::clone(name),
                 leaving: searcher.is_leaving(),
-                running: searcher.under_way(),
+                running: searcher.in_flight(),
                 window: searcher.window().size(),
                 latency: searcher.observed_time(0.0) * 1000.0,
-                held: searcher.word().held.clone(),
+                held: searcher.announcement().held.clone(),
             })
             .collect();
         upstreams.sort_by(|a, b| a.upstream.cmp(&b.upstream));
--- a/crates/harefield/src/engine/updates.rs
+++ b/crates/harefield/src/engine/updates.rs
@@ -16,7 +16,7 @@
 use crate::domain::ids::HostId;
 use crate::domain::lease::RENEW_EVERY;
 use crate::domain::lease::Renewal;
-use crate::domain::routing::rerun_part;
+use crate::domain::routing::rerun_quota;
 use crate::domain::time::millis;
 use crate::domain::view::View;
 use crate::ports::Clock;
@@ -35,7 +35,7 @@
     pub fn take(&self, message: ToWorker) {
         match message {
             ToWorker::View(view) => self.take_view(view),
-            ToWorker::Words(words) => self.router.borrow_mut().hear_all(&words),
+            ToWorker::Words(words) => self.router.borrow_mut().merge_announcements(&words),
             ToWorker::Suspects(suspects) => self.hear_suspects(&suspects),
             ToWorker::Peers(peers) => self.take_peers(peers),
             ToWorker::Confirmed(confirmed) => self.confirm(confirmed.asked),
@@ -48,13 +48,13 @@
         let known = u32::try_from(peers.rows.len()).unwrap_or(u32::MAX);
         self.known.set(self.known.get().max(known));
         if self.settings.slack.is_some() {
-            self.router.borrow_mut().share_with(self.known.get());
+            self.router.borrow_mut().set_daemons(self.known.get());
         }
         self.holders.borrow_mut().see(&peers.rows, self.ports.clock.now());
         let met = peers.rows.iter().any(|row| row.host != self.settings.host);
         self.met.set(self.met.get() || met);
         let others = peers.rows.iter().filter(|row| row.host != self.settings.host);
-        self.router.borrow_mut().see_daemons(others);
+        self.router.borrow_mut().update_daemons(others);
         *self.peers.borrow_mut() = peers;
     }
 
@@ -81,11 +81,11 @@
         let own = &self.settings.host;
         let part = |cell: &Arc<[HostId]>| {
             let members = u32::try_from(cell.len()).unwrap_or(u32::MAX);
-            rerun_part(slack, members, rank(cell.iter(), own))
+            rerun_quota(slack, members, rank(cell.iter(), own))
         };
         let cells = view.cells.values().filter(|cell| cell.contains(own));
         let least = cells.map(part).min_by(f64::total_cmp);
-        self.spare.borrow_mut().bound(least.unwrap_or_else(|| rerun_part(slack, self.known.get(), 0)));
+        self.spare.borrow_mut().set_cap(least.unwrap_or_else(|| rerun_quota(slack, self.known.get(), 0)));
     }
 
     /// Renews the lease on a short timer; asks for a confirmation after a pause.
--- a/crates/harefield/src/engine/warm.rs
+++ b/crates/harefield/src/engine/warm.rs
@@ -60,10 +60,10 @@
         let now = self.ports.clock.now();
         let (place, share, want) = {
             let router = self.router.borrow();
-            let Some(searcher) = router.searcher(name) else {
+            let Some(searcher) = router.upstream(name) else {
                 return false;
             };
-            let usable = searcher.takes_work().is_ok() && !searcher.is_backed_off(now);
+            let usable = searcher.accepts_work().is_ok() && !searcher.is_backed_off(now);
             if !usable || !router.lease().held(now) {
                 return false;
             }
--- a/crates/harefield/src/engine/worker.rs
+++ b/crates/harefield/src/engine/worker.rs
@@ -44,11 +44,11 @@
 use crate::domain::routing::Budget;
 use crate::domain::routing::Budgets;
 use crate::domain::routing::FleetSlack;
-use crate::domain::routing::Own;
+use crate::domain::routing::LocalDaemon;
+use crate::domain::routing::MAX_RERUN_SHARE;
 use crate::domain::routing::Policy;
-use crate::domain::routing::RERUN_SHARE;
 use crate::domain::routing::Router;
-use crate::domain::routing::rerun_part;
+use crate::domain::routing::rerun_quota;
 use crate::domain::suspects::Suspects;
 use crate::domain::view::View;
 use crate::memory::Memory;
@@ -219,22 +219,25 @@
     ) -> Rc<Self> {
         let holders = Holders::over(settings.places.regions.keys(), &settings.zone);
         let budgets = match settings.slack {
-            Some(slack) => Budgets::by_service(FleetSlack { share: settings.extra, slack }, settings.daemons),
-            None => Budgets::one(settings.extra),
+            Some(slack) => {
+                Budgets::per_service(FleetSlack { share: settings.extra, slack }, settings.daemons)
+            }
+            None => Budgets::single(settings.extra),
         };
         let spare = match settings.slack {
-            Some(slack) => Budget::strict(RERUN_SHARE, rerun_part(slack, settings.daemons, 0)),
+            Some(slack) => Budget::strict(MAX_RERUN_SHARE, rerun_quota(slack, settings.daemons, 0)),
             None => Budget::new(settings.extra),
         };
         let router = Router::new(settings.policy, budgets, settings.seed, ports.clock.now());
-        let own = Own {
+        let own = LocalDaemon {
             host: Arc::clone(&settings.host),
             capacity: settings.capacity,
             workers: settings.workers,
-            number: u32::try_from(settings.number).unwrap_or(u32::MAX),
-            others: settings.others,
+            worker: u32::try_from(settings.number).unwrap_or(u32::MAX),
+            expects_peers: settings.others,
         };
-        let router = router.at(settings.places.clone()).sharing(settings.daemons).of(own);
+        let router =
+            router.with_places(settings.places.clone()).with_sharers(settings.daemons).with_local(own);
         let known = settings.daemons;
         Rc::new(Self {
             settings,
--- a/crates/harefield/src/platform/upstreams.rs
+++ b/crates/harefield/src/platform/upstreams.rs
@@ -20,9 +20,9 @@
 use crate::domain::query::Query;
 use crate::domain::reply::ByteReply;
 use crate::domain::reply::Reply;
+use crate::domain::routing::AttemptOutcome;
 use crate::domain::routing::Load;
 use crate::domain::routing::Report;
-use crate::domain::routing::Verdict;
 use crate::domain::time::millis;
 use crate::ports::Call;
 use crate::ports::CallEnd;
@@ -72,7 +72,7 @@
         }
         let reply = Reply::Bytes(Arc::new(reply_of(reply)));
         let (end, verdict) = if answered {
-            (AttemptEnd::Answered(reply), Verdict::Good)
+            (AttemptEnd::Answered(reply), AttemptOutcome::Succeeded)
         } else {
             (AttemptEnd::Failed(reply), verdict_of(status))
         };
@@ -80,7 +80,7 @@
     }
 
     fn report(&self, headers: &HeaderMap) -> Report {
-        Report { load: text(headers, headers::LOAD).and_then(load_of), word: None }
+        Report { load: text(headers, headers::LOAD).and_then(load_of), announcement: None }
     }
 
     /// Closing the connection is the only word for it; see `keep`.
@@ -119,18 +119,18 @@
     let wait = text(reply.headers(), "retry-after").and_then(|seconds| seconds.parse::<f64>().ok());
     let wait = wait.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
     let (why, verdict) = match status {
-        StatusCode::MISDIRECTED_REQUEST => (Gap::Leaving, Verdict::Broken),
-        _ => (Gap::Overloaded, Verdict::Full(wait)),
+        StatusCode::MISDIRECTED_REQUEST => (Gap::Leaving, AttemptOutcome::Failed),
+        _ => (Gap::Overloaded, AttemptOutcome::Rejected(wait)),
     };
     let end = AttemptEnd::Refused { why, begun: false };
     Some(CallEnd { end, verdict, report: report.clone() })
 }
 
-fn verdict_of(status: StatusCode) -> Verdict {
+fn verdict_of(status: StatusCode) -> AttemptOutcome {
     match status {
-        StatusCode::GATEWAY_TIMEOUT => Verdict::Abandoned,
-        status if status.is_server_error() => Verdict::Broken,
-        _ => Verdict::Good,
+        StatusCode::GATEWAY_TIMEOUT => AttemptOutcome::Abandoned,
+        status if status.is_server_error() => AttemptOutcome::Failed,
+        _ => AttemptOutcome::Succeeded,
     }
 }
 
--- a/crates/harefield/src/ports/upstreams.rs
+++ b/crates/harefield/src/ports/upstreams.rs
@@ -8,8 +8,8 @@
 use crate::domain::fanout::Echo;
 use crate::domain::ids::UpstreamId;
 use crate::domain::query::Query;
+use crate::domain::routing::AttemptOutcome;
 use crate::domain::routing::Report;
-use crate::domain::routing::Verdict;
 
 /// An upstream and where it listens.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -47,7 +47,7 @@
     /// For the fan-out.
     pub end: AttemptEnd,
     /// For the routing.
-    pub verdict: Verdict,
+    pub verdict: AttemptOutcome,
     /// What the reply said of the upstream.
     pub report: Report,
 }
--- a/crates/harefield/tests/decisions/budgets.rs
+++ b/crates/harefield/tests/decisions/budgets.rs
@@ -5,8 +5,8 @@
 use harefield::domain::routing::Budget;
 use harefield::domain::routing::Budgets;
 use harefield::domain::routing::FleetSlack;
-use harefield::domain::routing::part;
-use harefield::domain::routing::rerun_part;
+use harefield::domain::routing::quota;
+use harefield::domain::routing::rerun_quota;
 
 use crate::support::cases;
 
@@ -39,16 +39,16 @@
 
 #[test]
 fn budgets_by_service() {
-    let mut budgets = Budgets::by_service(FleetSlack { share: 0.2, slack: 50.0 }, 10);
+    let mut budgets = Budgets::per_service(FleetSlack { share: 0.2, slack: 50.0 }, 10);
     let (one, other) = ("s1/all".into(), "s2/all".into());
-    while budgets.of(&one).spend_retry() {}
-    assert!(budgets.of(&other).spend_retry(), "one service does not spend what is another's");
-    budgets.share_with(50);
+    while budgets.for_shard(&one).spend_retry() {}
+    assert!(budgets.for_shard(&other).spend_retry(), "one service does not spend what is another's");
+    budgets.set_daemons(50);
     let mut sent = 0;
     for _ in 0..1000 {
-        budgets.of(&one).earn();
+        budgets.for_shard(&one).earn();
     }
-    while budgets.of(&one).spend_retry() {
+    while budgets.for_shard(&one).spend_retry() {
         sent += 1;
     }
     assert_eq!(sent, 1, "fifty daemons share fifty, and some is kept for those that start");
@@ -58,10 +58,10 @@
 fn in_hand(budgets: &mut Budgets, shard: &str) -> u32 {
     let shard = shard.into();
     for _ in 0..1000 {
-        budgets.of(&shard).earn();
+        budgets.for_shard(&shard).earn();
     }
     let mut sent = 0;
-    while budgets.of(&shard).spend_retry() {
+    while budgets.for_shard(&shard).spend_retry() {
         sent += 1;
     }
     sent
@@ -70,13 +70,13 @@
 #[test]
 fn members_share_slack() {
     let fleet = FleetSlack { share: 0.2, slack: 160.0 };
-    let mut budgets = Budgets::by_service(fleet, 60);
-    budgets.share_services(["s"].into_iter(), 12, 3);
+    let mut budgets = Budgets::per_service(fleet, 60);
+    budgets.set_clients(["s"].into_iter(), 12, 3);
     let member = in_hand(&mut budgets, "s/all");
     assert_eq!(member, 8, "three fifths of the slack over twelve members");
-    let reruns = rerun_part(fleet.slack, 12, 3) * 12.0;
+    let reruns = rerun_quota(fleet.slack, 12, 3) * 12.0;
     assert!(f64::from(member) * 12.0 + reruns <= fleet.slack, "{reruns} for requests handed on again");
-    budgets.share_services(["s"].into_iter(), 6, 3);
+    budgets.set_clients(["s"].into_iter(), 6, 3);
     assert_eq!(in_hand(&mut budgets, "s/all"), 8, "members that are not seen now may spend all the same");
     assert_eq!(in_hand(&mut budgets, "other/all"), 2, "four fifths over all sixty");
 }
@@ -86,7 +86,7 @@
     // A floor of one request for each daemon came to 1,168 of 640 at 584 daemons.
     for daemons in [1, 3, 24, 584, 2700, 7154_u32] {
         for slack in [0.0, 0.5, 10.0, 54.0, 640.0] {
-            let all = (0..daemons).map(|rank| part(slack, daemons, rank));
+            let all = (0..daemons).map(|rank| quota(slack, daemons, rank));
             assert!(all.sum::<f64>() <= slack + 1e-6, "{slack} among {daemons}");
         }
     }
@@ -99,9 +99,9 @@
     for (daemons, sharers) in [(24, 24), (584, 24), (584, 584), (7154, 2700)] {
         let mut together = 0.0;
         for rank in 0..sharers {
-            let mut budgets = Budgets::by_service(fleet, daemons);
-            budgets.share_services(["s"].into_iter(), sharers, rank);
-            together += f64::from(in_hand(&mut budgets, "s/all")) + rerun_part(fleet.slack, sharers, rank);
+            let mut budgets = Budgets::per_service(fleet, daemons);
+            budgets.set_clients(["s"].into_iter(), sharers, rank);
+            together += f64::from(in_hand(&mut budgets, "s/all")) + rerun_quota(fleet.slack, sharers, rank);
         }
         assert!(together <= fleet.slack, "{together} of {} among {sharers} of {daemons}", fleet.slack);
     }
--- a/crates/harefield/tests/decisions/carriers.rs
+++ b/crates/harefield/tests/decisions/carriers.rs
@@ -9,8 +9,8 @@
 use harefield::domain::fanout::AttemptEnd;
 use harefield::domain::ids::UpstreamId;
 use harefield::domain::outcome::Gap;
+use harefield::domain::routing::AttemptOutcome;
 use harefield::domain::routing::Report;
-use harefield::domain::routing::Verdict;
 use harefield::domain::view::ReplicaLimit;
 
 use crate::support::cases;
@@ -75,7 +75,13 @@
         |rules, router| {
             for _ in 0..4 {
                 router.begin(&rejecting, rules.start);
-                router.end(&rejecting, rules.start, Verdict::Full(None), &Report::default(), rules.start);
+                router.end(
+                    &rejecting,
+                    rules.start,
+                    AttemptOutcome::Rejected(None),
+                    &Report::default(),
+                    rules.start,
+                );
             }
         },
     );
@@ -87,7 +93,7 @@
     let mut world = daemon(4, 2, 1);
     while let Some(place) = world.flying.iter().position(|send| send.upstream != replica(send.shard, 0)) {
         let end = AttemptEnd::Refused { why: Gap::Overloaded, begun: false };
-        world.end(place, end, Verdict::Full(None));
+        world.end(place, end, AttemptOutcome::Rejected(None));
     }
     for shard in 0..SHARDS {
         assert!(asked(&world, shard).contains(&replica(shard, 0)), "the only one left to ask");
--- a/crates/harefield/tests/decisions/caution.rs
+++ b/crates/harefield/tests/decisions/caution.rs
@@ -14,7 +14,7 @@
 use harefield::domain::outcome::Gap;
 use harefield::domain::outcome::Outcome;
 use harefield::domain::resources::Preference;
-use harefield::domain::routing::Verdict;
+use harefield::domain::routing::AttemptOutcome;
 
 /// How many upstreams more than one a shard such a request may end: one that is hedged,
 /// and two that are asked alone.
@@ -30,7 +30,7 @@
 }
 
 fn end(world: &mut World, place: usize) {
-    world.end(place, AttemptEnd::Lost { why: Gap::UpstreamEnded }, Verdict::Lost);
+    world.end(place, AttemptEnd::Lost { why: Gap::UpstreamEnded }, AttemptOutcome::Lost);
 }
 
 /// Returns how an upstream's end shows: known as such, or as a reply that was lost where the
@@ -57,7 +57,7 @@
             }
             if !world.flying.is_empty() {
                 ended += 1;
-                world.end(place, loss(known), Verdict::Lost);
+                world.end(place, loss(known), AttemptOutcome::Lost);
             }
         }
         prop_assert!(world.fanout.is_done(), "it is answered");
@@ -153,8 +153,8 @@
     let mut world = fanout(6, MOST_TRIALS);
     end(&mut world, 0);
     let refused = AttemptEnd::Refused { why: Gap::Overloaded, begun: false };
-    world.end(0, refused, Verdict::Full(None));
-    world.end(0, AttemptEnd::NotSent { why: Gap::Unreachable }, Verdict::Broken);
+    world.end(0, refused, AttemptOutcome::Rejected(None));
+    world.end(0, AttemptEnd::NotSent { why: Gap::Unreachable }, AttemptOutcome::Failed);
     world.pass(Duration::from_millis(50));
     assert_eq!(world.sent.len(), 6);
     world.answer(0);
--- a/crates/harefield/tests/decisions/cold.rs
+++ b/crates/harefield/tests/decisions/cold.rs
@@ -17,8 +17,8 @@
 use harefield::domain::cell::Candidate;
 use harefield::domain::cell::CellSize;
 use harefield::domain::cold::Allowance;
-use harefield::domain::cold::Bound;
-use harefield::domain::cold::Spell;
+use harefield::domain::cold::ColdBounds;
+use harefield::domain::cold::ColdPeriod;
 use harefield::domain::hosts::HostList;
 use harefield::domain::ids::HostId;
 use harefield::domain::membership::Row;
@@ -26,20 +26,20 @@
 use harefield::domain::places::Places;
 use harefield::domain::resources::ResourceSet;
 use harefield::domain::revision::Revision;
-use harefield::domain::routing::Ask;
+use harefield::domain::routing::AttemptOutcome;
 use harefield::domain::routing::Budgets;
-use harefield::domain::routing::Own;
+use harefield::domain::routing::ChoiceRequest;
+use harefield::domain::routing::LocalDaemon;
 use harefield::domain::routing::Policy;
 use harefield::domain::routing::Report;
 use harefield::domain::routing::Router;
-use harefield::domain::routing::Verdict;
 use harefield::domain::view::View;
 use harefield::domain::view::ViewSources;
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
 /// The fleet's own bounds.
-const BOUND: Bound = Bound { overage: 1.5, slack: 5.0 };
+const BOUND: ColdBounds = ColdBounds { overage: 1.5, slack: 5.0 };
 
 /// The most members of a cell: two in each zone, so that most daemons are none.
 const MEMBERS: usize = 6;
@@ -103,10 +103,11 @@
 impl Node {
     fn new(life: Life, start: Instant) -> Self {
         let host = life.candidate(true).host;
-        let own = Own { host: Arc::clone(&host), others: true, ..Own::default() };
+        let own = LocalDaemon { host: Arc::clone(&host), expects_peers: true, ..LocalDaemon::default() };
         let places = places(ZONES[life.number % 3]);
         let now = at(start, life.from);
-        let router = Router::new(Policy::Cost, Budgets::one(0.05), 7, now).at(places).of(own);
+        let router =
+            Router::new(Policy::Cost, Budgets::single(0.05), 7, now).with_places(places).with_local(own);
         Self { life, host, view: View::default(), router }
     }
 
@@ -128,7 +129,7 @@
         let others = fleet.iter().filter(|other| other.host != self.host);
         let rows: Vec<_> =
             others.map(|other| Row { host: Arc::clone(&other.host), ..row(0, &other.zone) }).collect();
-        self.router.see_daemons(&rows);
+        self.router.update_daemons(&rows);
     }
 
     /// Sends if it may; returns whether it did.
@@ -136,10 +137,10 @@
         self.router.lease_mut().renew(now);
         let Some(plan) = self.view.lookups["l"].plans.first() else { return false };
         let kind = "l".into();
-        let ask = Ask::first(&plan.shards[0].replicas, 1, &kind);
+        let ask = ChoiceRequest::first(&plan.shards[0].replicas, 1, &kind);
         let Ok(choice) = self.router.choose(&ask, now) else { return false };
         self.router.begin(&choice.upstream, now);
-        self.router.end(&choice.upstream, now, Verdict::Good, &Report::default(), now);
+        self.router.end(&choice.upstream, now, AttemptOutcome::Succeeded, &Report::default(), now);
         true
     }
 }
@@ -241,20 +242,20 @@
 #[test]
 fn spell_ends() {
     let start = Instant::now();
-    let mut spell = Spell::default();
-    spell.hear(Duration::from_secs(3), start);
+    let mut spell = ColdPeriod::default();
+    spell.record_cold(Duration::from_secs(3), start);
     assert!(!spell.is_cold(start), "nothing bounds it");
-    spell.allow(Some(Allowance { part: 2, spell: Duration::from_secs(3) }));
+    spell.set_allowance(Some(Allowance { quota: 2, assumed_cold: Duration::from_secs(3) }));
     assert!(spell.is_cold(at(start, 2999)) && !spell.is_cold(at(start, 3000)));
     for millis in [0, 100] {
-        assert_eq!(spell.barred_until(at(start, millis)), None);
-        spell.send(at(start, millis));
+        assert_eq!(spell.excluded_until(at(start, millis)), None);
+        spell.record_send(at(start, millis));
     }
-    assert_eq!(spell.barred_until(at(start, 200)), Some(at(start, 1000)));
-    assert_eq!(spell.barred_until(at(start, 1000)), None);
-    spell.hear(Duration::ZERO, at(start, 1500));
+    assert_eq!(spell.excluded_until(at(start, 200)), Some(at(start, 1000)));
+    assert_eq!(spell.excluded_until(at(start, 1000)), None);
+    spell.record_cold(Duration::ZERO, at(start, 1500));
     assert!(!spell.is_cold(at(start, 1500)));
-    spell.suspect(at(start, 2000));
+    spell.assume_cold(at(start, 2000));
     assert!(spell.is_cold(at(start, 4999)), "it may have started again");
 }
 
@@ -272,6 +273,6 @@
     node.router.lease_mut().confirm(now, now);
     let plan = Arc::clone(&node.view.lookups["l"].plans[0]);
     let kind = "l".into();
-    let ask = Ask::first(&plan.shards[0].replicas, 1, &kind);
+    let ask = ChoiceRequest::first(&plan.shards[0].replicas, 1, &kind);
     assert!(node.router.choose(&ask, now).is_err_and(|bar| bar.gap == Gap::Cold));
 }
--- a/crates/harefield/tests/decisions/fanout.rs
+++ b/crates/harefield/tests/decisions/fanout.rs
@@ -23,9 +23,9 @@
 use harefield::domain::outcome::Gap;
 use harefield::domain::outcome::Outcome;
 use harefield::domain::resources::Preference;
+use harefield::domain::routing::AttemptOutcome;
 use harefield::domain::routing::Report;
 use harefield::domain::routing::Router;
-use harefield::domain::routing::Verdict;
 
 proptest! {
     #![proptest_config(cases(600))]
@@ -150,7 +150,7 @@
     world.drain(0, 0);
     world.drain(0, 1);
     let end = AttemptEnd::Refused { why: Gap::Leaving, begun: false };
-    world.end(0, end, Verdict::Declined);
+    world.end(0, end, AttemptOutcome::Declined);
     assert!(world.fanout.is_done(), "no replica is left, so nothing is awaited");
     let finished = world.fanout.finish();
     assert_eq!(finished.outcome, Outcome::NotRun);
@@ -189,7 +189,7 @@
             let name = replica(shard, number);
             for _ in 0..20 {
                 router.begin(&name, past);
-                router.end(&name, past, Verdict::Good, &Report::default(), at(past, millis));
+                router.end(&name, past, AttemptOutcome::Succeeded, &Report::default(), at(past, millis));
             }
         }
     }
--- a/crates/harefield/tests/decisions/groups.rs
+++ b/crates/harefield/tests/decisions/groups.rs
@@ -31,7 +31,7 @@
 use harefield::domain::routing::Budgets;
 use harefield::domain::routing::FleetSlack;
 use harefield::domain::routing::Policy;
-use harefield::domain::routing::RelayVerdict;
+use harefield::domain::routing::RelayOutcome;
 use harefield::domain::routing::Router;
 use harefield::domain::view::LookupPlan;
 use harefield::domain::view::ReplicaLimit;
@@ -73,7 +73,7 @@
 
 impl World {
     fn start(live: bool) -> Self {
-        Self::with(live, 2, Budgets::one(0.05))
+        Self::with(live, 2, Budgets::single(0.05))
     }
 
     fn with(live: bool, replicas: usize, budgets: Budgets) -> Self {
@@ -94,9 +94,9 @@
         }
         let set = Arc::new(ResourceSet::parse(&items(values)).expect("the values are valid"));
         let view = view(&set);
-        let mut router = Router::new(Policy::Cost, budgets, 7, now).at(places());
+        let mut router = Router::new(Policy::Cost, budgets, 7, now).with_places(places());
         router.apply(&view, now);
-        router.see_daemons([&daemon(zone, live)]);
+        router.update_daemons([&daemon(zone, live)]);
         let rules = Rules {
             kind: "l".into(),
             repeatable: true,
@@ -208,7 +208,7 @@
 
 #[test]
 fn region_shards_grouped() {
-    let world = World::placed("c", true, 2, Budgets::one(0.05));
+    let world = World::placed("c", true, 2, Budgets::single(0.05));
     assert_eq!(world.hands.len(), 1, "bytes between availability zones of a region cost too");
     assert_eq!(world.hands[0].shards, [2, 3, 4, 5]);
 }
@@ -270,7 +270,7 @@
     // The daemon that asks the upstreams first earns for them, and it alone.
     let retries = |live: bool| {
         let fleet = FleetSlack { share: 1.0, slack: 10.5 };
-        let mut world = World::with(live, 2, Budgets::by_service(fleet, 1));
+        let mut world = World::with(live, 2, Budgets::per_service(fleet, 1));
         let far: ShardId = "s/002".into();
         (0..100).take_while(|_| world.router.budget(&far).spend_retry()).count()
     };
@@ -303,8 +303,8 @@
 
 /// A budget that is used up for all far shards.
 fn spent() -> Budgets {
-    let mut budgets = Budgets::by_service(FleetSlack { share: 0.0, slack: 1.0 }, 1);
-    while budgets.of(&"s/002".into()).spend_retry() {}
+    let mut budgets = Budgets::per_service(FleetSlack { share: 0.0, slack: 1.0 }, 1);
+    while budgets.for_shard(&"s/002".into()).spend_retry() {}
     budgets
 }
 
@@ -348,7 +348,7 @@
 fn same_replicas_after_revoke() {
     // With three replicas and two attempts, the daemon that the group went to may have asked
     // one of its own choice: this one asks the one that it kept.
-    let mut world = World::with(true, 3, Budgets::one(0.05));
+    let mut world = World::with(true, 3, Budgets::single(0.05));
     let (kept, free) = (world.hands[0].fallbacks.clone(), world.hands[0].free);
     assert_eq!((kept.len(), free), (4, 1));
     world.answer_first();
@@ -412,7 +412,7 @@
     let (kind, start) = ("l".into(), world.now);
     world.pass(300);
     assert!(world.router.pick_relay("i", "b", &kind, world.now).is_none(), "it has not answered for long");
-    world.router.relays_mut().end(&host(), &kind, start, RelayVerdict::Silent, world.now);
+    world.router.relays_mut().end(&host(), &kind, start, RelayOutcome::Silent, world.now);
     assert!(world.router.pick_relay("i", "b", &kind, world.now).is_none(), "it is left alone for a while");
     let later = at(world.now, 1000);
     assert_eq!(world.router.pick_relay("i", "b", &kind, later), Some(host()));
--- a/crates/harefield/tests/decisions/objectives.rs
+++ b/crates/harefield/tests/decisions/objectives.rs
@@ -11,7 +11,7 @@
 use harefield::domain::outcome::Gap;
 use harefield::domain::outcome::Outcome;
 use harefield::domain::resources::Preference;
-use harefield::domain::routing::Verdict;
+use harefield::domain::routing::AttemptOutcome;
 
 /// Sets by when the answer is wanted, and cut.
 fn aim(rules: &mut Rules, millis: u64) {
@@ -43,10 +43,10 @@
         rules.attempts = 1;
     });
     for _ in 0..13 {
-        world.end(0, AttemptEnd::Lost { why: Gap::ReplyLost }, Verdict::Broken);
+        world.end(0, AttemptEnd::Lost { why: Gap::ReplyLost }, AttemptOutcome::Failed);
     }
     assert!(!world.fanout.is_done());
-    world.end(0, AttemptEnd::Lost { why: Gap::ReplyLost }, Verdict::Broken);
+    world.end(0, AttemptEnd::Lost { why: Gap::ReplyLost }, AttemptOutcome::Failed);
     assert!(world.fanout.is_done(), "35 cannot be made up for");
 }
 
@@ -141,7 +141,7 @@
     });
     for _ in 0..2 {
         assert!(!world.fanout.is_done());
-        world.end(0, AttemptEnd::Lost { why: Gap::ReplyLost }, Verdict::Broken);
+        world.end(0, AttemptEnd::Lost { why: Gap::ReplyLost }, AttemptOutcome::Failed);
     }
     assert!(world.fanout.is_done(), "two of four are lost, and three are needed");
     let finished = world.fanout.finish();
--- a/crates/harefield/tests/decisions/rejecting_model.rs
+++ b/crates/harefield/tests/decisions/rejecting_model.rs
@@ -25,13 +25,13 @@
 use harefield::domain::reply::Reply;
 use harefield::domain::resources::Preference;
 use harefield::domain::resources::ResourceSet;
+use harefield::domain::routing::AttemptOutcome;
 use harefield::domain::routing::Budgets;
 use harefield::domain::routing::FleetSlack;
 use harefield::domain::routing::Load;
 use harefield::domain::routing::Policy;
 use harefield::domain::routing::Report;
 use harefield::domain::routing::Router;
-use harefield::domain::routing::Verdict;
 use harefield::domain::view::Plan;
 use harefield::domain::view::ReplicaLimit;
 
@@ -88,8 +88,8 @@
         let regions =
             [("a", "r1"), ("b", "r2"), ("c", "r3")].map(|(zone, region)| (zone.into(), region.into()));
         let places = Places { zone: "a".into(), regions: BTreeMap::from(regions) };
-        let budgets = Budgets::by_service(FleetSlack { share: 0.2, slack: SLACK }, MEMBERS);
-        let mut router = Router::new(Policy::Cost, budgets, seed, now).at(places);
+        let budgets = Budgets::per_service(FleetSlack { share: 0.2, slack: SLACK }, MEMBERS);
+        let mut router = Router::new(Policy::Cost, budgets, seed, now).with_places(places);
         router.apply(&view, now);
         let plan = Arc::clone(&view.lookups["l"].plans[0]);
         Self { router, plan, now, draw: seed, carried, rejecting: false, asked: Vec::new() }
@@ -151,12 +151,16 @@
                     continue;
                 }
                 self.asked.push(Arc::clone(&send.upstream));
-                let report = Report { load: Some(Load { active: 0, queued: 0, slowness: None }), word: None };
+                let report =
+                    Report { load: Some(Load { active: 0, queued: 0, slowness: None }), announcement: None };
                 let rejected = self.rejects(&send.upstream);
                 let (end, verdict) = if rejected {
-                    (AttemptEnd::Refused { why: Gap::Overloaded, begun: false }, Verdict::Full(None))
+                    (
+                        AttemptEnd::Refused { why: Gap::Overloaded, begun: false },
+                        AttemptOutcome::Rejected(None),
+                    )
                 } else {
-                    (answer(), Verdict::Good)
+                    (answer(), AttemptOutcome::Succeeded)
                 };
                 self.router.end(&send.upstream, send.start, verdict, &report, now);
                 let place = (send.shard, send.attempt);
--- a/crates/harefield/tests/decisions/residency.rs
+++ b/crates/harefield/tests/decisions/residency.rs
@@ -15,7 +15,7 @@
 use crate::support::router;
 use crate::support::values;
 use harefield::domain::cell::CellSize;
-use harefield::domain::cold::Bound;
+use harefield::domain::cold::ColdBounds;
 use harefield::domain::feed::Change;
 use harefield::domain::hosts::HostList;
 use harefield::domain::outcome::Gap;
@@ -23,8 +23,8 @@
 use harefield::domain::residency::Residency;
 use harefield::domain::resources::ResourceSet;
 use harefield::domain::revision::Revision;
-use harefield::domain::routing::Ask;
-use harefield::domain::routing::Until;
+use harefield::domain::routing::ChoiceRequest;
+use harefield::domain::routing::ExclusionEnd;
 use harefield::domain::view::View;
 use harefield::domain::view::ViewSources;
 
@@ -69,7 +69,7 @@
         fleet: &[],
         size: CellSize::default(),
         places: &places(),
-        cold: Bound::default(),
+        cold: ColdBounds::default(),
         keyed: false,
     })
 }
@@ -124,13 +124,13 @@
             router.lease_mut().renew(now);
             for shard in &view.lookups["l"].plans[0].shards {
                 let kind = "l".into();
-                let ask = Ask::first(&shard.replicas, 1, &kind);
+                let ask = ChoiceRequest::first(&shard.replicas, 1, &kind);
                 let is_empty = |name: &Arc<str>| empty.get(&*set.upstreams[name].zone) == Some(&true);
                 match router.choose(&ask, now) {
                     Ok(choice) => prop_assert!(!is_empty(&choice.upstream)),
                     Err(bar) => {
                         prop_assert!(shard.replicas.iter().all(is_empty), "one could be asked");
-                        prop_assert_eq!((bar.gap, bar.until), (Gap::Evacuated, Until::Never));
+                        prop_assert_eq!((bar.gap, bar.until), (Gap::Evacuated, ExclusionEnd::Never));
                     }
                 }
             }
--- a/crates/harefield/tests/decisions/routing.rs
+++ b/crates/harefield/tests/decisions/routing.rs
@@ -14,14 +14,14 @@
 use crate::support::view;
 use harefield::domain::ids::UpstreamId;
 use harefield::domain::outcome::Gap;
-use harefield::domain::routing::Ask;
+use harefield::domain::routing::AttemptOutcome;
 use harefield::domain::routing::Budget;
+use harefield::domain::routing::ChoiceRequest;
+use harefield::domain::routing::ExclusionEnd;
+use harefield::domain::routing::LatencyStats;
 use harefield::domain::routing::Load;
-use harefield::domain::routing::Pace;
 use harefield::domain::routing::Report;
 use harefield::domain::routing::Router;
-use harefield::domain::routing::Until;
-use harefield::domain::routing::Verdict;
 use harefield::domain::routing::Window;
 use harefield::domain::view::View;
 use harefield::domain::word::Word;
@@ -33,7 +33,7 @@
 
 fn choose(router: &mut Router, replicas: &[UpstreamId], now: Instant) -> Result<UpstreamId, Gap> {
     let index: Arc<str> = "i".into();
-    let ask = Ask::first(replicas, 1, &index);
+    let ask = ChoiceRequest::first(replicas, 1, &index);
     router.choose(&ask, now).map(|choice| choice.upstream).map_err(|bar| bar.gap)
 }
 
@@ -41,7 +41,7 @@
 fn serve(router: &mut Router, name: &UpstreamId, millis: u64, count: usize, now: Instant, report: &Report) {
     for _ in 0..count {
         router.begin(name, now);
-        router.end(name, now, Verdict::Good, report, at(now, millis));
+        router.end(name, now, AttemptOutcome::Succeeded, report, at(now, millis));
         router.set_idle(name, 1);
     }
 }
@@ -61,8 +61,8 @@
 fn lying_report_loses() {
     let now = Instant::now();
     let (mut router, names) = two(now);
-    let idle = Report { load: Some(Load { active: 0, queued: 0, slowness: None }), word: None };
-    let busy = Report { load: Some(Load { active: 2, queued: 1000, slowness: None }), word: None };
+    let idle = Report { load: Some(Load { active: 0, queued: 0, slowness: None }), announcement: None };
+    let busy = Report { load: Some(Load { active: 2, queued: 1000, slowness: None }), announcement: None };
     serve(&mut router, &names[0], 40, 10, now, &idle);
     serve(&mut router, &names[1], 4, 10, now, &busy);
     let chosen = choose(&mut router, &names, at(now, 41));
@@ -87,7 +87,7 @@
     serve(&mut router, &names[0], 40, 40, now, &Report::default());
     serve(&mut router, &names[1], 4, 30, now, &Report::default());
     let index: Arc<str> = "i".into();
-    let ask = Ask::first(&names, 1, &index);
+    let ask = ChoiceRequest::first(&names, 1, &index);
     let soon = router.probe(&ask, &names[1], at(now, 200));
     assert_eq!(soon, None, "it was heard of a moment ago");
     router.lease_mut().renew(at(now, 600));
@@ -112,9 +112,9 @@
         router.begin(&names[1], at(now, 50));
     }
     let index: Arc<str> = "i".into();
-    let ask = Ask::first(&names[1..], 1, &index);
+    let ask = ChoiceRequest::first(&names[1..], 1, &index);
     let bar = router.choose(&ask, at(now, 50)).expect_err("the quick one has no room now");
-    assert_eq!((bar.gap, bar.until), (Gap::Overloaded, Until::Soon));
+    assert_eq!((bar.gap, bar.until), (Gap::Overloaded, ExclusionEnd::Soon));
     assert!(choose(&mut router, &names, at(now, 50)).is_ok_and(|name| name == names[0]));
 }
 
@@ -124,7 +124,7 @@
     let (mut router, names) = two(now);
     serve(&mut router, &names[0], 8, 30, now, &Report::default());
     serve(&mut router, &names[0], 1000, 1, now, &Report::default());
-    let searcher = router.searcher(&names[0]).expect("it is known");
+    let searcher = router.upstream(&names[0]).expect("it is known");
     assert!(searcher.observed_time(0.0) < 0.0095, "{}", searcher.observed_time(0.0));
 }
 
@@ -135,9 +135,9 @@
     serve(&mut router, &names[0], 8, 30, now, &Report::default());
     for _ in 0..30 {
         router.begin(&names[0], now);
-        router.end(&names[0], now, Verdict::Abandoned, &Report::default(), at(now, 20));
+        router.end(&names[0], now, AttemptOutcome::Abandoned, &Report::default(), at(now, 20));
     }
-    let searcher = router.searcher(&names[0]).expect("it is known");
+    let searcher = router.upstream(&names[0]).expect("it is known");
     let observed = searcher.observed_time(0.0);
     assert!(observed > 0.030, "{observed}: hedges that win must not hide how slow it is");
     assert!(observed <= 0.040, "{observed}");
@@ -163,7 +163,7 @@
     serve(&mut router, &names[0], 4, 10, now, &Report::default());
     serve(&mut router, &names[1], 40, 10, now, &Report::default());
     router.begin(&names[0], now);
-    router.end(&names[0], now, Verdict::Broken, &Report::default(), now);
+    router.end(&names[0], now, AttemptOutcome::Failed, &Report::default(), now);
     for _ in 0..50 {
         let chosen = choose(&mut router, &names, at(now, 500));
         assert_eq!(chosen, Ok(Arc::clone(&names[1])), "one that failed last comes after all others");
@@ -176,13 +176,13 @@
     let now = Instant::now();
     let (mut router, names) = two(now);
     serve(&mut router, &names[0], 8, 20, now, &Report::default());
-    let full = router.searcher(&names[0]).expect("it is known").window().size();
-    let queue = Report { load: Some(Load { active: 2, queued: 6, slowness: None }), word: None };
+    let full = router.upstream(&names[0]).expect("it is known").window().size();
+    let queue = Report { load: Some(Load { active: 2, queued: 6, slowness: None }), announcement: None };
     serve(&mut router, &names[0], 8, 20, now, &queue);
-    let same = router.searcher(&names[0]).expect("it is known").window().size();
+    let same = router.upstream(&names[0]).expect("it is known").window().size();
     assert!((same - full).abs() < 1e-9, "a queue that costs no time is a lie");
     serve(&mut router, &names[0], 32, 20, now, &queue);
-    let shrunk = router.searcher(&names[0]).expect("it is known").window().size();
+    let shrunk = router.upstream(&names[0]).expect("it is known").window().size();
     assert!(shrunk < full, "a queue that costs time shrinks the window");
 }
 
@@ -193,7 +193,7 @@
     for name in &names {
         router.begin(name, now);
         let wait = Some(Duration::from_millis(300));
-        router.end(name, now, Verdict::Full(wait), &Report::default(), now);
+        router.end(name, now, AttemptOutcome::Rejected(wait), &Report::default(), now);
     }
     assert_eq!(choose(&mut router, &names, at(now, 299)), Err(Gap::Overloaded));
     let chosen = choose(&mut router, &names, at(now, 300));
@@ -209,12 +209,12 @@
     let mut pauses = Vec::new();
     for _ in 0..4 {
         router.begin(&names[0], time);
-        router.end(&names[0], time, Verdict::Broken, &Report::default(), time);
+        router.end(&names[0], time, AttemptOutcome::Failed, &Report::default(), time);
         let index: Arc<str> = "i".into();
-        let ask = Ask::first(only, 1, &index);
+        let ask = ChoiceRequest::first(only, 1, &index);
         router.lease_mut().renew(time);
         let bar = router.choose(&ask, time).expect_err("it is backed off");
-        let Until::At(until) = bar.until else { panic!("{bar:?}") };
+        let ExclusionEnd::At(until) = bar.until else { panic!("{bar:?}") };
         pauses.push(until - time);
         time = until;
     }
@@ -227,11 +227,11 @@
     let now = Instant::now();
     let (mut router, names) = two(now);
     let word = Word { stamp: WordStamp { start: 1, change: 1 }, draining: true, held: None };
-    router.hear(&names[0], &word);
+    router.merge_announcement(&names[0], &word);
     for _ in 0..20 {
         assert_eq!(choose(&mut router, &names, now), Ok(Arc::clone(&names[1])));
     }
-    router.hear(&names[1], &word);
+    router.merge_announcement(&names[1], &word);
     assert_eq!(choose(&mut router, &names, now), Err(Gap::Leaving));
 }
 
@@ -248,7 +248,7 @@
     let now = Instant::now();
     let (mut router, names) = two(now);
     let word = Word { stamp: WordStamp { start: 1, change: 1 }, draining: false, held: Some(vec![2]) };
-    router.hear(&names[0], &word);
+    router.merge_announcement(&names[0], &word);
     assert_eq!(choose(&mut router, &names, now), Ok(Arc::clone(&names[1])));
     assert_eq!(choose(&mut router, &names[..1], now), Err(Gap::SnapshotMissing));
 }
@@ -302,10 +302,10 @@
 
 #[test]
 fn pace_follows() {
-    let mut pace = Pace::default();
+    let mut pace = LatencyStats::default();
     for n in 0..4000 {
         let millis = if n % 10 == 0 { 30 } else { 5 };
-        pace.sample(Duration::from_millis(millis));
+        pace.record(Duration::from_millis(millis));
     }
     assert!(pace.mean() > Duration::from_millis(6) && pace.mean() < Duration::from_millis(10));
     assert!(pace.slow() > Duration::from_millis(20), "{:?}", pace.slow());
@@ -320,7 +320,7 @@
     serve(&mut router, &names[0], 4, 20, now, &Report::default());
     serve(&mut router, &names[1], 4, 20, now, &Report::default());
     router.begin(&names[0], at(now, 10));
-    router.end(&names[0], at(now, 10), Verdict::Full(None), &Report::default(), at(now, 11));
+    router.end(&names[0], at(now, 10), AttemptOutcome::Rejected(None), &Report::default(), at(now, 11));
     for _ in 0..20 {
         assert_eq!(choose(&mut router, &names, at(now, 12)), Ok(Arc::clone(&names[1])));
     }
@@ -331,7 +331,7 @@
 fn asked_though_rejecting(load: Load) -> u32 {
     let now = Instant::now();
     let (mut router, names) = two(now);
-    let report = Report { load: Some(load), word: None };
+    let report = Report { load: Some(load), announcement: None };
     serve(&mut router, &names[0], 4, 20, now, &Report::default());
     serve(&mut router, &names[1], 4, 20, now, &Report::default());
     let mut asked = 0;
@@ -340,7 +340,8 @@
         router.lease_mut().renew(now);
         if n % 10 == 0 {
             // As many probes as there are twice a second.
-            let verdict = if n % 50 < 20 { Verdict::Good } else { Verdict::Full(None) };
+            let verdict =
+                if n % 50 < 20 { AttemptOutcome::Succeeded } else { AttemptOutcome::Rejected(None) };
             router.begin(&names[0], now);
             router.end(&names[0], now, verdict, &report, at(now, 4));
         }
@@ -365,7 +366,7 @@
     serve(&mut router, &names[1], 4, 20, now, &Report::default());
     for n in 0..10 {
         router.begin(&names[0], at(now, n));
-        router.end(&names[0], at(now, n), Verdict::Full(None), &Report::default(), at(now, n));
+        router.end(&names[0], at(now, n), AttemptOutcome::Rejected(None), &Report::default(), at(now, n));
     }
     serve(&mut router, &names[0], 4, 8, at(now, 20), &Report::default());
     let chosen = (0..100).filter(|_| choose(&mut router, &names, at(now, 30)) == Ok(Arc::clone(&names[0])));
--- a/crates/harefield/tests/decisions/sharing.rs
+++ b/crates/harefield/tests/decisions/sharing.rs
@@ -18,15 +18,15 @@
 use harefield::domain::places::Places;
 use harefield::domain::resources::Preference;
 use harefield::domain::resources::ResourceSet;
-use harefield::domain::routing::Allowance;
+use harefield::domain::routing::Assignment;
 use harefield::domain::routing::Budgets;
-use harefield::domain::routing::Carrier;
-use harefield::domain::routing::Own;
+use harefield::domain::routing::Delegate;
+use harefield::domain::routing::DelegationLimits;
+use harefield::domain::routing::LocalDaemon;
+use harefield::domain::routing::PendingShard;
 use harefield::domain::routing::Policy;
-use harefield::domain::routing::Portion;
 use harefield::domain::routing::Router;
-use harefield::domain::routing::Wanted;
-use harefield::domain::routing::share;
+use harefield::domain::routing::assign_shards;
 
 use crate::support::at;
 use crate::support::cases;
@@ -115,10 +115,13 @@
         let regions =
             [("a", "r1"), ("b", "r1"), ("c", "r2")].map(|(zone, region)| (zone.into(), region.into()));
         let places = Places { zone: Arc::clone(&own.zone), regions: BTreeMap::from(regions) };
-        let own = Own { host: Arc::clone(&own.host), capacity: own.capacity, ..Own::default() };
-        let mut router = Router::new(Policy::Cost, Budgets::one(0.05), 7, now).at(places).of(own.clone());
+        let own =
+            LocalDaemon { host: Arc::clone(&own.host), capacity: own.capacity, ..LocalDaemon::default() };
+        let mut router = Router::new(Policy::Cost, Budgets::single(0.05), 7, now)
+            .with_places(places)
+            .with_local(own.clone());
         router.apply(&view, now);
-        router.see_daemons(self.rows.iter().filter(|row| row.host != own.host));
+        router.update_daemons(self.rows.iter().filter(|row| row.host != own.host));
         for row in silent.iter().map(|number| &self.rows[*number]) {
             router.relays_mut().begin(&row.host, now);
         }
@@ -274,19 +277,16 @@
 
 #[test]
 fn effort_is_learnt() {
-    let mut router = Router::new(Policy::Cost, Budgets::one(0.05), 7, Instant::now()).of(Own {
-        host: "10.0.0.1:1".into(),
-        capacity: 500,
-        ..Own::default()
-    });
+    let mut router = Router::new(Policy::Cost, Budgets::single(0.05), 7, Instant::now())
+        .with_local(LocalDaemon { host: "10.0.0.1:1".into(), capacity: 500, ..LocalDaemon::default() });
     for _ in 0..100 {
-        router.sample_sending(100, Duration::from_millis(20));
-        router.sample_sending(2, Duration::from_secs(1));
+        router.record_sending(100, Duration::from_millis(20));
+        router.record_sending(2, Duration::from_secs(1));
     }
     // 0.2 ms a shard on half a core are 0.1 ms on a whole one, and as much for its reply.
     let learnt = router.shard_time();
     assert!(learnt > Duration::from_micros(190) && learnt < Duration::from_micros(210), "{learnt:?}");
-    router.sample_sending(100, Duration::from_secs(10));
+    router.record_sending(100, Duration::from_secs(10));
     assert!(router.shard_time() < Duration::from_micros(300), "a pause shows little");
 }
 
@@ -301,20 +301,20 @@
         own in any::<Option<u32>>(),
         micros in 0_u64..40_000,
     ) {
-        let carrier = |number: usize, capacity: u32, own: bool, beside: bool| Carrier {
-            host: format!("10.0.0.{number}:1").into(), own, capacity, zone: if beside { "a" } else { "b" }.into(),
+        let carrier = |number: usize, capacity: u32, own: bool, beside: bool| Delegate {
+            host: format!("10.0.0.{number}:1").into(), local: own, capacity, zone: if beside { "a" } else { "b" }.into(),
         };
-        let mut carriers: Vec<Carrier> = capacities.iter().enumerate()
+        let mut carriers: Vec<Delegate> = capacities.iter().enumerate()
             .map(|(number, (capacity, beside))| carrier(number, *capacity, false, *beside)).collect();
         carriers.extend(own.map(|draw| carrier(99, draw % 1000, true, draw % 2 == 0)));
-        let wanted = |at: usize| Wanted {
-            at, shard: format!("s/{at:03}").into(), zone: if at.is_multiple_of(3) { "c" } else { "a" }.into(),
+        let wanted = |at: usize| PendingShard {
+            index: at, shard: format!("s/{at:03}").into(), zone: if at.is_multiple_of(3) { "c" } else { "a" }.into(),
         };
-        let wanted: Vec<Wanted> = (0..shards).map(wanted).collect();
+        let wanted: Vec<PendingShard> = (0..shards).map(wanted).collect();
         let allowance =
-            Allowance { shard: SHARD_TIME, allowed: Duration::from_micros(micros), affinity: false };
-        if let Some(portions) = share(&wanted, &carriers, allowance) {
-            let places: Vec<usize> = portions.iter().flat_map(|portion| portion.shards.iter().map(|wanted| wanted.at)).collect();
+            DelegationLimits { shard_time: SHARD_TIME, send_limit: Duration::from_micros(micros), affinity: false };
+        if let Some(portions) = assign_shards(&wanted, &carriers, allowance) {
+            let places: Vec<usize> = portions.iter().flat_map(|portion| portion.shards.iter().map(|wanted| wanted.index)).collect();
             prop_assert_eq!(places.len(), shards);
             prop_assert_eq!(places.iter().collect::<BTreeSet<_>>().len(), shards);
         }
@@ -326,13 +326,14 @@
     // Strong daemons that could each carry a fan-out alone: a shard's requests go to the
     // same one of them, whoever sends them, where it has more replicas than may be asked.
     let zones = ["a", "a", "a", "a", "b", "b", "b", "b"];
-    let allowance = Allowance::new(Duration::from_micros(40), Duration::from_millis(300));
-    let wanted: Vec<Wanted> =
-        (0..180).map(|at| Wanted { at, shard: format!("s{at}/all").into(), zone: "a".into() }).collect();
-    let carriers = |sender: usize| -> Vec<Carrier> {
-        let carrier = |(number, zone): (usize, &&str)| Carrier {
+    let allowance = DelegationLimits::new(Duration::from_micros(40), Duration::from_millis(300));
+    let wanted: Vec<PendingShard> = (0..180)
+        .map(|at| PendingShard { index: at, shard: format!("s{at}/all").into(), zone: "a".into() })
+        .collect();
+    let carriers = |sender: usize| -> Vec<Delegate> {
+        let carrier = |(number, zone): (usize, &&str)| Delegate {
             host: format!("10.1.0.{number}:8503").into(),
-            own: number == sender,
+            local: number == sender,
             capacity: 500,
             zone: (*zone).into(),
         };
@@ -341,11 +342,11 @@
     let mut met: Vec<BTreeMap<HostId, usize>> = vec![BTreeMap::new(); wanted.len()];
     for sender in 0..zones.len() {
         let carriers = carriers(sender);
-        assert!(share(&wanted, &carriers, allowance).is_none(), "one of them could carry it");
-        let portions = share(&wanted, &carriers, Allowance { affinity: true, ..allowance });
-        for Portion { carrier, shards } in portions.expect("it is shared") {
+        assert!(assign_shards(&wanted, &carriers, allowance).is_none(), "one of them could carry it");
+        let portions = assign_shards(&wanted, &carriers, DelegationLimits { affinity: true, ..allowance });
+        for Assignment { delegate: carrier, shards } in portions.expect("it is shared") {
             for shard in shards {
-                *met[shard.at].entry(Arc::clone(&carrier.host)).or_default() += 1;
+                *met[shard.index].entry(Arc::clone(&carrier.host)).or_default() += 1;
             }
         }
     }
--- a/crates/harefield/tests/decisions/starts.rs
+++ b/crates/harefield/tests/decisions/starts.rs
@@ -6,9 +6,9 @@
 
 use crate::support::at;
 use harefield::domain::resources::Upstream;
+use harefield::domain::routing::AttemptOutcome;
 use harefield::domain::routing::Report;
-use harefield::domain::routing::Searcher;
-use harefield::domain::routing::Verdict;
+use harefield::domain::routing::UpstreamState;
 
 const SHARE: u32 = 4;
 
@@ -27,12 +27,12 @@
 }
 
 /// Returns an upstream that failed a few times in a row.
-fn failed(spec: &Arc<Upstream>, now: Instant) -> Searcher {
-    let mut searcher = Searcher::new(Arc::clone(spec), 1, SHARE);
+fn failed(spec: &Arc<Upstream>, now: Instant) -> UpstreamState {
+    let mut searcher = UpstreamState::new(Arc::clone(spec), 1, SHARE);
     for millis in 0..6 {
         let start = at(now, millis);
         searcher.begin(start);
-        searcher.end(start, Verdict::Broken, &Report::default(), start);
+        searcher.end(start, AttemptOutcome::Failed, &Report::default(), start);
     }
     searcher
 }
@@ -54,14 +54,14 @@
 fn former_start_says_nothing() {
     // What was under way at the former start ends later, and tells nothing of the new one.
     let now = Instant::now();
-    let mut searcher = Searcher::new(spec(Some(1), 80), 1, SHARE);
+    let mut searcher = UpstreamState::new(spec(Some(1), 80), 1, SHARE);
     for _ in 0..6 {
         searcher.begin(now);
     }
     searcher.update(&spec(Some(2), 80), SHARE, now);
-    assert_eq!(searcher.under_way(), 0);
+    assert_eq!(searcher.in_flight(), 0);
     for _ in 0..6 {
-        searcher.end(now, Verdict::Broken, &Report::default(), at(now, 5));
+        searcher.end(now, AttemptOutcome::Failed, &Report::default(), at(now, 5));
     }
     assert!(!searcher.is_backed_off(at(now, 10)));
 }
--- a/crates/harefield/tests/decisions/support.rs
+++ b/crates/harefield/tests/decisions/support.rs
@@ -11,7 +11,7 @@
 use serde_json::json;
 
 use harefield::domain::cell::CellSize;
-use harefield::domain::cold::Bound;
+use harefield::domain::cold::ColdBounds;
 use harefield::domain::feed::Items;
 use harefield::domain::hosts::HostList;
 use harefield::domain::ids::UpstreamId;
@@ -96,14 +96,14 @@
         fleet: &[],
         size: CellSize::default(),
         places: &Places::default(),
-        cold: Bound::default(),
+        cold: ColdBounds::default(),
         keyed: false,
     })
 }
 
 /// Returns a router that acts on a view.
 pub fn router(view: &View, now: Instant) -> Router {
-    let mut router = Router::new(Policy::Cost, Budgets::one(0.05), 7, now);
+    let mut router = Router::new(Policy::Cost, Budgets::single(0.05), 7, now);
     router.apply(view, now);
     router
 }
--- a/crates/harefield/tests/decisions/views.rs
+++ b/crates/harefield/tests/decisions/views.rs
@@ -8,7 +8,7 @@
 use crate::support::items;
 use crate::support::values;
 use harefield::domain::cell::CellSize;
-use harefield::domain::cold::Bound;
+use harefield::domain::cold::ColdBounds;
 use harefield::domain::hosts::HostList;
 use harefield::domain::ids::HostId;
 use harefield::domain::places::Places;
@@ -35,7 +35,7 @@
         fleet: &[],
         size,
         places: &Places::default(),
-        cold: Bound::default(),
+        cold: ColdBounds::default(),
         keyed: false,
     })
 }
--- a/crates/harefield/tests/decisions/world.rs
+++ b/crates/harefield/tests/decisions/world.rs
@@ -25,9 +25,9 @@
 use harefield::domain::outcome::Gap;
 use harefield::domain::reply::Reply;
 use harefield::domain::resources::Preference;
+use harefield::domain::routing::AttemptOutcome;
 use harefield::domain::routing::Report;
 use harefield::domain::routing::Router;
-use harefield::domain::routing::Verdict;
 use harefield::domain::view::Plan;
 use harefield::domain::view::ReplicaLimit;
 use harefield::domain::word::Word;
@@ -175,7 +175,7 @@
         }
     }
 
-    pub fn end(&mut self, place: usize, end: AttemptEnd, verdict: Verdict) {
+    pub fn end(&mut self, place: usize, end: AttemptEnd, verdict: AttemptOutcome) {
         if self.flying.is_empty() {
             return;
         }
@@ -204,7 +204,7 @@
         }
         let place = place % self.flying.len();
         let body = body_of(&self.flying[place]);
-        self.end(place, AttemptEnd::Answered(Reply::Json(body)), Verdict::Good);
+        self.end(place, AttemptEnd::Answered(Reply::Json(body)), AttemptOutcome::Succeeded);
     }
 
     pub fn take(&mut self, step: Step) {
@@ -212,17 +212,17 @@
             Step::Answer(place) => self.answer(place),
             Step::Refuse(place, begun) => {
                 let end = AttemptEnd::Refused { why: Gap::Overloaded, begun };
-                self.end(place, end, Verdict::Full(None));
+                self.end(place, end, AttemptOutcome::Rejected(None));
             }
             Step::Unsent(place) => {
                 let end = AttemptEnd::NotSent { why: Gap::Unreachable };
-                self.end(place, end, Verdict::Broken);
+                self.end(place, end, AttemptOutcome::Failed);
             }
             Step::Lose(place) => {
-                self.end(place, AttemptEnd::Lost { why: Gap::ReplyLost }, Verdict::Broken);
+                self.end(place, AttemptEnd::Lost { why: Gap::ReplyLost }, AttemptOutcome::Failed);
             }
             Step::Wrong(place) => {
-                self.end(place, AttemptEnd::Lost { why: Gap::SnapshotWrong }, Verdict::Declined);
+                self.end(place, AttemptEnd::Lost { why: Gap::SnapshotWrong }, AttemptOutcome::Declined);
             }
             Step::Repeat(place) if !self.told.is_empty() => {
                 let (send, end) = self.told[place % self.told.len()].clone();
@@ -238,7 +238,7 @@
     pub fn drain(&mut self, shard: usize, number: usize) {
         let name = replica(shard, number);
         let word = Word { stamp: WordStamp { start: 1, change: 1 }, draining: true, held: None };
-        if self.router.hear(&name, &word) {
+        if self.router.merge_announcement(&name, &word) {
             self.drained.insert(name.to_string());
         }
     }
--- a/crates/harefield/tests/fleet/support.rs
+++ b/crates/harefield/tests/fleet/support.rs
@@ -21,7 +21,7 @@
 use harefield::control::ControlSettings;
 use harefield::domain::carried::CarryTimes;
 use harefield::domain::cell::CellSize;
-use harefield::domain::cold::Bound;
+use harefield::domain::cold::ColdBounds;
 use harefield::domain::feed::Change;
 use harefield::domain::freshness::Pace;
 use harefield::domain::ids::Edition;
@@ -168,7 +168,7 @@
             pace: Pace::new(tuning.apply),
             readers: tuning.readers,
             carry: CARRY,
-            cold: Bound::default(),
+            cold: ColdBounds::default(),
             cell: CellSize::default(),
             places,
             keyed: false,
--- a/crates/harefield/tests/fleet/warming.rs
+++ b/crates/harefield/tests/fleet/warming.rs
@@ -12,7 +12,7 @@
 use harefield::adapters::upstreams::OwnProtocol;
 use harefield::adapters::upstreams::unsent;
 use harefield::domain::outcome::Gap;
-use harefield::domain::routing::Verdict;
+use harefield::domain::routing::AttemptOutcome;
 use harefield::memory::Memory;
 use harefield::ports::Place;
 use harefield::ports::Upstreams;
@@ -38,6 +38,6 @@
 #[test]
 fn own_limit_says_nothing() {
     // That no connection was free here is no word of the upstream's.
-    assert_eq!(unsent(Gap::Overloaded).verdict, Verdict::Declined);
-    assert_eq!(unsent(Gap::Unreachable).verdict, Verdict::Broken);
+    assert_eq!(unsent(Gap::Overloaded).verdict, AttemptOutcome::Declined);
+    assert_eq!(unsent(Gap::Unreachable).verdict, AttemptOutcome::Failed);
 }
