--- a/crates/harefield/src/domain/cold/mod.rs
+++ b/crates/harefield/src/domain/cold/mod.rs
@@ -1,12 +1,12 @@
-//! Upstreams that are cold, and how little they are sent.
+//! Rate limits for cold upstreams.
 //!
-//! An upstream that has just started, or that got nothing for a while, falls over under
-//! what a warm one bears. The load pattern is a zone that comes back: all its upstreams are
-//! cold, are the nearest ones to some daemons, and every daemon turns to them at once.
+//! An upstream that has just started, or that got no requests for a while, fails under the load
+//! that a warm one can handle. The load pattern is a zone that comes back: all its upstreams are
+//! cold, they are the nearest ones to some daemons, and every daemon sends to them at once.
 //!
-//! What one cold upstream is sent within a second is bounded over the whole fleet, without
-//! anything that daemons share: `share` gives each daemon a fixed part, `spell` keeps to it
-//! and says for how long.
+//! The requests that one cold upstream gets in a second are limited over the whole fleet, without
+//! any coordination between daemons: `share` gives each daemon a fixed quota, `period` enforces
+//! it for as long as the upstream is cold.
 
 mod period;
 mod share;
--- a/crates/harefield/src/domain/cold/period.rs
+++ b/crates/harefield/src/domain/cold/period.rs
@@ -1,4 +1,4 @@
-//! One upstream's cold spell, as one daemon sees it, and what it sent there of late.
+//! The cold period of one upstream, and the requests that one worker recently sent to it.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,43 +6,44 @@
 
 use super::share::Allowance;
 
-/// The window within which requests are counted.
+/// The sliding window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// A cold spell, and what was sent of late.
+/// A cold period, with the rate limit that applies until it ends.
 #[derive(Clone, Debug, Default)]
 pub struct ColdPeriod {
-    /// None where nobody says what the upstream bears while it is cold.
+    /// `None` where the rate that the upstream can handle while it is cold isn't configured.
     allowance: Option<Allowance>,
     until: Option<Instant>,
     sent: VecDeque<Instant>,
 }
 
 impl ColdPeriod {
-    /// Takes what this daemon may send while the upstream is cold.
+    /// Sets what may be sent while the upstream is cold; `None` for no limit.
     pub fn set_allowance(&mut self, allowance: Option<Allowance>) {
         self.allowance = allowance;
     }
 
-    /// Takes the upstream's word that it is cold for so long; warm where that is nothing.
+    /// Records how long the upstream is cold from `now` on, as it reports itself; zero where it
+    /// is warm.
     pub fn record_cold(&mut self, cold: Duration, now: Instant) {
         self.until = (!cold.is_zero()).then(|| now + cold);
     }
 
-    /// Takes that the upstream may have turned cold without a word: it may have started
-    /// again, or got nothing for a while. Its next word says better.
+    /// Records that the upstream may have turned cold without reporting it: it may have restarted,
+    /// or got no requests for a while. Its next report replaces this.
     pub fn assume_cold(&mut self, now: Instant) {
-        let spell = self.allowance.map_or(Duration::ZERO, |allowance| allowance.assumed_cold);
-        self.until = self.until.max(Some(now + spell));
+        let assumed = self.allowance.map_or(Duration::ZERO, |allowance| allowance.assumed_cold);
+        self.until = self.until.max(Some(now + assumed));
     }
 
-    /// Returns whether it is cold and what it is sent is bound.
+    /// Returns whether the upstream is cold and the requests to it are limited.
     #[must_use]
     pub fn is_cold(&self, now: Instant) -> bool {
         self.allowance.is_some() && self.until.is_some_and(|until| now < until)
     }
 
-    /// Returns from when on one more may be sent; none where it may be now.
+    /// Returns when one more request may be sent; `None` where it may be sent now.
     #[must_use]
     pub fn excluded_until(&self, now: Instant) -> Option<Instant> {
         let allowance = self.allowance.filter(|_| self.is_cold(now))?;
@@ -52,7 +53,7 @@
         Some(*oldest + WINDOW)
     }
 
-    /// Notes that a request leaves.
+    /// Records that a request is sent.
     pub fn record_send(&mut self, now: Instant) {
         if self.allowance.is_none() {
             return;
--- a/crates/harefield/src/domain/routing/choice.rs
+++ b/crates/harefield/src/domain/routing/choice.rs
@@ -1,4 +1,4 @@
-//! The choice of the replica that an attempt is sent to.
+//! Selection of the replica that an attempt is sent to.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -14,54 +14,53 @@
 use crate::domain::outcome::Gap;
 use crate::domain::places::Distance;
 
-/// A replica chosen, with every candidate's score.
+/// The selected replica and the scores of all candidates.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// The replica.
+    /// The selected replica.
     pub upstream: UpstreamId,
-    /// All candidates' scores.
+    /// The scores of all replicas that weren't tried before, the selected one included.
     pub scores: Vec<Score>,
 }
 
-/// How a candidate ranks: those that failed last, fell silent, reject often or take much
-/// longer than the quickest, come after all others; then, where some reject, those that
-/// answered a moment ago lead, and the nearer ones.
+/// The sort key of a candidate; the lowest is selected. Replicas that failed last, don't respond,
+/// reject often, are cold or take much longer than another come last. Where some replica rejects
+/// often, those that answered recently come first; then nearer ones, then cheaper ones.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 struct Rank {
-    passed_over: bool,
+    deprioritized: bool,
     unproven: bool,
     distance: Distance,
     cost: f64,
 }
 
 impl Rank {
-    /// Before all others.
-    const FIRST: Self = Self { passed_over: false, unproven: false, distance: Distance::Near, cost: 0.0 };
+    /// The rank before all others, of a replica that is selected for a check.
+    const FIRST: Self = Self { deprioritized: false, unproven: false, distance: Distance::Near, cost: 0.0 };
 }
 
-/// What is asked for when a replica is chosen.
+/// The parameters of one replica selection.
 #[derive(Clone, Copy, Debug)]
 pub struct ChoiceRequest<'a> {
     /// The replicas configured for the shard.
     pub replicas: &'a [UpstreamId],
-    /// Those already tried, in vain or still under way.
+    /// The replicas already tried, without success or still in flight.
     pub tried: &'a [UpstreamId],
-    /// Those that may be asked to see whether they still reject.
+    /// The replicas that a request may check to see whether they still reject.
     pub check_candidates: &'a [UpstreamId],
-    /// The snapshot's version.
+    /// The snapshot version that the replica has to serve.
     pub version: Version,
-    /// The kind of request, for its pace.
+    /// The kind of request, which determines its usual latency.
     pub kind: &'a Arc<str>,
 }
 
 impl<'a> ChoiceRequest<'a> {
-    /// Asks for any of a shard's replicas, none of which was tried.
+    /// Creates the request of a first attempt: any of a shard's replicas, none tried before.
     #[must_use]
     pub fn first(replicas: &'a [UpstreamId], version: Version, kind: &'a Arc<str>) -> Self {
         Self { replicas, tried: &[], check_candidates: replicas, version, kind }
     }
 
-    /// Returns the replicas that were not tried.
     fn untried(&self) -> impl Iterator<Item = &'a UpstreamId> {
         let tried = self.tried;
         self.replicas.iter().filter(move |name| !tried.contains(name))
@@ -69,64 +68,66 @@
 }
 
 impl Router {
-    /// Chooses the replica to ask.
+    /// Selects the replica to send an attempt to.
     ///
     /// # Errors
     ///
-    /// Returns why none may be asked now; the reason that passes first.
-    pub fn choose(&mut self, ask: &ChoiceRequest<'_>, now: Instant) -> Result<Choice, Exclusion> {
+    /// Returns why no replica is available now: of several reasons the one that ends first.
+    pub fn choose(&mut self, request: &ChoiceRequest<'_>, now: Instant) -> Result<Choice, Exclusion> {
         if !self.lease.held(now) {
             return Err(Exclusion { gap: Gap::Unconfirmed, until: ExclusionEnd::Soon });
         }
-        let typical = self.latency(ask.kind).mean().as_secs_f64();
-        let rejects = self.any_rejects(ask, now);
-        let check = if rejects { self.draw_check(ask, now) } else { None };
-        let mut scores = Vec::with_capacity(ask.replicas.len());
+        let typical = self.latency(request.kind).mean().as_secs_f64();
+        let rejects = self.any_rejecting(request, now);
+        let check = if rejects { self.draw_check(request, now) } else { None };
+        let mut scores = Vec::with_capacity(request.replicas.len());
         let mut best: Option<(Rank, UpstreamId)> = None;
-        let mut bar = Exclusion { gap: Gap::NoReplica, until: ExclusionEnd::Never };
-        for name in ask.untried() {
-            let found = self.score(name, ask.version, typical, now);
+        let mut exclusion = Exclusion { gap: Gap::NoReplica, until: ExclusionEnd::Never };
+        for name in request.untried() {
+            let found = self.score(name, request.version, typical, now);
             scores.push(Score {
                 upstream: Arc::clone(name),
                 cost: found.ok().map(|cost| cost * 1000.0),
-                barred: found.err().map(|bar| bar.gap),
+                barred: found.err().map(|exclusion| exclusion.gap),
             });
             match found {
                 Ok(cost) => {
                     let rank = if check.as_ref() == Some(name) {
                         Rank::FIRST
                     } else {
-                        self.rank(name, cost, ask, rejects, (typical, now))
+                        self.rank(name, cost, request, rejects, (typical, now))
                     };
                     if best.as_ref().is_none_or(|(least, _)| rank < *least) {
                         best = Some((rank, Arc::clone(name)));
                     }
                 }
-                Err(other) => bar = softer(bar, other),
+                Err(other) => exclusion = earlier(exclusion, other),
             }
         }
         match best {
             Some((_, upstream)) => Ok(Choice { upstream, scores }),
-            None => Err(bar),
+            None => Err(exclusion),
         }
     }
 
-    /// Says whether any of a shard's replicas rejects often.
-    fn any_rejects(&self, ask: &ChoiceRequest<'_>, now: Instant) -> bool {
+    /// Returns whether any of a shard's replicas rejects often.
+    fn any_rejecting(&self, request: &ChoiceRequest<'_>, now: Instant) -> bool {
         let rejects = |name| self.upstreams.get(name).is_some_and(|s| s.rejections.is_rejecting(now));
-        self.policy == Policy::Cost && ask.replicas.iter().any(rejects)
+        self.policy == Policy::Cost && request.replicas.iter().any(rejects)
     }
 
-    /// Draws whether a request checks a replica that rejects often, and returns that one.
+    /// Decides at random whether a request checks a replica that rejects often; returns that
+    /// replica, the one without a reply for the longest time.
     ///
-    /// Only first attempts do: what is rejected can still go to another replica.
-    fn draw_check(&mut self, ask: &ChoiceRequest<'_>, now: Instant) -> Option<UpstreamId> {
-        if !ask.tried.is_empty() || self.draw() >= CHECK_FRACTION {
+    /// Only first attempts are used for checks: when one is rejected, another replica can still
+    /// be tried.
+    fn draw_check(&mut self, request: &ChoiceRequest<'_>, now: Instant) -> Option<UpstreamId> {
+        if !request.tried.is_empty() || self.draw() >= CHECK_FRACTION {
             return None;
         }
-        let found = |name| self.upstreams.get(name).map(|searcher| (name, searcher));
-        let warm = ask.check_candidates.iter().filter_map(found).filter(|(_, s)| !s.cold.is_cold(now));
-        let due = warm.filter_map(|(name, searcher)| Some((searcher.rejections.check_due(now)?, name)));
+        let found = |name| self.upstreams.get(name).map(|upstream| (name, upstream));
+        let warm = request.check_candidates.iter().filter_map(found).filter(|(_, s)| !s.cold.is_cold(now));
+        let due = warm.filter_map(|(name, upstream)| Some((upstream.rejections.check_due(now)?, name)));
         due.max().map(|(_, name)| Arc::clone(name))
     }
 
@@ -139,61 +140,68 @@
     ) -> Result<f64, Exclusion> {
         let draw = self.draw();
         let unknown = Exclusion { gap: Gap::NoReplica, until: ExclusionEnd::Never };
-        let searcher = self.upstreams.get(name).ok_or(unknown)?;
-        searcher.check_available(version, now)?;
-        if searcher.cold.is_cold(now) && !self.startup.has_quota(self.local.expects_peers, now) {
+        let upstream = self.upstreams.get(name).ok_or(unknown)?;
+        upstream.check_available(version, now)?;
+        if upstream.cold.is_cold(now) && !self.startup.has_quota(self.local.expects_peers, now) {
             return Err(Exclusion { gap: Gap::Cold, until: ExclusionEnd::Never });
         }
-        Ok(self.policy.cost(searcher, typical, draw, now))
+        Ok(self.policy.cost(upstream, typical, draw, now))
     }
 
-    /// Ranks a replica beside the others that may be asked, of which some reject often or
-    /// none does.
+    /// Returns the rank of a replica among the others that are available. `rejects` tells whether
+    /// any of the shard's replicas rejects often.
     fn rank(
         &self,
         name: &UpstreamId,
         cost: f64,
-        ask: &ChoiceRequest<'_>,
+        request: &ChoiceRequest<'_>,
         rejects: bool,
         (typical, now): (f64, Instant),
     ) -> Rank {
         let found = self.upstreams.get(name).filter(|_| self.policy == Policy::Cost);
-        let Some(searcher) = found else {
-            return Rank { passed_over: false, unproven: false, distance: Distance::Near, cost };
+        let Some(upstream) = found else {
+            return Rank { deprioritized: false, unproven: false, distance: Distance::Near, cost };
         };
         let others =
-            ask.untried().filter(|other| *other != name).filter_map(|other| self.upstreams.get(other));
-        let mut good = others.filter(|s| !s.on_probation() && s.check_available(ask.version, now).is_ok());
-        let slow = searcher.on_probation() || good.any(|other| searcher.ranks_behind(other, typical, now));
-        let passed_over = slow || searcher.is_silent(typical, now) || searcher.cold.is_cold(now);
-        let unproven = rejects && !searcher.rejections.answered_recently(now);
-        Rank { passed_over, unproven, distance: searcher.distance, cost }
+            request.untried().filter(|other| *other != name).filter_map(|other| self.upstreams.get(other));
+        let mut good =
+            others.filter(|s| !s.on_probation() && s.check_available(request.version, now).is_ok());
+        let slow = upstream.on_probation() || good.any(|other| upstream.ranks_behind(other, typical, now));
+        let deprioritized = slow || upstream.is_silent(typical, now) || upstream.cold.is_cold(now);
+        let unproven = rejects && !upstream.rejections.answered_recently(now);
+        Rank { deprioritized, unproven, distance: upstream.distance, cost }
     }
 
-    /// Returns a replica that is passed over and should be looked at, by an
-    /// extra request beside the one to the replica chosen. One that is farther
-    /// than that would not be asked anyway.
+    /// Returns a deprioritized replica that is due for a probe: an extra request beside the one to
+    /// the chosen replica. Replicas farther away than the chosen one aren't probed, since they
+    /// wouldn't be selected anyway.
     #[must_use]
-    pub fn probe(&self, ask: &ChoiceRequest<'_>, chosen: &UpstreamId, now: Instant) -> Option<UpstreamId> {
-        let typical = self.latency(ask.kind).mean().as_secs_f64();
-        let chosen_one = self.upstreams.get(chosen)?;
+    pub fn probe(
+        &self,
+        request: &ChoiceRequest<'_>,
+        chosen: &UpstreamId,
+        now: Instant,
+    ) -> Option<UpstreamId> {
+        let typical = self.latency(request.kind).mean().as_secs_f64();
+        let current = self.upstreams.get(chosen)?;
         let due = |name: &&UpstreamId| {
             let found = self.upstreams.get(*name);
             found.is_some_and(|s| {
-                s.distance <= chosen_one.distance
-                    && s.ranks_behind(chosen_one, typical, now)
-                    && !s.rejects_more(chosen_one, now)
+                s.distance <= current.distance
+                    && s.ranks_behind(current, typical, now)
+                    && !s.rejects_more(current, now)
                     && s.probe_due(now)
                     && !s.cold.is_cold(now)
-                    && s.check_available(ask.version, now).is_ok()
+                    && s.check_available(request.version, now).is_ok()
             })
         };
-        let others = ask.untried().filter(|name| *name != chosen);
+        let others = request.untried().filter(|name| *name != chosen);
         others.filter(due).map(Arc::clone).next()
     }
 }
 
-/// Returns the bar that passes first; a known reason goes before no replica.
-fn softer(held: Exclusion, found: Exclusion) -> Exclusion {
+/// Returns the exclusion that ends first; any other reason takes precedence over a missing
+/// replica.
+fn earlier(held: Exclusion, found: Exclusion) -> Exclusion {
     if found.until < held.until || held.gap == Gap::NoReplica { found } else { held }
 }
--- a/crates/harefield/src/domain/routing/learning.rs
+++ b/crates/harefield/src/domain/routing/learning.rs
@@ -1,4 +1,4 @@
-//! What the end of a request teaches of its upstream.
+//! Updates the state of an upstream from the outcome of each request.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,73 +9,74 @@
 use super::upstream_state::UpstreamState;
 use crate::domain::backoff::backoff;
 
-/// The first pause after a failure; it doubles with each further one.
+/// The first backoff after a failure; it doubles with each further one.
 const BACKOFF: Duration = Duration::from_millis(100);
 
-/// An upstream that loses this many replies in a row is left alone for a while;
-/// the users' upstreams lose one in twenty at times.
-const LOST_IN_ROW: u32 = 3;
+/// An upstream that loses this many replies in a row is backed off; the users' upstreams lose one
+/// reply in twenty at times.
+const MAX_LOST_IN_ROW: u32 = 3;
 
-/// The longest pause after failures.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(4);
+/// The longest backoff after failures.
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
-/// The longest that a refusal's word on when to come back is kept.
-const LONGEST_SHED: Duration = Duration::from_secs(30);
+/// The longest time for which an upstream's retry-after is honored.
+const MAX_SHED: Duration = Duration::from_secs(30);
 
-/// How far one reply moves the observed time, up and down: by a factor, however
-/// slow the reply was, so that a single straggler says little. The two come to
-/// rest where 27 of 100 replies are faster; a replica that does well again is
-/// believed sooner than one that does badly.
+/// The factor by which a slower reply raises the observed time, at most. The step is bounded
+/// however slow the reply was, so that a single straggler changes little. Together with
+/// [`STEP_DOWN`] the observed time settles where 27 of 100 replies are faster; it follows a
+/// replica that recovers sooner than one that gets worse.
 const STEP_UP: f64 = 1.1;
 
-/// The same down, see [`STEP_UP`].
+/// The factor by which a faster reply lowers the observed time, at most; see [`STEP_UP`].
 const STEP_DOWN: f64 = 1.3;
 
-/// A reply that was given up is taken to have needed at most this many times
-/// the time that it was given.
-const ABANDONED_MOST: f64 = 2.0;
+/// An abandoned request is assumed to have needed at most this many times the time that it was
+/// given.
+const ABANDONED_FACTOR: f64 = 2.0;
 
-/// At least this part of a reply's time is taken to be the upstream's own.
-const LEAST_OWN_PART: f64 = 0.1;
+/// At least this fraction of a reply's time is counted as the upstream's own, whatever the
+/// round-trip time.
+const MIN_OWN_FRACTION: f64 = 0.1;
 
-/// How fast the best observed time is forgotten: by this factor with each reply.
+/// The factor by which the best observed time rises with each reply, so that old ones fade.
 const BEST_DRIFT: f64 = 1.01;
 
-/// A report of a queue is believed when a reply took at least this part of the
-/// time that such a queue would cost.
-const BELIEF: f64 = 0.5;
+/// A reported queue is plausible when the reply took at least this fraction of the time that such
+/// a queue would cost.
+const PLAUSIBLE_FRACTION: f64 = 0.5;
 
-/// How far a believed queue shrinks the window.
+/// The factor by which a plausible queue shrinks the window.
 const QUEUE_SHRINK: f64 = 0.9;
 
 impl UpstreamState {
-    /// Notes how the request that left at `start` ended. One that is not under way was of a
-    /// former start of the upstream, and tells nothing of this one.
-    pub fn end(&mut self, start: Instant, verdict: AttemptOutcome, report: &Report, now: Instant) {
-        let under_way = self.in_flight();
+    /// Records the outcome of the request that was sent at `start`. A request that isn't in flight
+    /// was sent to a former incarnation of the upstream and is ignored.
+    pub fn end(&mut self, start: Instant, outcome: AttemptOutcome, report: &Report, now: Instant) {
+        let in_flight = self.in_flight();
         let Some(at) = self.starts.iter().position(|s| *s == start) else { return };
         self.starts.swap_remove(at);
         let whole = now.saturating_duration_since(start).as_secs_f64();
-        let took = (whole - self.rtt).max(whole * LEAST_OWN_PART);
+        let took = (whole - self.rtt).max(whole * MIN_OWN_FRACTION);
         self.last_end = Some(now);
-        self.load = report.load.filter(|load| self.believes(*load, took)).map(|load| (load, now));
-        match verdict {
-            AttemptOutcome::Succeeded => self.good(took, under_way, now),
-            AttemptOutcome::Rejected(wait) => self.full(wait, report.load, now),
+        self.load = report.load.filter(|load| self.is_plausible(*load, took)).map(|load| (load, now));
+        match outcome {
+            AttemptOutcome::Succeeded => self.record_success(took, in_flight, now),
+            AttemptOutcome::Rejected(wait) => self.record_rejection(wait, report.load, now),
             AttemptOutcome::Declined => {}
-            AttemptOutcome::Abandoned => self.abandoned(took),
-            AttemptOutcome::Lost => self.lost(now),
-            AttemptOutcome::Failed => self.broken(now),
+            AttemptOutcome::Abandoned => self.record_abandoned(took),
+            AttemptOutcome::Lost => self.record_loss(now),
+            AttemptOutcome::Failed => self.record_failure(now),
         }
     }
 
-    /// Says whether a report of a queue fits the time that the reply took.
-    fn believes(&self, load: Load, took: f64) -> bool {
+    /// Returns whether a reported queue fits the time that the reply took.
+    fn is_plausible(&self, load: Load, took: f64) -> bool {
         let queue = f64::from(load.queued) / f64::from(self.spec.slots.max(1));
-        self.best.is_none_or(|best| took >= best * (1.0 + queue) * BELIEF)
+        self.best.is_none_or(|best| took >= best * (1.0 + queue) * PLAUSIBLE_FRACTION)
     }
 
-    fn good(&mut self, took: f64, under_way: usize, now: Instant) {
+    fn record_success(&mut self, took: f64, in_flight: usize, now: Instant) {
         self.rejections.record_answer(now);
         self.failures = 0;
         self.retry_at = None;
@@ -85,13 +86,13 @@
         self.best = Some(self.best.map_or(took, |best| (best * BEST_DRIFT).min(took)));
         let queued = self.load.map_or(0, |(load, _)| load.queued);
         if queued <= self.spec.slots {
-            self.window.grow(under_way);
+            self.window.grow(in_flight);
         } else {
             self.window.scale(QUEUE_SHRINK);
         }
     }
 
-    /// Moves the observed time towards a reply's time.
+    /// Moves the observed time towards the time of a reply.
     fn observe(&mut self, took: f64) {
         self.observed = Some(match self.observed {
             None => took,
@@ -100,10 +101,10 @@
         });
     }
 
-    /// The time so far is the least that the reply would have taken: it moves
-    /// the observed time up, past itself, but never down.
-    fn abandoned(&mut self, took: f64) {
-        let most = took * ABANDONED_MOST;
+    /// Records a request that was abandoned after `took` seconds. The reply would have taken at
+    /// least that long, so the observed time may rise, also above `took`, but never falls.
+    fn record_abandoned(&mut self, took: f64) {
+        let most = took * ABANDONED_FACTOR;
         self.observed = Some(match self.observed {
             None => took,
             Some(old) if old < most => (old * STEP_UP).min(most),
@@ -111,10 +112,10 @@
         });
     }
 
-    fn full(&mut self, wait: Option<Duration>, load: Option<Load>, now: Instant) {
+    fn record_rejection(&mut self, wait: Option<Duration>, load: Option<Load>, now: Instant) {
         self.window.shrink();
-        // Beside one that takes its requests it is passed over: until it answers, or for as
-        // long as it has rejected often where it says that it has room.
+        // It ranks behind replicas that accept requests: until it answers or, where it reports
+        // free slots, as long as it rejects often.
         if load.is_some_and(|load| load.queued == 0 && load.active < self.spec.slots.max(1)) {
             self.rejections.record_rejection(now);
         } else {
@@ -122,21 +123,21 @@
         }
         let Some(wait) = wait else { return };
         let doubled = wait.saturating_mul(1 << self.failures.min(4));
-        self.shed_until = Some(now + wait.max(doubled.min(LONGEST_BACKOFF)).min(LONGEST_SHED));
+        self.shed_until = Some(now + wait.max(doubled.min(MAX_BACKOFF)).min(MAX_SHED));
         self.failures = self.failures.saturating_add(1);
     }
 
-    /// A reply that was lost says little by itself; several in a row do.
-    fn lost(&mut self, now: Instant) {
-        if self.failures + 1 >= LOST_IN_ROW {
-            self.broken(now);
+    /// Records a lost reply. A single one says little; several in a row count as a failure.
+    fn record_loss(&mut self, now: Instant) {
+        if self.failures + 1 >= MAX_LOST_IN_ROW {
+            self.record_failure(now);
         } else {
             self.failures += 1;
         }
     }
 
-    fn broken(&mut self, now: Instant) {
-        self.retry_at = Some(now + backoff(BACKOFF, self.failures, LONGEST_BACKOFF));
+    fn record_failure(&mut self, now: Instant) {
+        self.retry_at = Some(now + backoff(BACKOFF, self.failures, MAX_BACKOFF));
         self.probation = true;
         self.failures = self.failures.saturating_add(1);
     }
--- a/crates/harefield/src/domain/routing/mod.rs
+++ b/crates/harefield/src/domain/routing/mod.rs
@@ -1,11 +1,11 @@
-//! Which replica is asked, how much is asked of it, and what extra load is spent.
+//! Replica selection, load limits for each upstream, and budgets of extra load.
 //!
-//! A `Router` holds one `Searcher` for each upstream: `learning` takes in what ended
-//! requests show, `estimate` and `policy` say what the next would cost, `choice` picks,
-//! `window` bounds what is under way, `effort` learns what a shard costs this daemon
-//! itself, `readiness` says which connections are kept open. `zones`, `places` and `relays`
-//! are about upstreams and daemons of other availability zones, `sharing` about wide
-//! fan-outs that several daemons carry; `budget` and `budgets` pay for extra load.
+//! A `Router` holds one `UpstreamState` for each upstream: `learning` and `rejections` update it
+//! from finished requests, `estimate` and `policy` predict the cost of the next one, `choice`
+//! selects a replica, `window` limits the requests in flight, `shard_time` measures the work of
+//! this daemon for each shard, `readiness` decides how many connections are kept open. `zones`
+//! and `relays` deal with upstreams and daemons in other availability zones, `sharing` with wide
+//! fan-outs that are split among several daemons; `budget` and `budgets` limit extra load.
 
 mod budget;
 mod budgets;
--- a/crates/harefield/src/domain/routing/pace.rs
+++ b/crates/harefield/src/domain/routing/pace.rs
@@ -1,24 +1,24 @@
-//! How long shard requests take: a moving mean and a moving quantile.
+//! Latency of shard requests: a moving mean and a moving quantile.
 
 use std::time::Duration;
 
-/// The quantile after which a reply counts as slow.
-const SLOW: f64 = 0.95;
+/// The quantile above which a reply counts as slow.
+const SLOW_QUANTILE: f64 = 0.95;
 
-/// How far one sample moves the quantile, as a share of it.
+/// The step by which one sample moves the quantile, as a fraction of it.
 const STEP: f64 = 0.02;
 
-/// How far one sample moves the mean.
+/// The weight of a sample in the moving mean.
 const GAIN: f64 = 0.02;
 
-/// The pace before the first sample.
-const FIRST: Duration = Duration::from_millis(10);
+/// The latency that is assumed before the first sample.
+const INITIAL: Duration = Duration::from_millis(10);
 
-/// The part of an objective that a request is taken to need before any sample;
-/// the users' objectives are 4 to 30 times the work.
-const FIRST_PART: f64 = 0.25;
+/// The fraction of its objective that a request is assumed to take before the first sample; the
+/// users' objectives are 4 to 30 times the work.
+const INITIAL_FRACTION: f64 = 0.25;
 
-/// The observed pace of one kind of request.
+/// The observed latency of one kind of request.
 #[derive(Clone, Debug)]
 pub struct LatencyStats {
     mean: f64,
@@ -27,24 +27,24 @@
 
 impl Default for LatencyStats {
     fn default() -> Self {
-        Self { mean: FIRST.as_secs_f64(), slow: FIRST.as_secs_f64() }
+        Self { mean: INITIAL.as_secs_f64(), slow: INITIAL.as_secs_f64() }
     }
 }
 
 impl LatencyStats {
-    /// Creates the pace of a kind of request before its first sample: a part of
-    /// the time within which its answers are wanted.
+    /// Creates the latency of a kind of request before its first sample, as a fraction of
+    /// its objective.
     #[must_use]
     pub fn from_objective(objective: Duration) -> Self {
-        let first = objective.as_secs_f64() * FIRST_PART;
+        let first = objective.as_secs_f64() * INITIAL_FRACTION;
         Self { mean: first, slow: first }
     }
 
-    /// Takes one reply's time.
+    /// Records the time of one reply.
     pub fn record(&mut self, took: Duration) {
         let took = took.as_secs_f64();
         self.mean += (took - self.mean) * GAIN;
-        let weight = if took > self.slow { SLOW } else { SLOW - 1.0 };
+        let weight = if took > self.slow { SLOW_QUANTILE } else { SLOW_QUANTILE - 1.0 };
         self.slow *= 1.0 + STEP * weight;
     }
 
@@ -54,7 +54,7 @@
         Duration::from_secs_f64(self.mean.max(0.0))
     }
 
-    /// Returns the time after which a reply counts as slow.
+    /// Returns the time after which a reply counts as slow, the moving 95th percentile.
     #[must_use]
     pub fn slow(&self) -> Duration {
         Duration::from_secs_f64(self.slow.clamp(0.0, 60.0))
--- a/crates/harefield/src/domain/routing/rejections.rs
+++ b/crates/harefield/src/domain/routing/rejections.rs
@@ -1,103 +1,103 @@
-//! How often an upstream rejects requests although it has room.
+//! The rate at which an upstream rejects requests although it reports free slots.
 //!
-//! The load pattern: four of five upstreams reject three requests in five, and report that
-//! they are idle. What the last request showed says little of such an upstream: it would be
-//! taken for well after each answer. The rate of its rejections puts it behind those that
-//! take their requests; while any of a shard's upstreams rejects, those that answered a
-//! moment ago go before those that nothing was heard of since.
+//! The load pattern: four of five upstreams reject three requests in five, and report that they
+//! are idle. The outcome of the last request says little about such an upstream: it would count as
+//! healthy after each answer. By its rejection rate it ranks behind those that accept requests;
+//! while any of a shard's upstreams rejects, those that answered recently rank before those that
+//! didn't.
 //!
-//! The limits: few of a shard's first attempts check one that is passed over, so that what it
-//! rejects can still go to another. It is not probed, since a probe would take the attempt
-//! that a rejected request is sent again with.
+//! A small share of a shard's first attempts checks an upstream that rejects, since a first
+//! attempt that is rejected can still go to another one. Such an upstream isn't probed, since the
+//! probe would use up the attempt with which a rejected request is sent again.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// How far one rejection moves the rate towards 1.
+/// How far one rejection moves the rate towards 1, as a fraction of the distance.
 const GAIN: f64 = 0.5;
 
-/// What an answer leaves of the rate.
-const KEPT: f64 = 0.6;
+/// The factor by which an answer lowers the rate.
+const ANSWER_DECAY: f64 = 0.6;
 
-/// After this time without news half of the rate is left.
+/// The rate halves in this time without a rejection or an answer.
 const HALF_LIFE: Duration = Duration::from_secs(30);
 
-/// One that is passed over is checked once nothing was heard of it for this time.
-const CHECKED_AFTER: Duration = Duration::from_secs(2);
+/// An upstream that rejects is due for a check after this time without a rejection or an answer.
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The share of a shard's first attempts that are checks: each of them may be rejected, and
-/// takes an attempt that another replica is needed for.
+/// The fraction of a shard's first attempts that are checks. Each check may be rejected and then
+/// uses up an attempt that is needed for another replica.
 pub const CHECK_FRACTION: f64 = 1.0 / 16.0;
 
-/// An answer shows for this time that an upstream takes its requests.
-const SHOWN_FOR: Duration = Duration::from_secs(2);
+/// For this time an answer counts as evidence that an upstream accepts requests.
+const ANSWER_TTL: Duration = Duration::from_secs(2);
 
-/// An upstream that rejects at this rate is passed over beside one that rejects half as
-/// often.
-const PASSED_OVER: f64 = 0.25;
+/// The rate from which an upstream counts as rejecting; it then ranks behind those that reject
+/// half as often or less.
+const REJECTING_RATE: f64 = 0.25;
 
-/// How much of the cost a rate counts at the most: a rejected request is sent once more.
-const MOST_COUNTED: f64 = 0.8;
+/// The highest rate that counts towards the cost: a rejected request is sent once more.
+const MAX_COST_RATE: f64 = 0.8;
 
-/// The rate at which an upstream rejects requests.
+/// The rate at which an upstream rejects requests, as a decaying average.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Rejections {
     rate: f64,
-    /// When it last rejected or answered.
-    heard: Option<Instant>,
-    /// When it last answered.
-    answered: Option<Instant>,
+    /// The time of the last rejection or answer.
+    last_outcome: Option<Instant>,
+    /// The time of the last answer.
+    last_answer: Option<Instant>,
 }
 
 impl Rejections {
-    /// Takes a rejection.
+    /// Records a rejection.
     pub fn record_rejection(&mut self, now: Instant) {
         let rate = self.rate(now);
-        *self = Self { rate: rate + (1.0 - rate) * GAIN, heard: Some(now), ..*self };
+        *self = Self { rate: rate + (1.0 - rate) * GAIN, last_outcome: Some(now), ..*self };
     }
 
-    /// Takes an answer.
+    /// Records an answer.
     pub fn record_answer(&mut self, now: Instant) {
-        *self = Self { rate: self.rate(now) * KEPT, heard: Some(now), answered: Some(now) };
+        *self = Self { rate: self.rate(now) * ANSWER_DECAY, last_outcome: Some(now), last_answer: Some(now) };
     }
 
-    /// Returns the rate, from 0 to 1; it fades while nothing is heard.
+    /// Returns the rate, from 0 to 1; it decays while no outcome is recorded.
     #[must_use]
     pub fn rate(&self, now: Instant) -> f64 {
-        let Some(heard) = self.heard.filter(|_| self.rate > 0.0) else { return 0.0 };
-        let age = now.saturating_duration_since(heard).as_secs_f64();
+        let Some(last_outcome) = self.last_outcome.filter(|_| self.rate > 0.0) else { return 0.0 };
+        let age = now.saturating_duration_since(last_outcome).as_secs_f64();
         self.rate * 0.5_f64.powf(age / HALF_LIFE.as_secs_f64())
     }
 
-    /// Says whether an upstream with these rejections is passed over beside one with others.
+    /// Returns whether an upstream with these rejections ranks behind one with `other`.
     #[must_use]
     pub fn ranks_behind(&self, other: &Self, now: Instant) -> bool {
         let rate = self.rate(now);
-        rate >= PASSED_OVER && other.rate(now) * 2.0 <= rate
+        rate >= REJECTING_RATE && other.rate(now) * 2.0 <= rate
     }
 
-    /// Returns for how long nothing was heard of an upstream that is due to be checked.
+    /// Returns the time since the last rejection or answer where a check is due, else `None`.
     #[must_use]
     pub fn check_due(&self, now: Instant) -> Option<Duration> {
-        let quiet = now.saturating_duration_since(self.heard?);
-        (self.is_rejecting(now) && quiet >= CHECKED_AFTER).then_some(quiet)
+        let quiet = now.saturating_duration_since(self.last_outcome?);
+        (self.is_rejecting(now) && quiet >= CHECK_INTERVAL).then_some(quiet)
     }
 
-    /// Says whether it answered a moment ago.
+    /// Returns whether the upstream answered recently.
     #[must_use]
     pub fn answered_recently(&self, now: Instant) -> bool {
-        self.answered.is_some_and(|at| now.saturating_duration_since(at) < SHOWN_FOR)
+        self.last_answer.is_some_and(|at| now.saturating_duration_since(at) < ANSWER_TTL)
     }
 
-    /// Says whether it rejects so often that others go first.
+    /// Returns whether the upstream rejects so often that others are preferred.
     #[must_use]
     pub fn is_rejecting(&self, now: Instant) -> bool {
-        self.rate(now) >= PASSED_OVER
+        self.rate(now) >= REJECTING_RATE
     }
 
-    /// Returns by how much the expected time of a request grows.
+    /// Returns the factor by which rejections raise the expected time of a request.
     #[must_use]
     pub fn cost_factor(&self, now: Instant) -> f64 {
-        1.0 / (1.0 - self.rate(now).min(MOST_COUNTED))
+        1.0 / (1.0 - self.rate(now).min(MAX_COST_RATE))
     }
 }
--- a/crates/harefield/src/domain/routing/relays.rs
+++ b/crates/harefield/src/domain/routing/relays.rs
@@ -1,5 +1,5 @@
-//! Daemons that groups of shards may be handed to: which one is handed one, and which
-//! are left alone for a while.
+//! The daemons that groups of shards can be delegated to ("relays"): which of them are available,
+//! and which are backed off.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -11,46 +11,46 @@
 use crate::domain::backoff::backoff;
 use crate::domain::ids::HostId;
 
-/// The first pause after a daemon did not answer; it doubles with each further
-/// one.
+/// The first backoff after a daemon did not answer or declined; it doubles with each further one.
 const BACKOFF: Duration = Duration::from_millis(500);
 
-/// The longest such pause.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(8);
+/// The longest backoff.
+const MAX_BACKOFF: Duration = Duration::from_secs(8);
 
-/// A daemon is silent once a group is out for this many times the usual time.
+/// A daemon counts as silent when a group takes more than this many times the usual time.
 const SILENT_FACTOR: f64 = 2.5;
 
-/// The least time that shows that a daemon is silent: a pause of its replicas is
-/// not its own, and it waits for them up to the time that it was given.
-const SILENT_LEAST: Duration = Duration::from_millis(150);
+/// The minimum time after which a daemon counts as silent. A daemon waits for its replicas up to
+/// the time that it was given, and a pause of a replica isn't a pause of the daemon.
+const SILENT_MIN: Duration = Duration::from_millis(150);
 
-/// The way to an availability zone of another region before it was measured, there
-/// and back: the users' regions lie 8 and 12 ms apart.
-const FIRST_FAR_WAY: Duration = Duration::from_millis(24);
+/// The assumed round-trip time to an availability zone of another region before it was measured;
+/// the users' regions are 8 and 12 ms apart.
+const INITIAL_FAR_RTT: Duration = Duration::from_millis(24);
 
-/// The same for one of the own region: up to 0.9 ms each way, and the messages.
-const FIRST_WAY: Duration = Duration::from_millis(4);
+/// The assumed round-trip time to another availability zone of the same region: up to 0.9 ms in
+/// each direction, plus processing the messages.
+const INITIAL_RTT: Duration = Duration::from_millis(4);
 
-/// How fast what was learnt follows what is seen.
+/// The weight of a sample in the moving average of the round-trip time.
 const GAIN: f64 = 0.2;
 
-/// Another daemon as it is seen.
+/// The state of another daemon, from the membership.
 #[derive(Clone, Debug)]
 pub struct RelayStatus {
-    /// The daemon.
+    /// The name of the daemon.
     pub host: HostId,
     /// Its availability zone.
     pub zone: Arc<str>,
-    /// Whether that is in another region.
+    /// Whether the zone is in another region than this daemon.
     pub other_region: bool,
-    /// Whether it is seen to answer.
+    /// Whether the daemon answers gossip.
     pub live: bool,
-    /// What it can carry, in thousandths of a core.
+    /// Its CPU capacity, in thousandths of a core.
     pub capacity: u32,
 }
 
-/// One daemon that groups may be handed to.
+/// One daemon that groups can be delegated to.
 #[derive(Clone, Debug)]
 struct Relay {
     zone: Arc<str>,
@@ -61,20 +61,21 @@
     retry_at: Option<Instant>,
 }
 
-/// How a group that was handed to a daemon ended.
+/// How a group that was delegated to a daemon ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayOutcome {
-    /// It answered; the time that the message and the answer travelled.
+    /// The daemon answered; holds the round-trip time of the messages.
     Answered(Duration),
-    /// It answered that it does not take the group.
+    /// The daemon answered that it doesn't take the group.
     Declined,
-    /// It did not answer.
+    /// The daemon didn't answer.
     Silent,
-    /// Nobody waits for it any more.
+    /// The answer isn't awaited any more.
     Abandoned,
 }
 
-/// The daemons that groups of shards may be handed to.
+/// The daemons that groups of shards can be delegated to, with the latency of groups by kind of
+/// request and the round-trip times by availability zone.
 #[derive(Clone, Debug, Default)]
 pub struct Relays {
     hosts: BTreeMap<HostId, Relay>,
@@ -83,11 +84,15 @@
 }
 
 impl Relays {
-    /// Takes the other daemons as they are seen now.
-    pub fn update(&mut self, seen: impl IntoIterator<Item = RelayStatus>) {
+    /// Replaces the set of known daemons; those that stay keep their groups in flight and backoff.
+    pub fn update(&mut self, daemons: impl IntoIterator<Item = RelayStatus>) {
         let mut hosts = BTreeMap::new();
-        for RelayStatus { host, zone, other_region: far, live, capacity } in seen {
-            self.rtts.entry(Arc::clone(&zone)).or_insert(if far { FIRST_FAR_WAY } else { FIRST_WAY });
+        for RelayStatus { host, zone, other_region, live, capacity } in daemons {
+            self.rtts.entry(Arc::clone(&zone)).or_insert(if other_region {
+                INITIAL_FAR_RTT
+            } else {
+                INITIAL_RTT
+            });
             let relay = match self.hosts.remove(&host) {
                 Some(known) => Relay { zone, live, capacity, ..known },
                 None => Relay { zone, live, capacity, starts: Vec::new(), failures: 0, retry_at: None },
@@ -97,8 +102,8 @@
         self.hosts = hosts;
     }
 
-    /// Returns the availability zones that have a daemon to hand groups to, of those
-    /// that may be handed one.
+    /// Returns the availability zones in which a daemon is available, of those for which `may`
+    /// holds.
     #[must_use]
     pub fn zones(&self, kind: &Arc<str>, now: Instant, may: impl Fn(&HostId) -> bool) -> Vec<Arc<str>> {
         let usable = self.usable(kind, now).filter(|(host, _)| may(host));
@@ -108,8 +113,8 @@
         zones
     }
 
-    /// Returns the daemons of an availability zone with the fewest groups under way,
-    /// of those that may be handed one.
+    /// Returns the available daemons of an availability zone with the fewest groups in flight, of
+    /// those for which `may` holds.
     #[must_use]
     pub fn least_busy(
         &self,
@@ -125,8 +130,8 @@
         equal.map(|(host, _)| Arc::clone(host)).collect()
     }
 
-    /// Returns the daemons that may be handed groups, with their availability zones and
-    /// what they can carry.
+    /// Returns the available daemons with their availability zones and CPU capacities, in
+    /// thousandths of a core.
     pub fn capacities(
         &self,
         kind: &Arc<str>,
@@ -135,15 +140,15 @@
         self.usable(kind, now).map(|(host, relay)| (host, &relay.zone, relay.capacity))
     }
 
-    /// Returns how long a message and its answer travel to a daemon and back.
+    /// Returns the round-trip time to a daemon.
     #[must_use]
     pub fn rtt_of(&self, host: &HostId) -> Duration {
-        self.hosts.get(host).map_or(FIRST_FAR_WAY, |relay| self.rtt_to(&relay.zone))
+        self.hosts.get(host).map_or(INITIAL_FAR_RTT, |relay| self.rtt_to(&relay.zone))
     }
 
     fn usable(&self, kind: &Arc<str>, now: Instant) -> impl Iterator<Item = (&HostId, &Relay)> {
         let usual = self.latency(kind).mean();
-        let silent_after = usual.mul_f64(SILENT_FACTOR).max(SILENT_LEAST);
+        let silent_after = usual.mul_f64(SILENT_FACTOR).max(SILENT_MIN);
         self.hosts.iter().filter(move |(_, relay)| {
             let oldest = relay.starts.iter().min();
             let silent = oldest.is_some_and(|start| now.saturating_duration_since(*start) > silent_after);
@@ -151,54 +156,53 @@
         })
     }
 
-    /// Returns how long a message and its answer travel to an availability zone and
-    /// back.
+    /// Returns the round-trip time to an availability zone.
     #[must_use]
     pub fn rtt_to(&self, zone: &str) -> Duration {
-        self.rtts.get(zone).copied().unwrap_or(FIRST_FAR_WAY)
+        self.rtts.get(zone).copied().unwrap_or(INITIAL_FAR_RTT)
     }
 
-    /// Returns the pace of groups of a kind of request.
+    /// Returns the latency of groups of a kind of request.
     #[must_use]
     pub fn latency(&self, kind: &Arc<str>) -> LatencyStats {
         self.latencies.get(kind).cloned().unwrap_or_default()
     }
 
-    /// Notes a group that leaves for a daemon.
+    /// Records that a group is sent to a daemon.
     pub fn begin(&mut self, host: &HostId, now: Instant) {
         if let Some(relay) = self.hosts.get_mut(host) {
             relay.starts.push(now);
         }
     }
 
-    /// Notes how the group that left at `start` ended.
+    /// Records how the group that was sent at `start` ended.
     pub fn end(
         &mut self,
         host: &HostId,
         kind: &Arc<str>,
         start: Instant,
-        verdict: RelayOutcome,
+        outcome: RelayOutcome,
         now: Instant,
     ) {
         let took = now.saturating_duration_since(start);
-        // One that was given up would have taken longer still: else only the
-        // quick ones would ever count.
-        if let RelayOutcome::Answered(_) | RelayOutcome::Silent = verdict {
+        // A group without an answer would have taken longer still. Without it only quick groups
+        // would be counted.
+        if let RelayOutcome::Answered(_) | RelayOutcome::Silent = outcome {
             self.latencies.entry(Arc::clone(kind)).or_default().record(took);
         }
         let Some(relay) = self.hosts.get_mut(host) else { return };
-        if let Some(at) = relay.starts.iter().position(|held| *held == start) {
+        if let Some(at) = relay.starts.iter().position(|sent| *sent == start) {
             relay.starts.swap_remove(at);
         }
-        match verdict {
-            RelayOutcome::Answered(way) => {
+        match outcome {
+            RelayOutcome::Answered(rtt) => {
                 relay.failures = 0;
                 relay.retry_at = None;
-                let held = self.rtts.entry(Arc::clone(&relay.zone)).or_insert(way);
-                *held = held.mul_f64(1.0 - GAIN) + way.mul_f64(GAIN);
+                let average = self.rtts.entry(Arc::clone(&relay.zone)).or_insert(rtt);
+                *average = average.mul_f64(1.0 - GAIN) + rtt.mul_f64(GAIN);
             }
             RelayOutcome::Silent | RelayOutcome::Declined => {
-                relay.retry_at = Some(now + backoff(BACKOFF, relay.failures, LONGEST_BACKOFF));
+                relay.retry_at = Some(now + backoff(BACKOFF, relay.failures, MAX_BACKOFF));
                 relay.failures = relay.failures.saturating_add(1);
             }
             RelayOutcome::Abandoned => {}
--- a/crates/harefield/src/domain/routing/report.rs
+++ b/crates/harefield/src/domain/routing/report.rs
@@ -1,4 +1,4 @@
-//! What attempts show of upstreams, and when an upstream may be asked again.
+//! The outcomes of attempts, the load that upstreams report, and why upstreams are excluded.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -6,60 +6,60 @@
 use crate::domain::outcome::Gap;
 use crate::domain::word::Word;
 
-/// What an upstream reports of its load.
+/// The load that an upstream reports with a reply.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Requests it runs.
+    /// Requests that are running.
     pub active: u32,
     /// Requests that wait for a slot.
     pub queued: u32,
-    /// How long work takes there at this moment, in percent of the usual time; none from
-    /// upstreams that do not say so.
+    /// How long work takes at the moment, in percent of the usual time; `None` from upstreams
+    /// that don't report it.
     pub slowness: Option<u32>,
 }
 
-/// What one attempt showed of an upstream.
+/// What the reply to an attempt says about the upstream itself.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// The load that the reply carried.
+    /// The load, if the reply contained one.
     pub load: Option<Load>,
-    /// The upstream's word that the reply carried.
+    /// The upstream's announcement, if the reply contained one.
     pub announcement: Option<Word>,
 }
 
-/// When an upstream that may not be asked now may be asked again.
+/// When the exclusion of an upstream ends; the variants are in order of time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ExclusionEnd {
-    /// When a request under way ends.
+    /// When a request in flight ends or the lease is renewed.
     Soon,
-    /// At this time.
+    /// At a point in time.
     At(Instant),
-    /// Not while the facts stay as they are.
+    /// Not before the configuration or the state of the upstream changes.
     Never,
 }
 
-/// Why an upstream may not be asked, and until when.
+/// Why an upstream can't be selected, and until when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Exclusion {
-    /// The reason, as the gap it would leave.
+    /// The reason, as the gap that the shard has in the answer if no other replica serves it.
     pub gap: Gap,
-    /// Until when it holds.
+    /// When the reason ends.
     pub until: ExclusionEnd,
 }
 
-/// How one attempt ended, as far as routing is concerned.
+/// The outcome of one attempt, as far as routing is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It was answered.
+    /// The upstream answered.
     Succeeded,
-    /// It was refused since the upstream is full, until then if it said.
+    /// The upstream rejected the attempt because of its load; holds the retry-after if it sent one.
     Rejected(Option<Duration>),
-    /// It was refused for a reason that says nothing of the upstream's load.
+    /// The attempt was refused for a reason that says nothing about the upstream's load.
     Declined,
-    /// It was given up; the time so far is the least that it would have taken.
+    /// The attempt was abandoned; the reply would have taken at least the time so far.
     Abandoned,
-    /// It was sent, and its reply was lost or no use.
+    /// The attempt was sent, and its reply was lost or unusable.
     Lost,
-    /// No connection could be had, or the upstream failed.
+    /// No connection could be opened, or the upstream failed.
     Failed,
 }
--- a/crates/harefield/src/domain/routing/router.rs
+++ b/crates/harefield/src/domain/routing/router.rs
@@ -1,7 +1,6 @@
-//! The router of one worker: every upstream's state, and what attempts show of it.
+//! The router of one worker: the state of every upstream, updated from views and attempts.
 //!
-//! How a replica is chosen stands in `choice`, what concerns other availability
-//! zones in `zones`.
+//! Replica selection is in `choice`, everything about other availability zones in `zones`.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -34,7 +33,7 @@
 use crate::domain::word::NamedWord;
 use crate::domain::word::Word;
 
-/// Routes the requests of one worker.
+/// Routes the requests of one worker: selects replicas and limits the load on upstreams.
 #[derive(Debug)]
 pub struct Router {
     pub(super) upstreams: HashMap<UpstreamId, UpstreamState>,
@@ -43,30 +42,30 @@
     budgets: Budgets,
     pub(super) places: Places,
     pub(super) relays: Relays,
-    /// How many daemons share connections at the least.
+    /// The minimum number of daemons that are assumed to share an upstream's connections.
     min_sharers: u32,
     cells: Cells,
     pub(super) local: LocalDaemon,
-    /// The time that a shard takes here, learnt.
+    /// The measured time that one shard takes this daemon.
     shard_time: ShardTime,
     pub(super) lease: Lease,
-    /// When this daemon began to know others.
+    /// Whether this daemon knows the others well enough to send to cold upstreams.
     pub(super) startup: StartupDelay,
     seed: u64,
 }
 
-/// This daemon, as others see it.
+/// This daemon and the worker that a router belongs to.
 #[derive(Clone, Debug)]
 pub struct LocalDaemon {
-    /// Its name.
+    /// The name of the daemon.
     pub host: HostId,
-    /// What it can carry, in thousandths of a core.
+    /// The daemon's CPU capacity, in thousandths of a core.
     pub capacity: u32,
-    /// How many workers it has, each with a router.
+    /// How many workers the daemon has, each with a router.
     pub workers: u32,
-    /// The number of this one among them.
+    /// The index of this worker among them.
     pub worker: u32,
-    /// Whether there are to be other daemons, by its settings.
+    /// Whether other daemons are expected, by the settings.
     pub expects_peers: bool,
 }
 
@@ -77,11 +76,11 @@
 }
 
 impl LocalDaemon {
-    /// Returns this worker's part of what its daemon may send to a cold upstream.
-    fn cold_part(&self, allowance: Allowance) -> Allowance {
+    /// Returns this worker's quota of what its daemon may send to a cold upstream.
+    fn cold_quota(&self, allowance: Allowance) -> Allowance {
         let workers = self.workers.max(1);
-        let part = allowance.quota / workers + u32::from(self.worker < allowance.quota % workers);
-        Allowance { quota: part, ..allowance }
+        let quota = allowance.quota / workers + u32::from(self.worker < allowance.quota % workers);
+        Allowance { quota, ..allowance }
     }
 }
 
@@ -106,17 +105,17 @@
         }
     }
 
-    /// Takes where this daemon and the availability zones are.
+    /// Sets the availability zone of this daemon and the regions of all zones.
     #[must_use]
     pub fn with_places(mut self, places: Places) -> Self {
         self.places = places;
         self
     }
 
-    /// Takes which daemon this is.
+    /// Sets which daemon and worker this router belongs to.
     #[must_use]
-    pub fn with_local(mut self, own: LocalDaemon) -> Self {
-        self.local = own;
+    pub fn with_local(mut self, local: LocalDaemon) -> Self {
+        self.local = local;
         self
     }
 
@@ -126,24 +125,25 @@
         self.shard_time.whole_core()
     }
 
-    /// Takes how long it took here to choose and send some shards' requests.
+    /// Records how long choosing replicas and sending the requests of `shards` shards took.
     pub fn record_sending(&mut self, shards: usize, took: Duration) {
         self.shard_time.record(shards, took, self.local.capacity);
     }
 
-    /// Takes how many daemons share connections at the least, whatever is known.
+    /// Sets the minimum number of daemons that are assumed to share an upstream's connections,
+    /// also where the view shows fewer.
     #[must_use]
     pub fn with_sharers(mut self, daemons: u32) -> Self {
         self.min_sharers = daemons.max(1);
         self
     }
 
-    /// Takes how many daemons there are: they share the budgets.
+    /// Sets how many daemons there are; they share the budgets.
     pub fn set_daemons(&mut self, daemons: u32) {
         self.budgets.set_daemons(daemons.max(1));
     }
 
-    /// Draws a number below `count`, which is at least 1.
+    /// Draws a random number below `count`; returns 0 where `count` is 0.
     pub fn draw_below(&mut self, count: usize) -> usize {
         let draw = self.draw();
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "it is a small count")]
@@ -152,40 +152,40 @@
         at.min(count.saturating_sub(1))
     }
 
-    /// Takes a new view: upstreams come and go, their state otherwise stays.
+    /// Applies a new view: adds and removes upstreams, and keeps the state of those that stay.
     pub fn apply(&mut self, view: &View, now: Instant) {
-        let own = &view.upstreams;
+        let specs = &view.upstreams;
         let longest = longest_deadline(view);
-        let begun = |name: &UpstreamId, s: &UpstreamState| {
-            s.left_within(longest, now) && named(view, name, s).is_some()
+        let in_use = |name: &UpstreamId, s: &UpstreamState| {
+            s.left_within(longest, now) && spec_of(view, name, s).is_some()
         };
-        self.upstreams.retain(|name, s| own.contains_key(name) || s.in_flight() > 0 || begun(name, s));
-        for (name, upstream) in own {
+        self.upstreams.retain(|name, s| specs.contains_key(name) || s.in_flight() > 0 || in_use(name, s));
+        for (name, upstream) in specs {
             let OwnUpstream { spec, sharers, rank, connections, cold } = upstream;
-            let cold = cold.map(|cold| self.local.cold_part(cold));
+            let cold = cold.map(|cold| self.local.cold_quota(cold));
             let sharers = (*sharers).max(self.min_sharers);
             let share = connection_share(*connections, sharers);
             self.budgets.set_clients(services_of(spec), sharers, *rank);
-            let searcher = self
+            let state = self
                 .upstreams
                 .entry(Arc::clone(name))
                 .and_modify(|s| s.update(spec, share, now))
                 .or_insert_with(|| UpstreamState::new(Arc::clone(spec), sharers, share).with_cold(now));
-            searcher.cold.set_allowance(cold);
-            searcher.set_distance(self.places.distance(&spec.zone));
-            searcher.join_cell();
-            list(searcher, spec, view, now);
+            state.cold.set_allowance(cold);
+            state.set_distance(self.places.distance(&spec.zone));
+            state.join_cell();
+            apply_status(state, spec, view, now);
         }
-        for (name, searcher) in &mut self.upstreams {
-            if own.contains_key(name) {
+        for (name, state) in &mut self.upstreams {
+            if specs.contains_key(name) {
                 continue;
             }
-            searcher.leave_cell(now);
-            // Requests that began before the cell moved may go on; the upstream's own state
-            // binds them as before.
-            match named(view, name, searcher) {
-                Some(spec) => list(searcher, spec, view, now),
-                None => searcher.set_leaving(true),
+            state.leave_cell(now);
+            // Requests that began before this daemon left the upstream's cell may continue; the
+            // state of the upstream limits them as before.
+            match spec_of(view, name, state) {
+                Some(spec) => apply_status(state, spec, view, now),
+                None => state.set_leaving(true),
             }
         }
         self.cells.clone_from(&view.cells);
@@ -198,15 +198,15 @@
         }
     }
 
-    /// Returns whether a daemon may dial the upstreams of an index, as far as
-    /// known: all may where nobody says who does.
+    /// Returns whether a daemon may connect to the upstreams of an index. All daemons may where
+    /// no cell is known.
     #[must_use]
     pub fn is_member(&self, index: &str, host: &HostId) -> bool {
         let cell = self.cells.get(index);
         cell.is_none_or(|cell| cell.is_empty() || cell.contains(host))
     }
 
-    /// Returns the state of an upstream.
+    /// Returns the state of an upstream; `None` for an unknown one.
     #[must_use]
     pub fn upstream(&self, name: &UpstreamId) -> Option<&UpstreamState> {
         self.upstreams.get(name)
@@ -217,7 +217,7 @@
         self.upstreams.iter()
     }
 
-    /// Returns the lease on what the router knows.
+    /// Returns the lease that permits this worker to send.
     #[must_use]
     pub fn lease(&self) -> &Lease {
         &self.lease
@@ -228,105 +228,106 @@
         &mut self.lease
     }
 
-    /// Returns the pace of a kind of request.
+    /// Returns the latency of a kind of request.
     #[must_use]
     pub fn latency(&self, kind: &Arc<str>) -> LatencyStats {
         self.latencies.get(kind).cloned().unwrap_or_default()
     }
 
-    /// Returns whether an upstream may serve a version, load aside.
+    /// Returns whether an upstream may serve a version; its load isn't considered.
     #[must_use]
     pub fn can_serve(&self, name: &UpstreamId, version: Version) -> bool {
         self.upstreams.get(name).is_some_and(|s| s.may_serve(version).is_ok())
     }
 
-    /// Draws a number in 0..1 from the router's own seeded sequence.
+    /// Draws a random number in 0..1 from the router's own seeded sequence.
     pub(super) fn draw(&mut self) -> f64 {
         self.seed = self.seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         let high = u32::try_from(self.seed >> 32).unwrap_or(0);
         f64::from(high) / f64::from(u32::MAX)
     }
 
-    /// Notes a request that leaves for an upstream.
+    /// Records that a request is sent to an upstream.
     pub fn begin(&mut self, name: &UpstreamId, now: Instant) {
-        if let Some(searcher) = self.upstreams.get_mut(name) {
-            searcher.begin(now);
+        if let Some(state) = self.upstreams.get_mut(name) {
+            state.begin(now);
         }
     }
 
-    /// Notes how a request ended.
+    /// Records the outcome of the request that was sent at `start`.
     pub fn end(
         &mut self,
         name: &UpstreamId,
         start: Instant,
-        verdict: AttemptOutcome,
+        outcome: AttemptOutcome,
         report: &Report,
         now: Instant,
     ) {
-        let way = self.rtt_to(name).as_secs_f64();
-        if let Some(searcher) = self.upstreams.get_mut(name) {
-            searcher.set_rtt(way);
-            searcher.end(start, verdict, report, now);
+        let rtt = self.rtt_to(name).as_secs_f64();
+        if let Some(state) = self.upstreams.get_mut(name) {
+            state.set_rtt(rtt);
+            state.end(start, outcome, report, now);
         }
     }
 
-    /// Takes a good reply's time into the pace of its kind of request, less its
-    /// way.
+    /// Records the time of a good reply, less the round-trip time, in the latency of its kind of
+    /// request.
     pub fn record_latency(&mut self, kind: &Arc<str>, name: &UpstreamId, took: Duration) {
-        let own = took.saturating_sub(self.rtt_to(name));
-        self.latencies.entry(Arc::clone(kind)).or_default().record(own);
+        let time = took.saturating_sub(self.rtt_to(name));
+        self.latencies.entry(Arc::clone(kind)).or_default().record(time);
     }
 
-    /// Takes an upstream's word; returns whether it was news.
-    pub fn merge_announcement(&mut self, name: &UpstreamId, word: &Word) -> bool {
-        self.upstreams.get_mut(name).is_some_and(|s| s.merge_announcement(word))
+    /// Merges an upstream's announcement; returns whether it was new.
+    pub fn merge_announcement(&mut self, name: &UpstreamId, announcement: &Word) -> bool {
+        self.upstreams.get_mut(name).is_some_and(|s| s.merge_announcement(announcement))
     }
 
-    /// Takes words that peers passed on.
-    pub fn merge_announcements(&mut self, words: &[NamedWord]) {
-        for named in words {
+    /// Merges announcements that peers passed on.
+    pub fn merge_announcements(&mut self, announcements: &[NamedWord]) {
+        for named in announcements {
             self.merge_announcement(&named.upstream, &named.word);
         }
     }
 
-    /// Takes that an upstream ended or could not be reached: it may start again, and be cold.
+    /// Records that an upstream ended or couldn't be reached: it may restart, and then be cold.
     pub fn record_down(&mut self, name: &UpstreamId, now: Instant) {
-        if let Some(searcher) = self.upstreams.get_mut(name) {
-            searcher.cold.assume_cold(now);
+        if let Some(state) = self.upstreams.get_mut(name) {
+            state.cold.assume_cold(now);
         }
     }
 
-    /// Takes how many idle connections an upstream has.
+    /// Sets how many idle connections to an upstream are open.
     pub fn set_idle(&mut self, name: &UpstreamId, idle: usize) {
-        if let Some(searcher) = self.upstreams.get_mut(name) {
-            searcher.set_idle(idle);
+        if let Some(state) = self.upstreams.get_mut(name) {
+            state.set_idle(idle);
         }
     }
 
-    /// Returns the budget that extra load on a shard is paid from.
+    /// Returns the budget that pays for the extra attempts on a shard.
     pub fn budget(&mut self, shard: &ShardId) -> &mut Budget {
         self.budgets.for_shard(shard)
     }
 }
 
-/// Returns what a view says of an upstream; none where it names no such start of it.
-fn named<'a>(view: &'a View, name: &UpstreamId, searcher: &UpstreamState) -> Option<&'a Arc<Upstream>> {
-    view.set.upstreams.get(name).filter(|spec| searcher.same_incarnation(spec))
+/// Returns the specification of an upstream in a view; `None` where the view doesn't have this
+/// incarnation of it.
+fn spec_of<'a>(view: &'a View, name: &UpstreamId, state: &UpstreamState) -> Option<&'a Arc<Upstream>> {
+    view.set.upstreams.get(name).filter(|spec| state.same_incarnation(spec))
 }
 
-/// Takes what a view says of an upstream that may be asked.
-fn list(searcher: &mut UpstreamState, spec: &Upstream, view: &View, now: Instant) {
-    searcher.set_leaving(spec.leaving || view.leaving.contains(&spec.address));
-    searcher.set_evacuated(view.evacuated.contains(&spec.zone), now);
+/// Applies whether an upstream is leaving or evacuated by a view.
+fn apply_status(state: &mut UpstreamState, spec: &Upstream, view: &View, now: Instant) {
+    state.set_leaving(spec.leaving || view.leaving.contains(&spec.address));
+    state.set_evacuated(view.evacuated.contains(&spec.zone), now);
 }
 
-/// Returns how long a request of a view may take.
+/// Returns the longest deadline of the lookups of a view.
 fn longest_deadline(view: &View) -> Duration {
     let deadlines = view.lookups.values().map(|plan| plan.lookup.deadline_ms);
     Duration::from_millis(deadlines.max().unwrap_or(0))
 }
 
-/// Returns the services that an upstream holds shards of.
+/// Returns the services of the shards that an upstream holds.
 fn services_of(upstream: &Upstream) -> impl Iterator<Item = &str> {
     upstream.holds.iter().map(|shard| service_of(shard))
 }
--- a/crates/harefield/src/domain/routing/upstream_state.rs
+++ b/crates/harefield/src/domain/routing/upstream_state.rs
@@ -1,7 +1,7 @@
-//! What one worker knows of one upstream, and whether it may be asked.
+//! The state of one upstream at one worker, and whether requests may be sent to it.
 //!
-//! How ended requests change that stands in `learning`, what the next request is
-//! expected to take in `estimate`.
+//! `learning` updates the state from finished requests, `estimate` predicts the time of the
+//! next one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 use crate::domain::resources::Upstream;
 use crate::domain::word::Word;
 
-/// One upstream, as one worker sees it.
+/// The state of one upstream at one worker.
 #[derive(Clone, Debug)]
 pub struct UpstreamState {
     pub(super) spec: Arc<Upstream>,
@@ -36,7 +36,7 @@
     pub(super) distance: Distance,
     pub(super) announcement: Word,
     pub(super) listed_leaving: bool,
-    /// When this daemon left the last cell of the upstream; none while it is in one.
+    /// When this daemon left the last cell of the upstream; `None` while it is in one.
     pub(super) left_at: Option<Instant>,
     pub(super) evacuated: bool,
     pub(super) cold: ColdPeriod,
@@ -48,7 +48,8 @@
 }
 
 impl UpstreamState {
-    /// Creates the state of an upstream that nothing is known of yet.
+    /// Creates the state of an upstream without any observations. `sharers` members share its
+    /// slots; `share` is this member's share of its connections.
     #[must_use]
     pub fn new(spec: Arc<Upstream>, sharers: u32, share: u32) -> Self {
         let window = Window::new(spec.slots, sharers, share);
@@ -78,23 +79,23 @@
         }
     }
 
-    /// Takes what its specification says of a cold spell.
+    /// Starts the cold period that the specification reports.
     #[must_use]
     pub(super) fn with_cold(mut self, now: Instant) -> Self {
         self.cold.record_cold(Duration::from_millis(self.spec.cold_ms), now);
         self
     }
 
-    /// Takes a new specification or share of the connections; a new address or start of the
-    /// upstream starts afresh.
+    /// Sets a new specification or share of the connections. A new address or incarnation of the
+    /// upstream resets the state.
     ///
-    /// One that crashed and came back under its name would be left alone for as long as the
-    /// failures of the former one ask for, up to 4 s, and be judged by its times.
+    /// Otherwise an upstream that crashed and restarted under its name would stay backed off for
+    /// the failures of its former incarnation, up to 4 s, and be judged by that one's latency.
     pub fn update(&mut self, spec: &Arc<Upstream>, share: u32, now: Instant) {
         if !self.same_incarnation(spec) {
             let before = std::mem::take(&mut self.cold);
             *self = Self { cold: before, ..Self::new(Arc::clone(spec), 1, share) };
-            // Its entry may be of before its start, and say that it is warm.
+            // Its entry may have been written before it restarted, and report it as warm.
             self.cold.assume_cold(now);
             return;
         }
@@ -106,13 +107,14 @@
         self.window.resize(self.share);
     }
 
-    /// Takes how far it is, which is looked at for each replica of each shard: 180 shards
-    /// are sorted into groups in 93 µs, in place of 105 where it is worked out anew.
+    /// Sets the distance of the upstream. It is stored since it is read for each replica of each
+    /// shard: 180 shards are sorted into groups in 93 µs with it, and in 105 µs when it is computed
+    /// each time.
     pub fn set_distance(&mut self, distance: Distance) {
         self.distance = distance;
     }
 
-    /// Returns the specification.
+    /// Returns the configured specification of the upstream.
     #[must_use]
     pub fn spec(&self) -> &Upstream {
         &self.spec
@@ -124,51 +126,51 @@
         self.share
     }
 
-    /// Returns the upstream's own word.
+    /// Returns what the upstream last announced of itself.
     #[must_use]
     pub fn announcement(&self) -> &Word {
         &self.announcement
     }
 
-    /// Returns how many requests are under way.
+    /// Returns how many requests of this worker are in flight.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.starts.len()
     }
 
-    /// Returns the adaptive limit.
+    /// Returns the adaptive limit on the requests in flight.
     #[must_use]
     pub fn window(&self) -> &Window {
         &self.window
     }
 
-    /// Takes that this daemon is in a cell that may ask the upstream.
+    /// Records that this daemon is in a cell that may send to the upstream.
     pub(super) fn join_cell(&mut self) {
         self.left_at = None;
     }
 
-    /// Takes that this daemon is in no cell any more that may ask the upstream.
+    /// Records that this daemon isn't in any cell that may send to the upstream any more.
     pub(super) fn leave_cell(&mut self, now: Instant) {
         self.left_at.get_or_insert(now);
     }
 
-    /// Says whether this daemon left the upstream's cell less than `time` ago, or not yet.
+    /// Returns whether this daemon is in a cell of the upstream or left it less than `time` ago.
     pub(super) fn left_within(&self, time: Duration, now: Instant) -> bool {
         self.left_at.is_none_or(|at| now.saturating_duration_since(at) < time)
     }
 
-    /// Says whether a specification is of the same start of the upstream.
+    /// Returns whether a specification is of the same address and incarnation of the upstream.
     pub(super) fn same_incarnation(&self, spec: &Upstream) -> bool {
         spec.address == self.spec.address && spec.born == self.spec.born
     }
 
-    /// Takes whether the platform lists the host as leaving.
+    /// Sets whether the platform lists the upstream as leaving.
     pub fn set_leaving(&mut self, leaving: bool) {
         self.listed_leaving = leaving;
     }
 
-    /// Takes whether its availability zone is evacuated; when that is taken back, it may have
-    /// turned cold meanwhile.
+    /// Sets whether its availability zone is evacuated. When an evacuation ends, the upstream is
+    /// assumed to be cold, since it got no requests meanwhile.
     pub fn set_evacuated(&mut self, evacuated: bool, now: Instant) {
         if self.evacuated && !evacuated {
             self.cold.assume_cold(now);
@@ -176,27 +178,28 @@
         self.evacuated = evacuated;
     }
 
-    /// Takes the upstream's word, heard directly or through a peer.
-    pub fn merge_announcement(&mut self, word: &Word) -> bool {
-        self.announcement.join(word)
+    /// Merges an announcement of the upstream, received directly or through a peer; returns
+    /// whether it was new.
+    pub fn merge_announcement(&mut self, announcement: &Word) -> bool {
+        self.announcement.join(announcement)
     }
 
-    /// Takes how many idle connections are open.
+    /// Sets how many idle connections to the upstream are open.
     pub fn set_idle(&mut self, idle: usize) {
         self.idle = idle;
     }
 
-    /// Returns whether the upstream takes no new work.
+    /// Returns whether the upstream takes no new work, as listed or by its own announcement.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         self.listed_leaving || self.announcement.draining
     }
 
-    /// Returns whether new work may be sent to it, load and versions aside.
+    /// Checks that new work may be sent to the upstream; load and versions aren't considered.
     ///
     /// # Errors
     ///
-    /// Returns why not, as the gap it would leave.
+    /// Returns why not, as the gap in the answer.
     pub fn accepts_work(&self) -> Result<(), Gap> {
         if self.is_leaving() {
             return Err(Gap::Leaving);
@@ -204,11 +207,11 @@
         if self.evacuated { Err(Gap::Evacuated) } else { Ok(()) }
     }
 
-    /// Says whether a request may be sent for `version`, or why not.
+    /// Checks that a request for `version` may be sent now.
     ///
     /// # Errors
     ///
-    /// Returns the reason, and until when it holds.
+    /// Returns why not, and when that ends.
     pub fn check_available(&self, version: Version, now: Instant) -> Result<(), Exclusion> {
         self.may_serve(version).map_err(|gap| Exclusion { gap, until: ExclusionEnd::Never })?;
         if let Some(at) = self.retry_at.filter(|at| now < *at) {
@@ -226,17 +229,17 @@
         Ok(())
     }
 
-    /// Returns whether it is left alone for a while after failures.
+    /// Returns whether the upstream is backed off after failures.
     #[must_use]
     pub fn is_backed_off(&self, now: Instant) -> bool {
         self.retry_at.is_some_and(|at| now < at)
     }
 
-    /// Says whether the upstream could serve `version` at all, load aside.
+    /// Checks that the upstream may serve `version`; its load isn't considered.
     ///
     /// # Errors
     ///
-    /// Returns the reason as the gap it would leave.
+    /// Returns why not, as the gap in the answer.
     pub fn may_serve(&self, version: Version) -> Result<(), Gap> {
         self.accepts_work()?;
         if !self.announcement.may_hold(version) {
@@ -245,16 +248,16 @@
         Ok(())
     }
 
-    /// Notes that a request leaves at `now`.
+    /// Records that a request is sent at `now`.
     pub fn begin(&mut self, now: Instant) {
         self.starts.push(now);
         self.cold.record_send(now);
         self.last_sent = Some(now);
     }
 
-    /// Takes how long a request and its reply travel, in seconds: it is taken
-    /// off their time, so that what is observed is the upstream's own time.
-    pub fn set_rtt(&mut self, way: f64) {
-        self.rtt = way;
+    /// Sets the round-trip time, in seconds. It is subtracted from the time of replies, so that
+    /// the observed time is the upstream's own.
+    pub fn set_rtt(&mut self, rtt: f64) {
+        self.rtt = rtt;
     }
 }
