--- a/crates/harefield/src/domain/routing/mod.rs
+++ b/crates/harefield/src/domain/routing/mod.rs
@@ -1,16 +1,15 @@
-//! Which replica is asked, how much is asked of it, and what extra load is spent.
+//! Replica selection, load limits for each upstream, and budgets of extra load.
 //!
-//! A `Router` holds one `Searcher` for each upstream: `learning` takes in what ended
-//! requests show, `estimate` and `policy` say what the next would cost, `choice` picks,
-//! `window` bounds what is under way, `effort` learns what a shard costs this daemon
-//! itself, `readiness` says which connections are kept open. `zones`, `places` and `relays`
-//! are about upstreams and daemons of other availability zones, `sharing` about wide
-//! fan-outs that several daemons carry; `budget` and `budgets` pay for extra load.
+//! A `Router` holds one `UpstreamState` for each upstream: `learning` and `rejections` update it
+//! from finished requests, `estimate` and `policy` predict the cost of the next one, `choice`
+//! selects a replica, `window` limits the requests in flight, `shard_time` measures the work of
+//! this daemon for each shard, `readiness` decides how many connections are kept open. `zones`
+//! and `relays` deal with upstreams and daemons in other availability zones, `sharing` with wide
+//! fan-outs that are split among several daemons; `budget` and `budgets` limit extra load.
 
 mod budget;
 mod budgets;
 mod choice;
-mod effort;
 mod estimate;
 mod learning;
 mod pace;
@@ -20,37 +19,38 @@
 mod relays;
 mod report;
 mod router;
-mod searcher;
-mod settled;
+mod shard_time;
 mod sharing;
+mod startup_delay;
+mod upstream_state;
 mod window;
 mod zones;
 
 pub use budget::Budget;
 pub use budgets::Budgets;
 pub use budgets::FleetSlack;
-pub use budgets::RERUN_SHARE;
-pub use budgets::part;
-pub use budgets::rerun_part;
-pub use choice::Ask;
+pub use budgets::MAX_RERUN_SHARE;
+pub use budgets::quota;
+pub use budgets::rerun_quota;
 pub use choice::Choice;
-pub use effort::LEAST_SHARDS;
-pub use pace::Pace;
+pub use choice::ChoiceRequest;
+pub use pace::LatencyStats;
 pub use policy::Policy;
-pub use relays::RelayVerdict;
+pub use relays::RelayOutcome;
+pub use relays::RelayStatus;
 pub use relays::Relays;
-pub use relays::Seen;
-pub use report::Bar;
+pub use report::AttemptOutcome;
+pub use report::Exclusion;
+pub use report::ExclusionEnd;
 pub use report::Load;
 pub use report::Report;
-pub use report::Until;
-pub use report::Verdict;
-pub use router::Own;
+pub use router::LocalDaemon;
 pub use router::Router;
-pub use searcher::Searcher;
-pub use sharing::Allowance;
-pub use sharing::Carrier;
-pub use sharing::Portion;
-pub use sharing::Wanted;
-pub use sharing::share;
+pub use shard_time::MIN_SAMPLE_SHARDS;
+pub use sharing::Assignment;
+pub use sharing::Delegate;
+pub use sharing::DelegationLimits;
+pub use sharing::PendingShard;
+pub use sharing::assign_shards;
+pub use upstream_state::UpstreamState;
 pub use window::Window;
