--- a/crates/harefield/src/adapters/upstreams/protocol.rs
+++ b/crates/harefield/src/adapters/upstreams/protocol.rs
@@ -15,7 +15,7 @@
 use super::Reading;
 use super::lost;
 use crate::domain::fanout::AttemptEnd;
-use crate::domain::fanout::Echo;
+use crate::domain::fanout::ReplyIdentity;
 use crate::domain::fanout::verify;
 use crate::domain::outcome::Gap;
 use crate::domain::reply::Reply;
@@ -94,8 +94,8 @@
     headers.get(name)?.to_str().ok()
 }
 
-fn read_echo(headers: &HeaderMap) -> Option<Echo> {
-    Some(Echo {
+fn read_echo(headers: &HeaderMap) -> Option<ReplyIdentity> {
+    Some(ReplyIdentity {
         request: text(headers, "harefield-request")?.to_owned(),
         shard: text(headers, "harefield-shard")?.to_owned(),
         version: text(headers, "harefield-snapshot")?.parse().ok()?,
--- a/crates/harefield/src/domain/fanout/sending.rs
+++ b/crates/harefield/src/domain/fanout/attempts.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use super::context::StepContext;
 use super::machine::Fanout;
 use super::shard::Action;
-use super::shard::Flight;
 use super::shard::Hedge;
-use super::shard::Send;
-use super::step::Step;
+use super::shard::InFlight;
+use super::shard::SendAttempt;
 use crate::domain::event::Cause;
 use crate::domain::event::Event;
 use crate::domain::event::Sink;
@@ -22,19 +22,24 @@
 use crate::domain::routing::Until;
 
 /// How often a shard that waits for room asks again.
-const POLL_EVERY: Duration = Duration::from_millis(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// How often a hedge that the budget denied asks again.
-const DENIED_EVERY: Duration = Duration::from_millis(10);
+const DENIED_INTERVAL: Duration = Duration::from_millis(10);
 
 impl Fanout {
-    pub(super) fn retry<S: Sink>(&mut self, shard: usize, step: &mut Step<'_, S>) {
+    pub(super) fn retry<S: Sink>(&mut self, shard: usize, step: &mut StepContext<'_, S>) {
         let cause = if self.shards[shard].sent == 0 { Cause::First } else { Cause::Retry };
-        self.attempt(shard, cause, step);
+        self.start_attempt(shard, cause, step);
     }
 
     /// Asks a replica, or notes when to try again, or gives the shard up.
-    pub(super) fn attempt<S: Sink>(&mut self, shard: usize, cause: Cause, step: &mut Step<'_, S>) {
+    pub(super) fn start_attempt<S: Sink>(
+        &mut self,
+        shard: usize,
+        cause: Cause,
+        step: &mut StepContext<'_, S>,
+    ) {
         self.shards[shard].retry_at = None;
         let mut chosen = self.choose(shard, step);
         if chosen.is_err() && !self.shards[shard].failed.is_empty() {
@@ -54,12 +59,12 @@
                 self.send(shard, choice, cause, step);
                 self.probe(shard, &upstream, step);
             }
-            Err(bar) => self.wait(shard, bar, step),
+            Err(exclusion) => self.schedule_retry(shard, exclusion, step),
         }
     }
 
     /// Sends a second attempt, the first being slow, where the budget allows.
-    pub(super) fn hedge<S: Sink>(&mut self, shard: usize, step: &mut Step<'_, S>) {
+    pub(super) fn hedge<S: Sink>(&mut self, shard: usize, step: &mut StepContext<'_, S>) {
         let before = std::mem::take(&mut self.shards[shard].hedge);
         if self.revoke(shard, step) {
             return;
@@ -67,22 +72,24 @@
         if !self.may_send(shard) {
             return;
         }
-        if self.awaits_first() {
-            self.shards[shard].hedge = Hedge::Due(step.now + DENIED_EVERY);
+        if self.delays_hedges() {
+            self.shards[shard].hedge = Hedge::Due(step.now + DENIED_INTERVAL);
             return;
         }
         let Ok(choice) = self.choose(shard, step) else {
             self.shards[shard].hedge = match before {
-                Hedge::Denied(_) => Hedge::Denied(step.now + POLL_EVERY),
-                _ => Hedge::Due(step.now + POLL_EVERY),
+                Hedge::Denied(_) => Hedge::Denied(step.now + POLL_INTERVAL),
+                _ => Hedge::Due(step.now + POLL_INTERVAL),
             };
             return;
         };
-        if self.rules.fixed.is_none() && !step.router.budget(&self.plan.shards[shard].shard).spend_hedge() {
+        if self.rules.fixed_delay.is_none()
+            && !step.router.budget(&self.plan.shards[shard].shard).spend_hedge()
+        {
             if !matches!(before, Hedge::Denied(_)) {
                 step.emit(Event::HedgeDenied { shard: self.name(shard) });
             }
-            self.shards[shard].hedge = Hedge::Denied(step.now + DENIED_EVERY);
+            self.shards[shard].hedge = Hedge::Denied(step.now + DENIED_INTERVAL);
             return;
         }
         self.shards[shard].hedge = Hedge::Sent;
@@ -91,13 +98,13 @@
 
     /// Sends an extra attempt to a replica that is passed over, where it is
     /// time to look how it does, off the path of the request.
-    fn probe<S: Sink>(&mut self, shard: usize, chosen: &UpstreamId, step: &mut Step<'_, S>) {
-        let hedges = self.rules.hedge.is_some() && self.rules.fixed.is_none();
+    fn probe<S: Sink>(&mut self, shard: usize, chosen: &UpstreamId, step: &mut StepContext<'_, S>) {
+        let hedges = self.rules.hedge_factor.is_some() && self.rules.fixed_delay.is_none();
         if !self.rules.repeatable || !hedges || !self.may_send(shard) {
             return;
         }
         let tried = self.shards[shard].tried();
-        let due = step.router.probe(&self.ask(shard, &tried), chosen, step.now);
+        let due = step.router.probe(&self.choice_request(shard, &tried), chosen, step.now);
         let Some(upstream) = due else { return };
         if step.router.budget(&self.plan.shards[shard].shard).spend_probe() {
             let choice = Choice { upstream, scores: Vec::new() };
@@ -110,11 +117,11 @@
         self.shards[shard].sent < self.rules.attempts
     }
 
-    fn ask<'a>(&'a self, shard: usize, tried: &'a [UpstreamId]) -> Ask<'a> {
+    fn choice_request<'a>(&'a self, shard: usize, tried: &'a [UpstreamId]) -> Ask<'a> {
         let all = &self.plan.shards[shard].replicas;
         let limit = self.shards[shard].limit.as_ref();
         Ask {
-            replicas: self.shards[shard].only().unwrap_or(all),
+            replicas: self.shards[shard].named_only().unwrap_or(all),
             tried,
             // The free choice is for one that takes the request.
             checkable: limit.map_or(all, |limit| &limit.named),
@@ -123,41 +130,43 @@
         }
     }
 
-    fn choose<S: Sink>(&self, shard: usize, step: &mut Step<'_, S>) -> Result<Choice, Bar> {
+    fn choose<S: Sink>(&self, shard: usize, step: &mut StepContext<'_, S>) -> Result<Choice, Bar> {
         let tried = self.shards[shard].tried();
-        let chosen = step.router.choose(&self.ask(shard, &tried), step.now);
+        let chosen = step.router.choose(&self.choice_request(shard, &tried), step.now);
         let abroad = self.plan.shards[shard].abroad;
-        chosen.map_err(|bar| if abroad { Bar { gap: Gap::OutsideRegions, ..bar } } else { bar })
+        chosen.map_err(
+            |exclusion| if abroad { Bar { gap: Gap::OutsideRegions, ..exclusion } } else { exclusion },
+        )
     }
 
-    fn wait<S: Sink>(&mut self, shard: usize, bar: Bar, step: &mut Step<'_, S>) {
-        let again = match bar.until {
-            Until::Soon => Some(step.now + POLL_EVERY),
+    fn schedule_retry<S: Sink>(&mut self, shard: usize, exclusion: Bar, step: &mut StepContext<'_, S>) {
+        let retry_at = match exclusion.until {
+            Until::Soon => Some(step.now + POLL_INTERVAL),
             Until::At(at) => Some(at),
             Until::Never => None,
         };
         let name = self.name(shard);
         let state = &mut self.shards[shard];
-        state.waited |= bar.gap == Gap::Overloaded;
-        if bar.gap != Gap::NoReplica || state.gap.is_none() {
-            let news = state.gap != Some(bar.gap);
-            state.gap = Some(bar.gap);
-            if news {
-                step.emit(Event::Waiting { shard: name, why: bar.gap });
+        state.waited |= exclusion.gap == Gap::Overloaded;
+        if exclusion.gap != Gap::NoReplica || state.gap.is_none() {
+            let is_new = state.gap != Some(exclusion.gap);
+            state.gap = Some(exclusion.gap);
+            if is_new {
+                step.emit(Event::Waiting { shard: name, why: exclusion.gap });
             }
         }
-        match again.filter(|at| *at < self.rules.deadline) {
+        match retry_at.filter(|at| *at < self.rules.deadline) {
             Some(at) => self.shards[shard].retry_at = Some(at),
-            None => self.close(shard, bar.gap, step),
+            None => self.close(shard, exclusion.gap, step),
         }
     }
 
-    fn send<S: Sink>(&mut self, shard: usize, choice: Choice, cause: Cause, step: &mut Step<'_, S>) {
+    fn send<S: Sink>(&mut self, shard: usize, choice: Choice, cause: Cause, step: &mut StepContext<'_, S>) {
         let Choice { upstream, scores } = choice;
-        let (attempt, start) = (self.next, step.now);
-        self.next += 1;
+        let (attempt, start) = (self.next_id, step.now);
+        self.next_id += 1;
         step.router.begin(&upstream, start);
-        if cause == Cause::First && !self.rules.again {
+        if cause == Cause::First && !self.rules.repeated {
             step.router.budget(&self.plan.shards[shard].shard).earn();
         }
         if self.shards[shard].hedge != Hedge::Sent {
@@ -166,11 +175,11 @@
         }
         let name = self.name(shard);
         let state = &mut self.shards[shard];
-        state.count(&upstream);
-        state.flights.push(Flight { attempt, upstream: Arc::clone(&upstream), start, cause });
+        state.count_attempt(&upstream);
+        state.in_flight.push(InFlight { attempt, upstream: Arc::clone(&upstream), start, cause });
         step.emit(Event::ReplicaChosen { shard: Arc::clone(&name), upstream: Arc::clone(&upstream), scores });
         step.emit(Event::Sent { shard: name, upstream: Arc::clone(&upstream), attempt, cause });
-        step.actions.push(Action::Send(Send { shard, upstream, attempt, cause, start }));
+        step.actions.push(Action::Send(SendAttempt { shard, upstream, attempt, cause, start }));
     }
 
     /// Returns when a hedge beside a request that leaves for `first` is due: once the
@@ -188,16 +197,16 @@
         if !self.rules.repeatable {
             return None;
         }
-        let from = start + router.way_to(first);
-        if let Some(fixed) = self.rules.fixed {
-            return Some(from + fixed);
+        let arrival = start + router.way_to(first);
+        if let Some(fixed) = self.rules.fixed_delay {
+            return Some(arrival + fixed);
         }
         let pace = router.pace(&self.rules.kind);
-        let slow = from + pace.slow().mul_f64(self.rules.hedge?);
+        let slow = arrival + pace.slow().mul_f64(self.rules.hedge_factor?);
         let others = self.plan.shards[shard].replicas.iter().filter(|name| *name != first);
         let way = others.map(|name| router.way_to(name)).min();
-        let (Some(cut), Some(way)) = (self.rules.cut, way) else { return Some(slow) };
+        let (Some(cut), Some(way)) = (self.rules.cutoff, way) else { return Some(slow) };
         let Some(latest) = cut.checked_sub(way + pace.mean()) else { return Some(slow) };
-        Some(slow.min(latest.max(from + pace.mean())))
+        Some(slow.min(latest.max(arrival + pace.mean())))
     }
 }
--- a/crates/harefield/src/domain/fanout/step.rs
+++ b/crates/harefield/src/domain/fanout/context.rs
@@ -8,14 +8,14 @@
 use crate::domain::routing::Router;
 
 /// What a step of the machine works with.
-pub(super) struct Step<'a, S> {
+pub(super) struct StepContext<'a, S> {
     pub now: Instant,
     pub router: &'a mut Router,
     pub actions: Vec<Action>,
     sink: &'a mut S,
 }
 
-impl<'a, S: Sink> Step<'a, S> {
+impl<'a, S: Sink> StepContext<'a, S> {
     pub fn new(now: Instant, router: &'a mut Router, sink: &'a mut S) -> Self {
         Self { now, router, actions: Vec::new(), sink }
     }
--- a/crates/harefield/src/domain/fanout/hand.rs
+++ b/crates/harefield/src/domain/fanout/group_request.rs
@@ -11,7 +11,7 @@
 
 /// A group of shards that is to be handed to a daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Hand {
+pub struct GroupRequest {
     /// The daemon.
     pub host: HostId,
     /// The attempt's number, which its shards share.
@@ -28,14 +28,14 @@
     pub free: u32,
     /// How long the daemon may gather before it answers with what it has; none
     /// where nothing is due before the deadline.
-    pub gather: Option<Duration>,
+    pub gather_time: Option<Duration>,
     /// When the daemon is taken to be gone.
-    pub lost: Instant,
+    pub lost_at: Instant,
 }
 
 /// What a daemon brought of one shard.
 #[derive(Clone, Debug)]
-pub enum Brought {
+pub enum ShardResult {
     /// Its contribution.
     Part(Reply),
     /// Nothing.
@@ -51,9 +51,9 @@
 
 /// How a group ended.
 #[derive(Clone, Debug)]
-pub enum GroupEnd {
+pub enum GroupOutcome {
     /// What the daemon brought of each shard, by its place in the plan.
-    Brought(Vec<(usize, Brought)>),
+    Results(Vec<(usize, ShardResult)>),
     /// Nothing was sent to any upstream.
     NotSent,
     /// The daemon was sent the group, and did not answer.
--- a/crates/harefield/src/domain/fanout/groups.rs
+++ b/crates/harefield/src/domain/fanout/groups.rs
@@ -12,15 +12,15 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use super::hand::Brought;
-use super::hand::GroupEnd;
-use super::hand::Hand;
+use super::context::StepContext;
+use super::group_request::GroupOutcome;
+use super::group_request::GroupRequest;
+use super::group_request::ShardResult;
 use super::machine::Fanout;
 use super::shard::Action;
 use super::shard::AttemptEnd;
-use super::shard::Flight;
 use super::shard::Hedge;
-use super::step::Step;
+use super::shard::InFlight;
 use crate::domain::event::Cause;
 use crate::domain::event::Event;
 use crate::domain::event::Sink;
@@ -38,7 +38,7 @@
 
 /// The fewest shards that are worth handing on: one alone costs as many bytes
 /// either way, and a hop more.
-const LEAST_GROUP: usize = 2;
+const MIN_GROUP: usize = 2;
 
 /// A group without an objective is revoked after this many times its slow pace:
 /// what is slow there is hedged there, so only a daemon that is gone shows here.
@@ -46,7 +46,7 @@
 
 /// A daemon has at least this long, the way aside: longer than the users'
 /// searchers usually take, and than one hedge there.
-const LEAST_PATIENCE: Duration = Duration::from_millis(50);
+const MIN_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// A group with an objective is overdue this long after it, besides one more way there and
 /// back: a connection to its daemon that had to be opened takes that.
@@ -54,10 +54,10 @@
 
 /// How long an overdue group is awaited whose shards cannot be asked again, since no
 /// budget pays for it: as long as daemons wait before they take one for silent.
-const LOST: Duration = Duration::from_millis(150);
+const LOST_AFTER: Duration = Duration::from_millis(150);
 
 /// How often an overdue group is looked at again.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The pause between revoking a group and asking its shards directly: the
 /// daemon, if it lives, is to end its own attempts first.
@@ -66,13 +66,13 @@
 impl Fanout {
     /// Hands shards on in groups: far ones to daemons beside their replicas, and a part of
     /// the others where they are too many for this daemon; returns those that are left.
-    pub(super) fn hand_on<S: Sink>(&mut self, step: &mut Step<'_, S>) -> Vec<usize> {
+    pub(super) fn delegate_groups<S: Sink>(&mut self, step: &mut StepContext<'_, S>) -> Vec<usize> {
         if !self.rules.grouped {
             return (0..self.shards.len()).collect();
         }
         let (regions, mut direct) = self.by_region(step);
         for (region, wanted) in regions {
-            direct.extend(self.share_out(&region, wanted, step));
+            direct.extend(self.delegate_region(&region, wanted, step));
         }
         direct.sort_unstable();
         direct
@@ -80,7 +80,10 @@
 
     /// Sorts the shards by the region of their nearest replicas; those that are far from
     /// any daemon to hand them to are returned by themselves.
-    fn by_region<S: Sink>(&self, step: &mut Step<'_, S>) -> (BTreeMap<Arc<str>, Vec<Wanted>>, Vec<usize>) {
+    fn by_region<S: Sink>(
+        &self,
+        step: &mut StepContext<'_, S>,
+    ) -> (BTreeMap<Arc<str>, Vec<Wanted>>, Vec<usize>) {
         let own = Arc::clone(step.router.own_zone());
         let home = step.router.region_of(&own);
         let typical = step.router.pace(&self.rules.kind).mean().as_secs_f64();
@@ -94,7 +97,7 @@
             let wanted = Wanted { at, shard: Arc::clone(shard), zone: Arc::clone(&own) };
             regions.entry(Arc::clone(&home)).or_default().push(wanted);
         }
-        while let Some((zone, shards)) = largest(&away, &self.plan.index, &self.rules.kind, step) {
+        while let Some((zone, shards)) = largest_zone(&away, &self.plan.index, &self.rules.kind, step) {
             let held = regions.entry(step.router.region_of(&zone)).or_default();
             for at in shards {
                 away.remove(&at);
@@ -106,36 +109,40 @@
 
     /// Shares the shards of a region out among the daemons there, or hands those of each
     /// other availability zone to one daemon beside them; returns this daemon's own part.
-    fn share_out<S: Sink>(
+    fn delegate_region<S: Sink>(
         &mut self,
         region: &str,
         wanted: Vec<Wanted>,
-        step: &mut Step<'_, S>,
+        step: &mut StepContext<'_, S>,
     ) -> Vec<usize> {
         let carriers = step.router.carriers(&self.plan.index, region, &self.rules.kind, step.now);
         let most = usize::try_from(self.rules.attempts).unwrap_or(usize::MAX);
         let affinity = wanted.iter().any(|wanted| self.plan.shards[wanted.at].replicas.len() > most);
         let allowance = self.allowance(step).map(|allowance| Allowance { affinity, ..allowance });
         let portions = allowance.and_then(|allowance| share(&wanted, &carriers, allowance));
-        let Some(portions) = portions else { return self.hand_by_zone(wanted, step) };
+        let Some(portions) = portions else { return self.delegate_by_zone(wanted, step) };
         let mut own = Vec::new();
         for Portion { carrier, shards } in portions {
             if carrier.own {
                 own = shards.into_iter().map(|wanted| wanted.at).collect();
             } else {
-                self.hand(Arc::clone(&carrier.host), shards, step);
+                self.send_group(Arc::clone(&carrier.host), shards, step);
             }
         }
         own
     }
 
     /// Returns how much this daemon may ask by itself; none without an objective.
-    fn allowance<S: Sink>(&self, step: &Step<'_, S>) -> Option<Allowance> {
+    fn allowance<S: Sink>(&self, step: &StepContext<'_, S>) -> Option<Allowance> {
         let left = self.rules.objective?.saturating_duration_since(self.rules.start);
         Some(Allowance::new(step.router.shard_time(), left))
     }
 
-    fn hand_by_zone<S: Sink>(&mut self, wanted: Vec<Wanted>, step: &mut Step<'_, S>) -> Vec<usize> {
+    fn delegate_by_zone<S: Sink>(
+        &mut self,
+        wanted: Vec<Wanted>,
+        step: &mut StepContext<'_, S>,
+    ) -> Vec<usize> {
         let mut zones: BTreeMap<Arc<str>, Vec<Wanted>> = BTreeMap::new();
         for shard in wanted {
             zones.entry(Arc::clone(&shard.zone)).or_default().push(shard);
@@ -146,7 +153,7 @@
             let relay =
                 (!near).then(|| step.router.pick_relay(&self.plan.index, &zone, &self.rules.kind, step.now));
             match relay.flatten() {
-                Some(host) => self.hand(host, shards, step),
+                Some(host) => self.send_group(host, shards, step),
                 None => own.extend(shards.into_iter().map(|wanted| wanted.at)),
             }
         }
@@ -154,17 +161,17 @@
     }
 
     /// Hands shards to a daemon.
-    fn hand<S: Sink>(&mut self, host: HostId, wanted: Vec<Wanted>, step: &mut Step<'_, S>) {
-        let (attempt, start) = (self.next, step.now);
-        self.next += 1;
+    fn send_group<S: Sink>(&mut self, host: HostId, wanted: Vec<Wanted>, step: &mut StepContext<'_, S>) {
+        let (attempt, start) = (self.next_id, step.now);
+        self.next_id += 1;
         let way = step.router.relays().way_of(&host);
-        let gather = self.rules.cut.map(|cut| cut.saturating_duration_since(start).saturating_sub(way));
+        let gather = self.rules.cutoff.map(|cut| cut.saturating_duration_since(start).saturating_sub(way));
         let slow = step.router.relays().pace(&self.rules.kind).slow().mul_f64(REVOKE_FACTOR);
-        let slow = slow.max(way + LEAST_PATIENCE);
+        let slow = slow.max(way + MIN_TIMEOUT);
         let due = self.rules.objective.map(|objective| objective.saturating_duration_since(start));
         let due = due.map_or(slow, |due| due + way + OVERDUE);
-        let revoke = start + due.max(way + LEAST_PATIENCE);
-        let lost = revoke + LOST;
+        let revoke = start + due.max(way + MIN_TIMEOUT);
+        let lost = revoke + LOST_AFTER;
         let fallbacks = self.choose_fallbacks(&wanted, step);
         let shards: Vec<usize> = wanted.into_iter().map(|wanted| wanted.at).collect();
         step.router.relays_mut().begin(&host, start);
@@ -172,13 +179,27 @@
             let state = &mut self.shards[*shard];
             state.sent += 1;
             state.hedge = Hedge::Due(revoke);
-            state.flights.push(Flight { attempt, upstream: Arc::clone(&host), start, cause: Cause::First });
+            state.in_flight.push(InFlight {
+                attempt,
+                upstream: Arc::clone(&host),
+                start,
+                cause: Cause::First,
+            });
         }
         step.emit(Event::GroupSent { to: Arc::clone(&host), shards: shards.len(), attempt });
         let free = self.rules.attempts.saturating_sub(1);
-        let hand = Hand { host, attempt, shards, start, fallbacks, free, gather, lost };
-        self.handed.push(hand.clone());
-        step.actions.push(Action::Hand(hand));
+        let group = GroupRequest {
+            host,
+            attempt,
+            shards,
+            start,
+            fallbacks,
+            free,
+            gather_time: gather,
+            lost_at: lost,
+        };
+        self.groups.push(group.clone());
+        step.actions.push(Action::Delegate(group));
     }
 
     /// Chooses a fallback for each shard with more replicas than attempts, which this daemon
@@ -187,7 +208,7 @@
     fn choose_fallbacks<S: Sink>(
         &mut self,
         wanted: &[Wanted],
-        step: &Step<'_, S>,
+        step: &StepContext<'_, S>,
     ) -> Vec<(usize, UpstreamId)> {
         let most = usize::try_from(self.rules.attempts).unwrap_or(usize::MAX);
         let mut all = Vec::new();
@@ -212,27 +233,28 @@
     /// by this and by awaiting a connection. So is one whose shards this daemon cannot ask
     /// in time beside those that it took back already: where most groups are overdue the
     /// backlog is on this side, and another hundred requests make it longer.
-    pub(super) fn revoke<S: Sink>(&mut self, shard: usize, step: &mut Step<'_, S>) -> bool {
-        let holds = |hand: &Hand| self.shards[shard].flights.iter().any(|f| f.attempt == hand.attempt);
-        let Some(at) = self.handed.iter().position(holds) else { return false };
-        if step.now < self.handed[at].lost && !self.replaceable(at, step) {
-            for shard in &self.handed[at].shards {
-                self.shards[*shard].hedge = Hedge::Due(step.now + LOOK_EVERY);
+    pub(super) fn revoke<S: Sink>(&mut self, shard: usize, step: &mut StepContext<'_, S>) -> bool {
+        let holds =
+            |group: &GroupRequest| self.shards[shard].in_flight.iter().any(|f| f.attempt == group.attempt);
+        let Some(at) = self.groups.iter().position(holds) else { return false };
+        if step.now < self.groups[at].lost_at && !self.replaceable(at, step) {
+            for shard in &self.groups[at].shards {
+                self.shards[*shard].hedge = Hedge::Due(step.now + RECHECK_INTERVAL);
             }
             return true;
         }
-        let hand = self.handed.swap_remove(at);
+        let group = self.groups.swap_remove(at);
         step.router.relays_mut().end(
-            &hand.host,
+            &group.host,
             &self.rules.kind,
-            hand.start,
+            group.start,
             RelayVerdict::Silent,
             step.now,
         );
-        step.emit(Event::GroupRevoked { from: Arc::clone(&hand.host), attempt: hand.attempt });
-        self.note_lost(Gap::ReplyLost);
-        for shard in hand.shards.iter().copied() {
-            if self.land(shard, hand.attempt).is_none() {
+        step.emit(Event::GroupRevoked { from: Arc::clone(&group.host), attempt: group.attempt });
+        self.record_loss(Gap::ReplyLost);
+        for shard in group.shards.iter().copied() {
+            if self.remove_in_flight(shard, group.attempt).is_none() {
                 continue;
             }
             let state = &mut self.shards[shard];
@@ -242,75 +264,77 @@
                 state.retry_at = Some(step.now + REVOKE_PAUSE);
             }
         }
-        step.actions.push(Action::Revoke(hand.attempt));
+        step.actions.push(Action::Revoke(group.attempt));
         true
     }
 
     /// Says whether enough shards make an answer without a group, counting those of its
     /// shards whose retries are paid for; and whether this daemon can ask them.
-    fn replaceable<S: Sink>(&self, at: usize, step: &mut Step<'_, S>) -> bool {
-        let hand = &self.handed[at];
+    fn replaceable<S: Sink>(&self, at: usize, step: &mut StepContext<'_, S>) -> bool {
+        let group = &self.groups[at];
         let taken_back = self.shards.iter().filter(|shard| shard.retry_at.is_some()).count();
-        let asked = hand.shards.len() + taken_back;
+        let asked = group.shards.len() + taken_back;
         let capacity = u64::from(step.router.own().capacity);
         if self.allowance(step).is_some_and(|allowance| !allowance.allows(asked, capacity)) {
             return false;
         }
         let mut expected = 0;
         for (number, shard) in self.shards.iter().enumerate() {
-            let counts = if hand.shards.contains(&number) {
+            let counts = if group.shards.contains(&number) {
                 self.may_send(number) && step.router.budget(&self.plan.shards[number].shard).has_retry()
             } else {
                 shard.part.is_some() || shard.is_open()
             };
             expected += usize::from(counts);
         }
-        expected >= self.rules.least(self.shards.len())
+        expected >= self.rules.min_shards(self.shards.len())
     }
 
     /// Takes the end of a group.
     pub fn on_group_end(
         &mut self,
-        hand: &Hand,
-        end: &GroupEnd,
+        group: &GroupRequest,
+        end: &GroupOutcome,
         now: Instant,
         router: &mut Router,
         sink: &mut impl Sink,
     ) -> Vec<Action> {
-        let mut step = Step::new(now, router, sink);
+        let mut step = StepContext::new(now, router, sink);
         match end {
-            GroupEnd::Brought(all) => {
-                for (shard, brought) in all {
-                    self.take_brought(*shard, hand, brought, &mut step);
+            GroupOutcome::Results(all) => {
+                for (shard, result) in all {
+                    self.record_result(*shard, group, result, &mut step);
                 }
             }
-            GroupEnd::NotSent => {
-                for shard in &hand.shards {
-                    self.take_unsent(*shard, hand, &mut step);
+            GroupOutcome::NotSent => {
+                for shard in &group.shards {
+                    self.record_unsent(*shard, group, &mut step);
                 }
             }
-            GroupEnd::Silent => {
+            GroupOutcome::Silent => {
                 let lost = AttemptEnd::Lost { why: Gap::ReplyLost };
-                for shard in &hand.shards {
-                    self.end_in_group(*shard, hand, lost.clone(), &mut step);
+                for shard in &group.shards {
+                    self.record_group_end(*shard, group, lost.clone(), &mut step);
                 }
             }
         }
-        self.settle_held(&mut step);
+        self.resume_suspended(&mut step);
         step.actions
     }
 
-    fn take_brought<S: Sink>(
+    fn record_result<S: Sink>(
         &mut self,
         shard: usize,
-        hand: &Hand,
-        brought: &Brought,
-        step: &mut Step<'_, S>,
+        group: &GroupRequest,
+        result: &ShardResult,
+        step: &mut StepContext<'_, S>,
     ) {
-        let end = match brought {
-            Brought::Part(reply) => AttemptEnd::Answered(reply.clone()),
-            Brought::Missing { ran: false, sent: 0, .. } => return self.take_unsent(shard, hand, step),
-            Brought::Missing { why, ran, sent } => {
+        let end = match result {
+            ShardResult::Part(reply) => AttemptEnd::Answered(reply.clone()),
+            ShardResult::Missing { ran: false, sent: 0, .. } => {
+                return self.record_unsent(shard, group, step);
+            }
+            ShardResult::Missing { why, ran, sent } => {
                 // What the daemon sent counts among the shard's attempts.
                 if let Some(state) = self.shards.get_mut(shard) {
                     state.sent = state.sent.saturating_add(sent.saturating_sub(1));
@@ -322,12 +346,12 @@
                 }
             }
         };
-        self.end_in_group(shard, hand, end, step);
+        self.record_group_end(shard, group, end, step);
     }
 
     /// Takes a shard that nothing was sent for: it is asked as for the first time.
-    fn take_unsent<S: Sink>(&mut self, shard: usize, hand: &Hand, step: &mut Step<'_, S>) {
-        if self.land(shard, hand.attempt).is_none() {
+    fn record_unsent<S: Sink>(&mut self, shard: usize, group: &GroupRequest, step: &mut StepContext<'_, S>) {
+        if self.remove_in_flight(shard, group.attempt).is_none() {
             return;
         }
         let state = &mut self.shards[shard];
@@ -337,33 +361,39 @@
             return;
         }
         if self.is_suspect() {
-            self.hold(shard);
+            self.suspend(shard);
         } else {
-            self.attempt(shard, Cause::First, step);
+            self.start_attempt(shard, Cause::First, step);
         }
     }
 
-    fn end_in_group<S: Sink>(&mut self, shard: usize, hand: &Hand, end: AttemptEnd, step: &mut Step<'_, S>) {
-        if let Some(flight) = self.land(shard, hand.attempt) {
-            self.take_end(shard, flight, end, step);
+    fn record_group_end<S: Sink>(
+        &mut self,
+        shard: usize,
+        group: &GroupRequest,
+        end: AttemptEnd,
+        step: &mut StepContext<'_, S>,
+    ) {
+        if let Some(flight) = self.remove_in_flight(shard, group.attempt) {
+            self.record_end(shard, flight, end, step);
         }
     }
 }
 
 /// Returns the zone in which most far shards have replicas, with those
 /// shards; none where no zone has enough. Which of equals is drawn.
-fn largest<S: Sink>(
+fn largest_zone<S: Sink>(
     zones: &BTreeMap<usize, Vec<Arc<str>>>,
     index: &str,
     kind: &Arc<str>,
-    step: &mut Step<'_, S>,
+    step: &mut StepContext<'_, S>,
 ) -> Option<(Arc<str>, Vec<usize>)> {
     let mut counts: BTreeMap<&Arc<str>, usize> = BTreeMap::new();
     for zone in zones.values().flatten() {
         *counts.entry(zone).or_default() += 1;
     }
     let usable = step.router.relay_zones(index, kind, step.now);
-    counts.retain(|zone, count| *count >= LEAST_GROUP && usable.contains(zone));
+    counts.retain(|zone, count| *count >= MIN_GROUP && usable.contains(zone));
     let most = counts.values().copied().max()?;
     let equal: Vec<&Arc<str>> =
         counts.iter().filter(|(_, count)| **count == most).map(|(zone, _)| *zone).collect();
--- a/crates/harefield/src/domain/fanout/machine.rs
+++ b/crates/harefield/src/domain/fanout/machine.rs
@@ -4,17 +4,17 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use super::cut::Rules;
-use super::hand::Hand;
-use super::judge::Ending;
-use super::judge::Finished;
-use super::judge::judge;
+use super::context::StepContext;
+use super::group_request::GroupRequest;
+use super::result::Conclusion;
+use super::result::FanoutResult;
+use super::result::classify;
+use super::rules::AnswerRules;
 use super::shard::Action;
 use super::shard::AttemptEnd;
 use super::shard::Cancel;
-use super::shard::Flight;
+use super::shard::InFlight;
 use super::shard::Shard;
-use super::step::Step;
 use crate::domain::admission::Crowd;
 use crate::domain::admission::Progress;
 use crate::domain::event::Cause;
@@ -37,24 +37,24 @@
 #[derive(Debug)]
 pub struct Fanout {
     pub(super) plan: Arc<Plan>,
-    pub(super) rules: Rules,
+    pub(super) rules: AnswerRules,
     pub(super) shards: Vec<Shard>,
-    pub(super) next: AttemptId,
+    pub(super) next_id: AttemptId,
     contributed: usize,
     /// When it began, and when half of its shards and enough for an answer were in.
-    begun: Option<Instant>,
+    started: Option<Instant>,
     half: Option<Instant>,
     enough: Option<Instant>,
     /// The shards that this daemon asks first itself.
-    own: Vec<usize>,
+    direct: Vec<usize>,
     /// The groups that are out.
-    pub(super) handed: Vec<Hand>,
+    pub(super) groups: Vec<GroupRequest>,
     open: usize,
-    cut: bool,
+    is_cut: bool,
     /// Whether an upstream may have ended while it had the request.
-    pub(super) lost: bool,
+    pub(super) loss_seen: bool,
     /// The shards that wait for a sign that the request does not end who runs it.
-    pub(super) held: BTreeSet<usize>,
+    pub(super) suspended: BTreeSet<usize>,
     /// How many upstreams were asked alone after that.
     pub(super) trials: u32,
 }
@@ -62,26 +62,26 @@
 impl Fanout {
     /// Creates a fan-out over a plan; `first` numbers its first attempt.
     #[must_use]
-    pub fn new(plan: Arc<Plan>, rules: Rules, first: AttemptId) -> Self {
+    pub fn new(plan: Arc<Plan>, rules: AnswerRules, first: AttemptId) -> Self {
         let shard = |plan: &ShardPlan| Shard { limit: plan.limit.clone(), ..Shard::default() };
         let shards: Vec<_> = plan.shards.iter().map(shard).collect();
         let open = shards.len();
-        let own = (0..open).collect();
+        let direct = (0..open).collect();
         Self {
             plan,
             rules,
             shards,
-            next: first,
+            next_id: first,
             contributed: 0,
-            begun: None,
+            started: None,
             half: None,
             enough: None,
-            own,
-            handed: Vec::new(),
+            direct,
+            groups: Vec::new(),
             open,
-            cut: false,
-            lost: false,
-            held: BTreeSet::new(),
+            is_cut: false,
+            loss_seen: false,
+            suspended: BTreeSet::new(),
             trials: 0,
         }
     }
@@ -94,11 +94,11 @@
 
     /// Returns how it found the upstreams.
     #[must_use]
-    pub fn crowd(&self, now: Instant) -> Crowd {
+    pub fn congestion(&self, now: Instant) -> Crowd {
         let waited = self.shards.iter().filter(|shard| shard.waited).count();
-        let progress = self.rules.cut.zip(self.begun).map(|(cut, begun)| Progress {
-            half: self.half.unwrap_or(now).saturating_duration_since(begun),
-            enough: self.enough.unwrap_or(now).saturating_duration_since(begun),
+        let progress = self.rules.cutoff.zip(self.started).map(|(cut, started)| Progress {
+            half: self.half.unwrap_or(now).saturating_duration_since(started),
+            enough: self.enough.unwrap_or(now).saturating_duration_since(started),
             allowed: cut.saturating_duration_since(self.rules.start),
         });
         Crowd { waited, shards: self.shards.len(), objective: self.rules.objective.is_some(), progress }
@@ -119,13 +119,13 @@
     /// Returns the number that the next attempt would have.
     #[must_use]
     pub fn next_attempt(&self) -> AttemptId {
-        self.next
+        self.next_id
     }
 
     /// Returns whether the answer can be given.
     #[must_use]
     pub fn is_done(&self) -> bool {
-        self.cut || self.open == 0
+        self.is_cut || self.open == 0
     }
 
     /// Hands on what other daemons are to ask; [`Fanout::start`] asks the rest.
@@ -133,25 +133,25 @@
     /// Groups leave before this daemon chooses among the replicas of its own shards: they
     /// have a hop and another daemon's work before them.
     pub fn start_groups(&mut self, now: Instant, router: &mut Router, sink: &mut impl Sink) -> Vec<Action> {
-        let mut step = Step::new(now, router, sink);
-        self.begun = Some(now);
-        self.own = self.hand_on(&mut step);
+        let mut step = StepContext::new(now, router, sink);
+        self.started = Some(now);
+        self.direct = self.delegate_groups(&mut step);
         step.actions
     }
 
     /// Asks every shard that was not handed on for the first time.
     pub fn start(&mut self, now: Instant, router: &mut Router, sink: &mut impl Sink) -> Vec<Action> {
-        let mut step = Step::new(now, router, sink);
-        for shard in std::mem::take(&mut self.own) {
+        let mut step = StepContext::new(now, router, sink);
+        for shard in std::mem::take(&mut self.direct) {
             if self.shards[shard].is_open() {
-                self.attempt(shard, Cause::First, &mut step);
+                self.start_attempt(shard, Cause::First, &mut step);
             }
         }
         step.actions
     }
 
     /// Takes the end of an attempt.
-    pub fn on_end(
+    pub fn on_attempt_end(
         &mut self,
         (shard, attempt): (usize, AttemptId),
         end: AttemptEnd,
@@ -159,22 +159,22 @@
         router: &mut Router,
         sink: &mut impl Sink,
     ) -> Vec<Action> {
-        let mut step = Step::new(now, router, sink);
-        if let Some(flight) = self.land(shard, attempt) {
-            self.take_end(shard, flight, end, &mut step);
+        let mut step = StepContext::new(now, router, sink);
+        if let Some(flight) = self.remove_in_flight(shard, attempt) {
+            self.record_end(shard, flight, end, &mut step);
         }
-        self.settle_held(&mut step);
+        self.resume_suspended(&mut step);
         step.actions
     }
 
     /// Takes the passing of time: retries, hedges and the cut that are due.
-    pub fn on_time(&mut self, now: Instant, router: &mut Router, sink: &mut impl Sink) -> Vec<Action> {
-        let mut step = Step::new(now, router, sink);
+    pub fn on_timer(&mut self, now: Instant, router: &mut Router, sink: &mut impl Sink) -> Vec<Action> {
+        let mut step = StepContext::new(now, router, sink);
         if self.is_done() {
             return step.actions;
         }
-        if now >= self.rules.cut_at(self.contributed, self.shards.len()) {
-            self.cut(&mut step);
+        if now >= self.rules.cutoff_at(self.contributed, self.shards.len()) {
+            self.cut_answer(&mut step);
             return step.actions;
         }
         for shard in 0..self.shards.len() {
@@ -182,19 +182,19 @@
                 continue;
             }
             if self.shards[shard].retry_at.is_some_and(|at| at <= now) {
-                self.retry_or_hold(shard, &mut step);
+                self.retry_or_suspend(shard, &mut step);
             } else if self.shards[shard].hedge_at().is_some_and(|at| at <= now) {
                 self.hedge(shard, &mut step);
             }
         }
-        self.settle_held(&mut step);
+        self.resume_suspended(&mut step);
         step.actions
     }
 
     /// Returns when time next matters.
     #[must_use]
     pub fn next_wake(&self) -> Instant {
-        let cut = self.rules.cut_at(self.contributed, self.shards.len());
+        let cut = self.rules.cutoff_at(self.contributed, self.shards.len());
         let open = self.shards.iter().filter(|shard| shard.is_open());
         let times = open.flat_map(|shard| [shard.retry_at, shard.hedge_at()]);
         times.flatten().fold(cut, Instant::min)
@@ -207,7 +207,7 @@
 
     /// Gives the result; what was not answered by now counts as missing.
     #[must_use]
-    pub fn finish(self) -> Finished {
+    pub fn finish(self) -> FanoutResult {
         let mut coverage = Coverage::default();
         let mut parts = Vec::new();
         let mut ran = false;
@@ -228,34 +228,34 @@
             coverage.missing.push(Missing { shard: name, why, ran: may_have_run });
         }
         coverage.whole = coverage.missing.is_empty();
-        let least = self.rules.least(self.plan.shards.len());
-        let ending = Ending { ran, cut: self.cut, repeatable: self.rules.repeatable, least };
-        let (outcome, code) = judge(&coverage, ending);
-        Finished { outcome, code, coverage, parts, failure, sent }
+        let least = self.rules.min_shards(self.plan.shards.len());
+        let conclusion = Conclusion { ran, is_cut: self.is_cut, repeatable: self.rules.repeatable, least };
+        let (outcome, code) = classify(&coverage, conclusion);
+        FanoutResult { outcome, code, coverage, parts, failure, sent }
     }
 
     pub(super) fn name(&self, shard: usize) -> ShardId {
         Arc::clone(&self.plan.shards[shard].shard)
     }
 
-    pub(super) fn land(&mut self, shard: usize, attempt: AttemptId) -> Option<Flight> {
-        let flights = &mut self.shards.get_mut(shard)?.flights;
-        let at = flights.iter().position(|flight| flight.attempt == attempt)?;
-        Some(flights.swap_remove(at))
+    pub(super) fn remove_in_flight(&mut self, shard: usize, attempt: AttemptId) -> Option<InFlight> {
+        let in_flight = &mut self.shards.get_mut(shard)?.in_flight;
+        let at = in_flight.iter().position(|flight| flight.attempt == attempt)?;
+        Some(in_flight.swap_remove(at))
     }
 
-    pub(super) fn take_end<S: Sink>(
+    pub(super) fn record_end<S: Sink>(
         &mut self,
         shard: usize,
-        flight: Flight,
+        flight: InFlight,
         end: AttemptEnd,
-        step: &mut Step<'_, S>,
+        step: &mut StepContext<'_, S>,
     ) {
-        let Flight { attempt, upstream, start, .. } = flight;
+        let InFlight { attempt, upstream, start, .. } = flight;
         let name = self.name(shard);
         if !self.shards[shard].is_open() {
             self.shards[shard].ran |= end.may_have_run();
-            let why = if self.cut { Drop::Late } else { Drop::Duplicate };
+            let why = if self.is_cut { Drop::Late } else { Drop::Duplicate };
             step.emit(Event::ReplyDropped { shard: name, upstream, attempt, why });
             return;
         }
@@ -267,21 +267,21 @@
             }
             failed => {
                 let (why, ran) = (failed.gap().unwrap_or(Gap::Failed), failed.may_have_run());
-                self.note_lost(why);
-                self.shards[shard].note_failure(&upstream, &failed);
+                self.record_loss(why);
+                self.shards[shard].record_failure(&upstream, &failed);
                 step.emit(Event::AttemptFailed { shard: name, upstream, attempt, why, ran });
                 self.after_failure(shard, step);
             }
         }
     }
 
-    fn contribute<S: Sink>(&mut self, shard: usize, body: Reply, step: &mut Step<'_, S>) {
+    fn contribute<S: Sink>(&mut self, shard: usize, body: Reply, step: &mut StepContext<'_, S>) {
         self.shards[shard].part = Some(body);
         self.contributed += 1;
         if self.half.is_none() && self.contributed * 2 >= self.shards.len() {
             self.half = Some(step.now);
         }
-        if self.enough.is_none() && self.contributed >= self.rules.least(self.shards.len()) {
+        if self.enough.is_none() && self.contributed >= self.rules.min_shards(self.shards.len()) {
             self.enough = Some(step.now);
         }
         self.open -= 1;
@@ -290,9 +290,9 @@
 
     /// Cancels what is under way, but for probes: they are to show how a
     /// replica does.
-    fn cancel_flights<S: Sink>(&self, shard: usize, step: &mut Step<'_, S>) {
-        let flights = &self.shards[shard].flights;
-        for flight in flights.iter().filter(|flight| flight.cause != Cause::Probe) {
+    fn cancel_flights<S: Sink>(&self, shard: usize, step: &mut StepContext<'_, S>) {
+        let in_flight = &self.shards[shard].in_flight;
+        for flight in in_flight.iter().filter(|flight| flight.cause != Cause::Probe) {
             let (attempt, upstream) = (flight.attempt, Arc::clone(&flight.upstream));
             let shard = self.name(shard);
             step.emit(Event::Cancelled { shard, upstream: Arc::clone(&upstream), attempt });
@@ -300,15 +300,15 @@
         }
     }
 
-    fn cut<S: Sink>(&mut self, step: &mut Step<'_, S>) {
-        self.cut = true;
+    fn cut_answer<S: Sink>(&mut self, step: &mut StepContext<'_, S>) {
+        self.is_cut = true;
         let awaited = self.open;
         for shard in 0..self.shards.len() {
             if !self.shards[shard].is_open() {
                 continue;
             }
             self.cancel_flights(shard, step);
-            if !self.shards[shard].flights.is_empty() {
+            if !self.shards[shard].in_flight.is_empty() {
                 self.shards[shard].gap = Some(Gap::Late);
             }
             self.close(shard, Gap::NotAsked, step);
@@ -316,27 +316,27 @@
         step.emit(Event::AnswerCut { contributed: self.contributed, awaited });
     }
 
-    pub(super) fn close<S: Sink>(&mut self, shard: usize, gap: Gap, step: &mut Step<'_, S>) {
+    pub(super) fn close<S: Sink>(&mut self, shard: usize, gap: Gap, step: &mut StepContext<'_, S>) {
         let name = self.name(shard);
         let state = &mut self.shards[shard];
         state.close(gap);
         self.open -= 1;
         let why = state.gap.unwrap_or(gap);
         step.emit(Event::ShardMissing { shard: name, why, ran: state.may_have_run() });
-        self.give_up_early(step);
+        self.stop_early(step);
     }
 
     /// Ends the fan-out once too few shards are left to make an answer.
-    fn give_up_early<S: Sink>(&mut self, step: &mut Step<'_, S>) {
-        let least = self.rules.possible.unwrap_or_else(|| self.rules.least(self.plan.shards.len()));
-        if self.rules.repeatable && !self.cut && self.open > 0 && self.contributed + self.open < least {
-            self.cut(step);
+    fn stop_early<S: Sink>(&mut self, step: &mut StepContext<'_, S>) {
+        let least = self.rules.min_possible.unwrap_or_else(|| self.rules.min_shards(self.plan.shards.len()));
+        if self.rules.repeatable && !self.is_cut && self.open > 0 && self.contributed + self.open < least {
+            self.cut_answer(step);
         }
     }
 
-    fn retry_or_hold<S: Sink>(&mut self, shard: usize, step: &mut Step<'_, S>) {
-        if self.is_suspect() && self.is_paid(shard, step) {
-            self.hold(shard);
+    fn retry_or_suspend<S: Sink>(&mut self, shard: usize, step: &mut StepContext<'_, S>) {
+        if self.is_suspect() && self.has_budget(shard, step) {
+            self.suspend(shard);
         } else {
             self.retry(shard, step);
         }
@@ -344,11 +344,11 @@
 
     /// Says whether the budget would pay for asking for a shard now; where it does not, there
     /// is nothing to wait for.
-    fn is_paid<S: Sink>(&self, shard: usize, step: &mut Step<'_, S>) -> bool {
+    fn has_budget<S: Sink>(&self, shard: usize, step: &mut StepContext<'_, S>) -> bool {
         self.shards[shard].sent == 0 || step.router.budget(&self.plan.shards[shard].shard).has_retry()
     }
 
-    fn after_failure<S: Sink>(&mut self, shard: usize, step: &mut Step<'_, S>) {
+    fn after_failure<S: Sink>(&mut self, shard: usize, step: &mut StepContext<'_, S>) {
         let state = &self.shards[shard];
         if state.is_awaited() {
             return;
@@ -359,6 +359,6 @@
             self.close(shard, Gap::Failed, step);
             return;
         }
-        self.retry_or_hold(shard, step);
+        self.retry_or_suspend(shard, step);
     }
 }
--- a/crates/harefield/src/domain/fanout/mod.rs
+++ b/crates/harefield/src/domain/fanout/mod.rs
@@ -7,30 +7,30 @@
 //! runs them, `cut`, `overrun` and `judge` on
 //! the answer.
 
-mod caution;
-mod cut;
+mod attempts;
+mod context;
+mod crash_guard;
+mod group_request;
 mod groups;
-mod hand;
-mod judge;
 mod machine;
 mod overrun;
-mod sending;
+mod result;
+mod rules;
 mod shard;
-mod step;
 mod verify;
 
-pub use caution::MOST_TRIALS;
-pub use cut::MOST_ATTEMPTS;
-pub use cut::Rules;
-pub use hand::Brought;
-pub use hand::GroupEnd;
-pub use hand::Hand;
-pub use judge::Finished;
+pub use crash_guard::MAX_TRIALS;
+pub use group_request::GroupOutcome;
+pub use group_request::GroupRequest;
+pub use group_request::ShardResult;
 pub use machine::Fanout;
 pub use overrun::Overrun;
+pub use result::FanoutResult;
+pub use rules::AnswerRules;
+pub use rules::MAX_ATTEMPTS;
 pub use shard::Action;
 pub use shard::AttemptEnd;
 pub use shard::Cancel;
-pub use shard::Send;
-pub use verify::Echo;
+pub use shard::SendAttempt;
+pub use verify::ReplyIdentity;
 pub use verify::verify;
--- a/crates/harefield/src/domain/fanout/overrun.rs
+++ b/crates/harefield/src/domain/fanout/overrun.rs
@@ -19,7 +19,7 @@
 const DEVIATIONS: f64 = 1.5;
 
 /// The part of the time to gather that an overrun may take, in percent.
-const MOST_PERCENT: u32 = 25;
+const MAX_PERCENT: u32 = 25;
 
 /// The learnt overrun of the answers of one daemon.
 #[derive(Clone, Copy, Debug, Default)]
@@ -34,7 +34,7 @@
     /// can be made up for: it waited for something that was lost.
     pub fn sample(&mut self, cut: Instant, time: Duration, out: Instant) {
         let Some(took) = out.checked_duration_since(cut) else { return };
-        if took > time * MOST_PERCENT / 100 {
+        if took > time * MAX_PERCENT / 100 {
             return;
         }
         let took = took.as_secs_f64();
@@ -45,9 +45,9 @@
     /// Returns when an answer is cut that is to go out at `objective`, and is begun now;
     /// `kept` is kept of the objective for that already.
     #[must_use]
-    pub fn cut(self, now: Instant, objective: Instant, kept: Duration) -> Instant {
+    pub fn cutoff(self, now: Instant, objective: Instant, kept: Duration) -> Instant {
         let left = objective.saturating_duration_since(now);
         let overrun = Duration::from_secs_f64(self.mean + self.deviation * DEVIATIONS);
-        now + left.saturating_sub(overrun.saturating_sub(kept).min(left * MOST_PERCENT / 100))
+        now + left.saturating_sub(overrun.saturating_sub(kept).min(left * MAX_PERCENT / 100))
     }
 }
--- a/crates/harefield/src/domain/fanout/judge.rs
+++ b/crates/harefield/src/domain/fanout/result.rs
@@ -9,7 +9,7 @@
 
 /// What a finished fan-out found.
 #[derive(Debug)]
-pub struct Finished {
+pub struct FanoutResult {
     /// What became of the request.
     pub outcome: Outcome,
     /// The result code.
@@ -26,11 +26,11 @@
 
 /// How a fan-out ended, besides its coverage.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Ending {
+pub(super) struct Conclusion {
     /// Whether a shard that did not contribute may have run it.
     pub ran: bool,
     /// Whether the answer was cut while replies were awaited.
-    pub cut: bool,
+    pub is_cut: bool,
     /// Whether the request may run more than once.
     pub repeatable: bool,
     /// How many shards make an answer.
@@ -38,21 +38,21 @@
 }
 
 /// Says what became of a request.
-pub(super) fn judge(coverage: &Coverage, ending: Ending) -> (Outcome, Code) {
+pub(super) fn classify(coverage: &Coverage, conclusion: Conclusion) -> (Outcome, Code) {
     if coverage.whole {
         return (Outcome::Answered, Code::Whole);
     }
-    let some = coverage.contributed.len() >= ending.least;
-    if some && (ending.repeatable || !ending.ran) {
+    let some = coverage.contributed.len() >= conclusion.least;
+    if some && (conclusion.repeatable || !conclusion.ran) {
         return (Outcome::Answered, Code::Partial);
     }
     if !some && !coverage.contributed.is_empty() {
         return (Outcome::MayHaveRun, Code::TooFewShards);
     }
-    if ending.ran && ending.cut {
+    if conclusion.ran && conclusion.is_cut {
         return (Outcome::MayHaveRun, Code::DeadlinePassed);
     }
-    if ending.ran {
+    if conclusion.ran {
         return (Outcome::MayHaveRun, Code::ReplyLost);
     }
     (Outcome::NotRun, refusal(coverage))
--- a/crates/harefield/src/domain/fanout/cut.rs
+++ b/crates/harefield/src/domain/fanout/rules.rs
@@ -9,21 +9,21 @@
 
 /// A time-first answer is cut early once this share of the shards, in percent,
 /// has contributed.
-const ENOUGH_PERCENT: usize = 90;
+const EARLY_CUTOFF_PERCENT: usize = 90;
 
 /// A time-first answer may be cut after this part of its time.
-const EARLY_PART: u32 = 2;
+const EARLY_CUTOFF_DIVISOR: u32 = 2;
 
 /// A group may lack this many times its even part of what an answer may lack: slow
 /// upstreams are not spread evenly.
-const UNEVEN: usize = 2;
+const UNEVEN_FACTOR: usize = 2;
 
 /// The most attempts on one shard where the lookup names no number.
-pub const MOST_ATTEMPTS: u32 = 6;
+pub const MAX_ATTEMPTS: u32 = 6;
 
 /// The rules that one request is answered by.
 #[derive(Clone, Debug)]
-pub struct Rules {
+pub struct AnswerRules {
     /// The kind of request, for its pace.
     pub kind: Arc<str>,
     /// Whether the request may run more than once.
@@ -35,24 +35,24 @@
     /// When it must be answered.
     pub deadline: Instant,
     /// After how many times the slow pace a hedge is due; none for no hedges.
-    pub hedge: Option<f64>,
+    pub hedge_factor: Option<f64>,
     /// A fixed delay before hedges instead; a baseline for measurements.
-    pub fixed: Option<Duration>,
+    pub fixed_delay: Option<Duration>,
     /// When an answer that has enough shards is given, though others are
     /// awaited; none for the preference's own rule.
     pub objective: Option<Instant>,
     /// When that answer is cut, so that it goes out by the objective.
-    pub cut: Option<Instant>,
+    pub cutoff: Option<Instant>,
     /// The least share of the shards that makes an answer.
-    pub least_share: f64,
+    pub min_share: f64,
     /// How many shards must still be possible; once fewer are, the fan-out ends. None for
     /// as many as make an answer. A group whose part is lost may be made up for by others.
-    pub possible: Option<usize>,
+    pub min_possible: Option<usize>,
     /// Whether far shards are handed on in groups.
     pub grouped: bool,
     /// Whether another daemon asked these shards for the same request before:
     /// first attempts earn nothing then.
-    pub again: bool,
+    pub repeated: bool,
     /// The most attempts on one shard, probes included.
     pub attempts: u32,
     /// How many upstreams this daemon may ask alone where some ended and nobody has
@@ -60,7 +60,7 @@
     pub trials: u32,
 }
 
-impl Rules {
+impl AnswerRules {
     /// Returns when the answer is cut, given how many of `total` shards have
     /// contributed.
     ///
@@ -69,14 +69,14 @@
     /// deadline. Where time goes first, waiting for the last stragglers ends
     /// half-way, once nearly all shards have contributed.
     #[must_use]
-    pub fn cut_at(&self, contributed: usize, total: usize) -> Instant {
-        if let Some(cut) = self.cut {
-            let enough = contributed >= self.least(total);
+    pub fn cutoff_at(&self, contributed: usize, total: usize) -> Instant {
+        if let Some(cut) = self.cutoff {
+            let enough = contributed >= self.min_shards(total);
             return if enough { cut.min(self.deadline) } else { self.deadline };
         }
-        let enough = contributed * 100 >= total * ENOUGH_PERCENT;
+        let enough = contributed * 100 >= total * EARLY_CUTOFF_PERCENT;
         if self.prefer == Preference::Time && self.repeatable && enough {
-            return self.start + self.deadline.saturating_duration_since(self.start) / EARLY_PART;
+            return self.start + self.deadline.saturating_duration_since(self.start) / EARLY_CUTOFF_DIVISOR;
         }
         self.deadline
     }
@@ -88,22 +88,22 @@
     /// part of them; if each lacked all 27, the answer would be none.
     #[must_use]
     pub fn needed(&self, group: usize, total: usize) -> usize {
-        let lacking = total - self.least(total);
-        let part = (lacking * group * UNEVEN).div_ceil(total.max(1));
+        let lacking = total - self.min_shards(total);
+        let part = (lacking * group * UNEVEN_FACTOR).div_ceil(total.max(1));
         group.saturating_sub(lacking.min(part))
     }
 
     /// Returns how many shards of a group must be possible for the whole to be an answer,
     /// if all others come.
     #[must_use]
-    pub fn possible(&self, group: usize, total: usize) -> usize {
-        group.saturating_sub(total - self.least(total))
+    pub fn min_possible(&self, group: usize, total: usize) -> usize {
+        group.saturating_sub(total - self.min_shards(total))
     }
 
     /// Returns how many of `total` shards make an answer; at least one.
     #[must_use]
-    pub fn least(&self, total: usize) -> usize {
+    pub fn min_shards(&self, total: usize) -> usize {
         let share = |count: usize| ratio(count, total);
-        (1..=total).find(|count| share(*count) >= self.least_share).unwrap_or(total).max(1)
+        (1..=total).find(|count| share(*count) >= self.min_share).unwrap_or(total).max(1)
     }
 }
--- a/crates/harefield/src/domain/fanout/shard.rs
+++ b/crates/harefield/src/domain/fanout/shard.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use super::hand::Hand;
+use super::group_request::GroupRequest;
 use crate::domain::event::Cause;
 use crate::domain::ids::AttemptId;
 use crate::domain::ids::UpstreamId;
@@ -12,7 +12,7 @@
 
 /// A request to an upstream that is to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Send {
+pub struct SendAttempt {
     /// The shard's place in the plan.
     pub shard: usize,
     /// The upstream to ask.
@@ -38,9 +38,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send a request to an upstream.
-    Send(Send),
+    Send(SendAttempt),
     /// Hand a group of shards to a daemon.
-    Hand(Hand),
+    Delegate(GroupRequest),
     /// Take a group back from its daemon.
     Revoke(AttemptId),
     /// Tell an upstream that a reply is no longer wanted.
@@ -97,7 +97,7 @@
 
 /// An attempt under way.
 #[derive(Clone, Debug)]
-pub(super) struct Flight {
+pub(super) struct InFlight {
     pub attempt: AttemptId,
     pub upstream: UpstreamId,
     pub start: Instant,
@@ -122,7 +122,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Shard {
     /// Attempts under way.
-    pub flights: Vec<Flight>,
+    pub in_flight: Vec<InFlight>,
     /// Which replicas may be asked; all where there is no limit.
     pub limit: Option<ReplicaLimit>,
     /// Replicas that failed and are passed over until all have.
@@ -156,20 +156,20 @@
 
     /// Returns whether an attempt other than a probe is under way.
     pub fn is_awaited(&self) -> bool {
-        self.flights.iter().any(|flight| flight.cause != Cause::Probe)
+        self.in_flight.iter().any(|flight| flight.cause != Cause::Probe)
     }
 
     pub fn may_have_run(&self) -> bool {
-        self.ran || !self.flights.is_empty()
+        self.ran || !self.in_flight.is_empty()
     }
 
     /// Returns the only replicas that may be asked; none for all.
-    pub fn only(&self) -> Option<&[UpstreamId]> {
+    pub fn named_only(&self) -> Option<&[UpstreamId]> {
         self.limit.as_ref().filter(|limit| limit.free == 0).map(|limit| &*limit.named)
     }
 
     /// Counts an attempt that leaves for a replica.
-    pub fn count(&mut self, upstream: &UpstreamId) {
+    pub fn count_attempt(&mut self, upstream: &UpstreamId) {
         self.sent += 1;
         if let Some(limit) = &mut self.limit
             && !limit.named.contains(upstream)
@@ -188,7 +188,7 @@
 
     /// Returns the replicas that a new attempt passes over.
     pub fn tried(&self) -> Vec<UpstreamId> {
-        let flying = self.flights.iter().map(|flight| &flight.upstream);
+        let flying = self.in_flight.iter().map(|flight| &flight.upstream);
         flying.chain(&self.failed).chain(&self.unfit).cloned().collect()
     }
 
@@ -199,7 +199,7 @@
     }
 
     /// Notes a failed attempt on `upstream`.
-    pub fn note_failure(&mut self, upstream: &UpstreamId, end: &AttemptEnd) {
+    pub fn record_failure(&mut self, upstream: &UpstreamId, end: &AttemptEnd) {
         self.ran |= end.may_have_run();
         self.gap = end.gap();
         if let AttemptEnd::Failed(reply) = end {
--- a/crates/harefield/src/domain/fanout/verify.rs
+++ b/crates/harefield/src/domain/fanout/verify.rs
@@ -5,7 +5,7 @@
 
 /// What a request names and its reply must name again.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Echo {
+pub struct ReplyIdentity {
     /// The request and attempt.
     pub request: String,
     /// The shard.
@@ -19,7 +19,7 @@
 /// # Errors
 ///
 /// Returns the gap that the reply leaves, since it may not be used.
-pub fn verify(asked: &Echo, echoed: Option<&Echo>) -> Result<(), Gap> {
+pub fn verify(asked: &ReplyIdentity, echoed: Option<&ReplyIdentity>) -> Result<(), Gap> {
     let Some(echoed) = echoed else {
         return Err(Gap::ReplyCrossed);
     };
--- a/crates/harefield/src/engine/attempt.rs
+++ b/crates/harefield/src/engine/attempt.rs
@@ -21,14 +21,14 @@
 use crate::domain::event::Event;
 use crate::domain::event::Sink;
 use crate::domain::fanout::Action;
+use crate::domain::fanout::AnswerRules;
 use crate::domain::fanout::AttemptEnd;
-use crate::domain::fanout::Echo;
 use crate::domain::fanout::Fanout;
-use crate::domain::fanout::Finished;
-use crate::domain::fanout::GroupEnd;
-use crate::domain::fanout::Hand;
-use crate::domain::fanout::Rules;
-use crate::domain::fanout::Send;
+use crate::domain::fanout::FanoutResult;
+use crate::domain::fanout::GroupOutcome;
+use crate::domain::fanout::GroupRequest;
+use crate::domain::fanout::ReplyIdentity;
+use crate::domain::fanout::SendAttempt;
 use crate::domain::ids::AttemptId;
 use crate::domain::ids::ShardId;
 use crate::domain::outcome::Gap;
@@ -52,7 +52,7 @@
     /// Of one shard.
     Shard { shard: usize, attempt: AttemptId, end: AttemptEnd },
     /// Of a group of shards.
-    Group(Hand, GroupEnd),
+    Group(GroupRequest, GroupOutcome),
 }
 
 /// The tasks of one fan-out; dropped, they end where they are.
@@ -74,7 +74,7 @@
 pub(super) struct Attempt {
     pub job: Job,
     plan: Arc<Plan>,
-    pub send: Send,
+    pub send: SendAttempt,
 }
 
 impl Attempt {
@@ -82,8 +82,8 @@
         Arc::clone(&self.plan.shards[self.send.shard].shard)
     }
 
-    fn echo(&self) -> Echo {
-        Echo {
+    fn echo(&self) -> ReplyIdentity {
+        ReplyIdentity {
             request: format!("{}.{}", self.job.request, self.send.attempt),
             shard: self.shard().to_string(),
             version: self.plan.version,
@@ -104,7 +104,7 @@
         if self.settled {
             return;
         }
-        let Send { upstream, start, .. } = &self.attempt.send;
+        let SendAttempt { upstream, start, .. } = &self.attempt.send;
         let now = self.worker.ports.clock.now();
         let mut router = self.worker.router.borrow_mut();
         router.end(upstream, *start, Verdict::Declined, &Report::default(), now);
@@ -113,7 +113,7 @@
 
 /// The result of one fan-out.
 pub(super) struct FanoutEnd {
-    pub finished: Finished,
+    pub finished: FanoutResult,
     pub next: AttemptId,
     pub crowd: Crowd,
 }
@@ -125,7 +125,7 @@
         self: &Rc<Self>,
         job: &Job,
         plan: &Arc<Plan>,
-        rules: &Rules,
+        rules: &AnswerRules,
         first: AttemptId,
         (permit, trace): (&mut Option<Permit<U, P, C>>, &mut Trace<C>),
     ) -> FanoutEnd {
@@ -153,30 +153,30 @@
             let mut ready = next;
             while let Some(end) = ready {
                 if self.standing(&job.work) != Standing::Free {
-                    fanout.leave_trials();
+                    fanout.disable_trials();
                 }
                 let now = self.ports.clock.now();
                 let mut router = self.router.borrow_mut();
                 actions.extend(match end {
                     Landed::Shard { shard, attempt, end } => {
-                        fanout.on_end((shard, attempt), end, now, &mut router, trace)
+                        fanout.on_attempt_end((shard, attempt), end, now, &mut router, trace)
                     }
                     Landed::Group(hand, end) => fanout.on_group_end(&hand, &end, now, &mut router, trace),
                 });
                 ready = landed.try_recv().ok();
             }
             let now = self.ports.clock.now();
-            actions.extend(fanout.on_time(now, &mut self.router.borrow_mut(), trace));
+            actions.extend(fanout.on_timer(now, &mut self.router.borrow_mut(), trace));
             self.act(job, plan, rules, actions, (&sender, &mut tasks));
             if fanout.is_straggling(now)
                 && let Some(permit) = permit.take_if(|permit| !permit.late)
             {
-                permit.leave(fanout.crowd(now));
+                permit.leave(fanout.congestion(now));
             }
         }
         // What is still out keeps its connection, and shows how its upstream does.
         tasks.detach();
-        let (next, crowd) = (fanout.next_attempt(), fanout.crowd(self.ports.clock.now()));
+        let (next, crowd) = (fanout.next_attempt(), fanout.congestion(self.ports.clock.now()));
         FanoutEnd { finished: fanout.finish(), next, crowd }
     }
 
@@ -207,7 +207,7 @@
         self: &Rc<Self>,
         job: &Job,
         plan: &Arc<Plan>,
-        rules: &Rules,
+        rules: &AnswerRules,
         actions: Vec<Action>,
         (sender, tasks): (&Sender<Landed>, &mut Tasks),
     ) {
@@ -217,7 +217,7 @@
                     let attempt = Attempt { job: job.clone(), plan: Arc::clone(plan), send };
                     tasks.attempts.push(self.launch(attempt, sender.clone()));
                 }
-                Action::Hand(hand) => {
+                Action::Delegate(hand) => {
                     let number = hand.attempt;
                     let task = self.launch_group(job, plan, rules, hand, sender.clone());
                     tasks.groups.push((number, task));
@@ -292,7 +292,7 @@
     /// of a changed word.
     fn learn(&self, attempt: &Attempt, end: &CallEnd) {
         let now = self.ports.clock.now();
-        let Send { upstream, start, .. } = &attempt.send;
+        let SendAttempt { upstream, start, .. } = &attempt.send;
         let mut router = self.router.borrow_mut();
         let before = router.searcher(upstream).map(|s| s.window().size());
         router.end(upstream, *start, end.verdict, &end.report, now);
--- a/crates/harefield/src/engine/caution.rs
+++ b/crates/harefield/src/engine/caution.rs
@@ -26,9 +26,9 @@
 use crate::domain::code::Code;
 use crate::domain::event::Event;
 use crate::domain::event::Sink;
+use crate::domain::fanout::AnswerRules;
 use crate::domain::fanout::AttemptEnd;
-use crate::domain::fanout::Finished;
-use crate::domain::fanout::Rules;
+use crate::domain::fanout::FanoutResult;
 use crate::domain::ids::HostId;
 use crate::domain::ids::UpstreamId;
 use crate::domain::ids::WorkId;
@@ -299,11 +299,11 @@
         };
         let shard = Arc::clone(&one.shards[0].shard);
         trace.emit(Event::TrialBegun { work: found.work.exact, shard });
-        let rules = Rules {
+        let rules = AnswerRules {
             attempts: TRIAL_ATTEMPTS,
-            hedge: None,
-            least_share: 0.0,
-            cut: None,
+            hedge_factor: None,
+            min_share: 0.0,
+            cutoff: None,
             trials: 0,
             ..self.rules(found, self.overruns.own.get(), Duration::ZERO)
         };
@@ -334,7 +334,7 @@
 }
 
 /// Returns the answer of a request whose trial brought nothing; none where it was answered.
-fn failed_trial<C: Clock>(finished: &Finished, trace: &Trace<C>) -> Option<Answer> {
+fn failed_trial<C: Clock>(finished: &FanoutResult, trace: &Trace<C>) -> Option<Answer> {
     match finished.outcome {
         Outcome::Answered => None,
         Outcome::NotRun => Some(refuse(trace, finished.code, COME_BACK)),
--- a/crates/harefield/src/engine/group.rs
+++ b/crates/harefield/src/engine/group.rs
@@ -13,10 +13,10 @@
 use super::job::Job;
 use super::worker::Worker;
 use crate::domain::event::Event;
-use crate::domain::fanout::Brought;
-use crate::domain::fanout::GroupEnd;
-use crate::domain::fanout::Hand;
-use crate::domain::fanout::Rules;
+use crate::domain::fanout::AnswerRules;
+use crate::domain::fanout::GroupOutcome;
+use crate::domain::fanout::GroupRequest;
+use crate::domain::fanout::ShardResult;
 use crate::domain::ids::UpstreamId;
 use crate::domain::outcome::Gap;
 use crate::domain::query::ByteQuery;
@@ -40,7 +40,7 @@
 struct Underway<'a, U: Upstreams, P: Peers, C: Clock> {
     worker: &'a Worker<U, P, C>,
     kind: &'a Arc<str>,
-    hand: &'a Hand,
+    hand: &'a GroupRequest,
     settled: bool,
 }
 
@@ -58,8 +58,8 @@
         self: &Rc<Self>,
         job: &Job,
         plan: &Arc<Plan>,
-        rules: &Rules,
-        hand: Hand,
+        rules: &AnswerRules,
+        hand: GroupRequest,
         sender: Sender<Landed>,
     ) -> Task<()> {
         let message = self.group_message(job, plan, rules, &hand);
@@ -79,7 +79,7 @@
         self.executor.spawn(task)
     }
 
-    fn group_message(&self, job: &Job, plan: &Plan, rules: &Rules, hand: &Hand) -> Group {
+    fn group_message(&self, job: &Job, plan: &Plan, rules: &AnswerRules, hand: &GroupRequest) -> Group {
         let left = job.deadline.saturating_duration_since(self.ports.clock.now());
         let query = match &job.query {
             Query::Bytes(query) => (**query).clone(),
@@ -97,39 +97,43 @@
             most: job.merge.unwrap_or(usize::MAX),
             needed: rules.needed(hand.shards.len(), plan.shards.len()),
             remaining: micros(left),
-            gather: hand.gather.map(micros),
-            again: rules.again,
-            possible: Some(rules.possible(hand.shards.len(), plan.shards.len())),
+            gather: hand.gather_time.map(micros),
+            again: rules.repeated,
+            possible: Some(rules.min_possible(hand.shards.len(), plan.shards.len())),
             suspects: self.reports(&job.work),
             regions: Arc::clone(&job.regions),
             asker: job.asker.clone(),
         }
     }
 
-    fn end_relay(&self, kind: &Arc<str>, hand: &Hand, verdict: RelayVerdict) {
+    fn end_relay(&self, kind: &Arc<str>, hand: &GroupRequest, verdict: RelayVerdict) {
         let now = self.ports.clock.now();
         self.router.borrow_mut().relays_mut().end(&hand.host, kind, hand.start, verdict, now);
     }
 
-    fn group_end(&self, hand: &Hand, result: Result<GroupReply, PeerError>) -> (RelayVerdict, GroupEnd) {
+    fn group_end(
+        &self,
+        hand: &GroupRequest,
+        result: Result<GroupReply, PeerError>,
+    ) -> (RelayVerdict, GroupOutcome) {
         let reply = match result {
             Ok(reply) if !reply.declined => reply,
-            Ok(_declined) => return (RelayVerdict::Declined, GroupEnd::NotSent),
-            Err(PeerError::Unreachable) => return (RelayVerdict::Silent, GroupEnd::NotSent),
-            Err(PeerError::Silent) => return (RelayVerdict::Silent, GroupEnd::Silent),
+            Ok(_declined) => return (RelayVerdict::Declined, GroupOutcome::NotSent),
+            Err(PeerError::Unreachable) => return (RelayVerdict::Silent, GroupOutcome::NotSent),
+            Err(PeerError::Silent) => return (RelayVerdict::Silent, GroupOutcome::Silent),
         };
         self.receive(reply.stamp);
         let total = self.ports.clock.now().saturating_duration_since(hand.start);
         let way = total.saturating_sub(Duration::from_micros(reply.took));
-        (RelayVerdict::Answered(way), GroupEnd::Brought(brought(hand, reply)))
+        (RelayVerdict::Answered(way), GroupOutcome::Results(brought(hand, reply)))
     }
 
-    fn note_group(&self, job: &Job, hand: &Hand, verdict: RelayVerdict, end: &GroupEnd) {
+    fn note_group(&self, job: &Job, hand: &GroupRequest, verdict: RelayVerdict, end: &GroupOutcome) {
         let parts = match end {
-            GroupEnd::Brought(all) => {
-                all.iter().filter(|(_, brought)| matches!(brought, Brought::Part(_))).count()
+            GroupOutcome::Results(all) => {
+                all.iter().filter(|(_, brought)| matches!(brought, ShardResult::Part(_))).count()
             }
-            GroupEnd::NotSent | GroupEnd::Silent => 0,
+            GroupOutcome::NotSent | GroupOutcome::Silent => 0,
         };
         let way = match verdict {
             RelayVerdict::Answered(way) => micros(way),
@@ -150,7 +154,7 @@
 }
 
 /// Returns which replicas may be asked, by the shards' places in the group.
-fn limits(hand: &Hand) -> Vec<(usize, Vec<UpstreamId>)> {
+fn limits(hand: &GroupRequest) -> Vec<(usize, Vec<UpstreamId>)> {
     let place = |shard: usize| hand.shards.iter().position(|other| *other == shard);
     let free = (0..hand.free).map(|_| UpstreamId::from(""));
     let names = |fallback: &UpstreamId| std::iter::once(Arc::clone(fallback)).chain(free.clone()).collect();
@@ -165,9 +169,9 @@
 
 /// Sorts a reply by the shards of the group, each once. The merged records go
 /// with the first part.
-fn brought(hand: &Hand, reply: GroupReply) -> Vec<(usize, Brought)> {
+fn brought(hand: &GroupRequest, reply: GroupReply) -> Vec<(usize, ShardResult)> {
     let mut records = Some(reply.records.into_vec());
-    let mut all: Vec<Option<Brought>> = hand.shards.iter().map(|_| None).collect();
+    let mut all: Vec<Option<ShardResult>> = hand.shards.iter().map(|_| None).collect();
     for part in reply.parts {
         let Some(slot) = all.get_mut(part.at).filter(|slot| slot.is_none()) else { continue };
         let body = records.take().unwrap_or_default();
@@ -177,13 +181,13 @@
             signature: Some(part.signature),
             ..Default::default()
         };
-        *slot = Some(Brought::Part(Reply::Bytes(Arc::new(reply))));
+        *slot = Some(ShardResult::Part(Reply::Bytes(Arc::new(reply))));
     }
     for gap in reply.missing {
         let Some(slot) = all.get_mut(gap.at).filter(|slot| slot.is_none()) else { continue };
-        *slot = Some(Brought::Missing { why: gap.why, ran: gap.ran, sent: gap.sent });
+        *slot = Some(ShardResult::Missing { why: gap.why, ran: gap.ran, sent: gap.sent });
     }
-    let unsaid = Brought::Missing { why: Gap::ReplyLost, ran: true, sent: u32::MAX };
+    let unsaid = ShardResult::Missing { why: Gap::ReplyLost, ran: true, sent: u32::MAX };
     let places = hand.shards.iter().copied();
     places.zip(all.into_iter().map(|brought| brought.unwrap_or_else(|| unsaid.clone()))).collect()
 }
--- a/crates/harefield/src/engine/relay.rs
+++ b/crates/harefield/src/engine/relay.rs
@@ -13,8 +13,8 @@
 use super::worker::Worker;
 use crate::domain::event::Event;
 use crate::domain::event::Sink;
-use crate::domain::fanout::Finished;
-use crate::domain::fanout::Rules;
+use crate::domain::fanout::AnswerRules;
+use crate::domain::fanout::FanoutResult;
 use crate::domain::ids::ShardId;
 use crate::domain::ids::UpstreamId;
 use crate::domain::merge::greatest;
@@ -81,11 +81,11 @@
             shown: Shown::default(),
         };
         let least_share = ratio(group.needed, group.shards.len());
-        let rules = Rules {
-            least_share,
-            possible: group.possible,
+        let rules = AnswerRules {
+            min_share: least_share,
+            min_possible: group.possible,
             grouped: false,
-            again: group.again,
+            repeated: group.again,
             trials: 0,
             ..self.rules(&found, self.overruns.groups.get(), Duration::ZERO)
         };
@@ -149,7 +149,7 @@
     fn group_reply(
         &self,
         shards: &[ShardId],
-        finished: &Finished,
+        finished: &FanoutResult,
         most: usize,
         took: Duration,
     ) -> GroupReply {
--- a/crates/harefield/src/engine/room.rs
+++ b/crates/harefield/src/engine/room.rs
@@ -6,7 +6,7 @@
 use super::find::Found;
 use super::worker::Worker;
 use crate::domain::buffers::Use;
-use crate::domain::fanout::Finished;
+use crate::domain::fanout::FanoutResult;
 use crate::memory::Held;
 use crate::ports::Clock;
 use crate::ports::Peers;
@@ -37,7 +37,7 @@
     }
 
     /// Learns how much the replies to a request came to.
-    pub(super) fn learn_size(&self, found: &Found, finished: &Finished) {
+    pub(super) fn learn_size(&self, found: &Found, finished: &FanoutResult) {
         let replies = finished.parts.iter().filter_map(|part| part.reply.bytes());
         let total: usize = replies.map(|reply| reply.body.len()).sum();
         let mut sizes = self.sizes.borrow_mut();
--- a/crates/harefield/src/engine/run.rs
+++ b/crates/harefield/src/engine/run.rs
@@ -16,11 +16,11 @@
 use crate::domain::code::Code;
 use crate::domain::event::Event;
 use crate::domain::event::Sink;
-use crate::domain::fanout::Finished;
-use crate::domain::fanout::MOST_ATTEMPTS;
-use crate::domain::fanout::MOST_TRIALS;
+use crate::domain::fanout::AnswerRules;
+use crate::domain::fanout::FanoutResult;
+use crate::domain::fanout::MAX_ATTEMPTS;
+use crate::domain::fanout::MAX_TRIALS;
 use crate::domain::fanout::Overrun;
-use crate::domain::fanout::Rules;
 use crate::domain::hlc::Stamp;
 use crate::domain::ids::AttemptId;
 use crate::domain::outcome::Answer;
@@ -262,8 +262,11 @@
             trace.emit(Event::SnapshotChosen { index, version, shards: plan.shards.len() });
             let grouped = is_mergeable(job);
             let kept = self.settings.margin / OWN_PART;
-            let rules =
-                Rules { grouped, again: found.again, ..self.rules(found, self.overruns.own.get(), kept) };
+            let rules = AnswerRules {
+                grouped,
+                repeated: found.again,
+                ..self.rules(found, self.overruns.own.get(), kept)
+            };
             let ended = self.fan_out(job, &plan, &rules, first, (&mut permit, trace)).await;
             self.learn_overrun(&self.overruns.own, &rules);
             self.learn_size(found, &ended.finished);
@@ -295,30 +298,30 @@
         Some(Arc::new(self.narrow((**plan).clone(), &found.regions)))
     }
 
-    pub(super) fn rules(&self, found: &Found, overrun: Overrun, kept: Duration) -> Rules {
+    pub(super) fn rules(&self, found: &Found, overrun: Overrun, kept: Duration) -> AnswerRules {
         let lookup = &found.plan.lookup;
-        Rules {
+        AnswerRules {
             repeatable: lookup.repeatable,
             prefer: lookup.prefer,
             start: found.start,
             deadline: found.deadline,
-            hedge: self.settings.hedge,
-            fixed: self.settings.fixed,
+            hedge_factor: self.settings.hedge,
+            fixed_delay: self.settings.fixed,
             kind: Arc::clone(&found.plan.name),
             objective: found.objective,
-            cut: found.objective.map(|objective| overrun.cut(self.ports.clock.now(), objective, kept)),
-            least_share: lookup.least_share,
-            possible: None,
+            cutoff: found.objective.map(|objective| overrun.cutoff(self.ports.clock.now(), objective, kept)),
+            min_share: lookup.least_share,
+            min_possible: None,
             grouped: false,
-            again: false,
-            attempts: lookup.attempts.unwrap_or(MOST_ATTEMPTS),
-            trials: MOST_TRIALS,
+            repeated: false,
+            attempts: lookup.attempts.unwrap_or(MAX_ATTEMPTS),
+            trials: MAX_TRIALS,
         }
     }
 
     /// Learns how long after its cut an answer by some rules goes out, which is now.
-    pub(super) fn learn_overrun(&self, held: &Cell<Overrun>, rules: &Rules) {
-        let (Some(cut), Some(objective)) = (rules.cut, rules.objective) else { return };
+    pub(super) fn learn_overrun(&self, held: &Cell<Overrun>, rules: &AnswerRules) {
+        let (Some(cut), Some(objective)) = (rules.cutoff, rules.objective) else { return };
         let time = objective.saturating_duration_since(rules.start);
         let mut overrun = held.get();
         overrun.sample(cut, time, self.ports.clock.now());
@@ -332,7 +335,7 @@
 
     /// Says whether the cell moved while a request waited here that ran nowhere, so that a
     /// member may run it. What an upstream may have refused meanwhile is paid for.
-    fn is_moved(&self, found: &Found, finished: &Finished) -> bool {
+    fn is_moved(&self, found: &Found, finished: &FanoutResult) -> bool {
         let moved = !self.is_member(found);
         let unsent = finished.sent.iter().all(|sent| *sent == 0);
         let is_paid = || unsent || self.spare.borrow_mut().spend_retry();
@@ -340,7 +343,7 @@
     }
 
     /// Says whether another snapshot promises more than what was found.
-    fn better_elsewhere(&self, finished: &Finished, plan: &Arc<Plan>, found: &Found) -> bool {
+    fn better_elsewhere(&self, finished: &FanoutResult, plan: &Arc<Plan>, found: &Found) -> bool {
         let unheld = |gap: Gap| matches!(gap, Gap::SnapshotMissing | Gap::SnapshotWrong | Gap::ShardMoved);
         let lost = finished.coverage.missing.iter().any(|missing| unheld(missing.why));
         let time_left = self.ports.clock.now() < found.start + (found.deadline - found.start) / 2;
@@ -379,7 +382,12 @@
     Answer::may_have_run(trace.request().map_or("", |id| id), code)
 }
 
-pub(super) fn answer<C: Clock>(trace: &Trace<C>, plan: &Plan, finished: Finished, found: &Found) -> Answer {
+pub(super) fn answer<C: Clock>(
+    trace: &Trace<C>,
+    plan: &Plan,
+    finished: FanoutResult,
+    found: &Found,
+) -> Answer {
     let request = trace.request().map_or("", |id| id);
     let mut answer = Answer::bare(request, finished.outcome, finished.code);
     answer.snapshot = Some(SnapshotName { index: plan.index.to_string(), version: plan.version });
--- a/crates/harefield/src/ports/upstreams.rs
+++ b/crates/harefield/src/ports/upstreams.rs
@@ -5,7 +5,7 @@
 
 use crate::domain::accounts::Asker;
 use crate::domain::fanout::AttemptEnd;
-use crate::domain::fanout::Echo;
+use crate::domain::fanout::ReplyIdentity;
 use crate::domain::ids::UpstreamId;
 use crate::domain::query::Query;
 use crate::domain::routing::Report;
@@ -28,7 +28,7 @@
     /// How many connections to it may be open.
     pub share: u32,
     /// What the reply must echo: request and attempt, shard, version.
-    pub echo: Echo,
+    pub echo: ReplyIdentity,
     /// The time that the request has left.
     pub remaining: Duration,
     /// How long past that its reply is awaited to keep the connection.
--- a/crates/harefield/tests/decisions/caution.rs
+++ b/crates/harefield/tests/decisions/caution.rs
@@ -10,7 +10,7 @@
 use harefield::domain::code::Code;
 use harefield::domain::event::Cause;
 use harefield::domain::fanout::AttemptEnd;
-use harefield::domain::fanout::MOST_TRIALS;
+use harefield::domain::fanout::MAX_TRIALS;
 use harefield::domain::outcome::Gap;
 use harefield::domain::outcome::Outcome;
 use harefield::domain::resources::Preference;
@@ -48,7 +48,7 @@
         shards in 4_usize..40,
         order in prop::collection::vec((any::<usize>(), 0_u64..40, any::<bool>()), 200),
     ) {
-        let mut world = fanout(shards, MOST_TRIALS);
+        let mut world = fanout(shards, MAX_TRIALS);
         let mut ended = 0;
         for (place, millis, known) in order {
             world.pass(Duration::from_millis(millis));
@@ -71,7 +71,7 @@
         shards in 1_usize..40,
         order in prop::collection::vec((any::<usize>(), 0_u64..40), 200),
     ) {
-        let mut world = fanout(shards, MOST_TRIALS);
+        let mut world = fanout(shards, MAX_TRIALS);
         let mut ended = 0;
         for (place, millis) in order {
             world.pass(Duration::from_millis(millis));
@@ -97,7 +97,7 @@
         lost in prop::collection::vec(any::<bool>(), 30),
         order in any::<u64>(),
     ) {
-        let mut world = fanout(shards, MOST_TRIALS);
+        let mut world = fanout(shards, MAX_TRIALS);
         let lost: BTreeSet<usize> = (0..shards).filter(|shard| lost[*shard]).collect();
         prop_assume!(lost.len() < shards);
         let mut place = order;
@@ -124,7 +124,7 @@
 
 #[test]
 fn others_await_the_first() {
-    let mut world = fanout(20, MOST_TRIALS);
+    let mut world = fanout(20, MAX_TRIALS);
     world.pass(Duration::from_millis(500));
     let hedges = |world: &World| world.sent.iter().filter(|send| send.cause == Cause::Hedge).count();
     assert_eq!(hedges(&world), 1, "nobody has answered");
@@ -150,7 +150,7 @@
 #[test]
 fn nothing_leaves_meanwhile() {
     // Once one has ended, no other reason to ask again counts either, until one answers.
-    let mut world = fanout(6, MOST_TRIALS);
+    let mut world = fanout(6, MAX_TRIALS);
     end(&mut world, 0);
     let refused = AttemptEnd::Refused { why: Gap::Overloaded, begun: false };
     world.end(0, refused, Verdict::Full(None));
--- a/crates/harefield/tests/decisions/fanout.rs
+++ b/crates/harefield/tests/decisions/fanout.rs
@@ -16,9 +16,9 @@
 use harefield::domain::code::Code;
 use harefield::domain::event::Cause;
 use harefield::domain::event::Event;
+use harefield::domain::fanout::AnswerRules;
 use harefield::domain::fanout::AttemptEnd;
-use harefield::domain::fanout::Echo;
-use harefield::domain::fanout::Rules;
+use harefield::domain::fanout::ReplyIdentity;
 use harefield::domain::fanout::verify;
 use harefield::domain::outcome::Gap;
 use harefield::domain::outcome::Outcome;
@@ -170,19 +170,19 @@
 
 #[test]
 fn echo_must_match() {
-    let asked = Echo { request: "r.1".into(), shard: "s/0".into(), version: 7 };
+    let asked = ReplyIdentity { request: "r.1".into(), shard: "s/0".into(), version: 7 };
     assert_eq!(verify(&asked, Some(&asked.clone())), Ok(()));
-    let crossed = Echo { request: "r.2".into(), ..asked.clone() };
+    let crossed = ReplyIdentity { request: "r.2".into(), ..asked.clone() };
     assert_eq!(verify(&asked, Some(&crossed)), Err(Gap::ReplyCrossed));
-    let moved = Echo { shard: "s/1".into(), ..asked.clone() };
+    let moved = ReplyIdentity { shard: "s/1".into(), ..asked.clone() };
     assert_eq!(verify(&asked, Some(&moved)), Err(Gap::ReplyCrossed));
-    let other = Echo { version: 8, ..asked.clone() };
+    let other = ReplyIdentity { version: 8, ..asked.clone() };
     assert_eq!(verify(&asked, Some(&other)), Err(Gap::SnapshotWrong));
     assert_eq!(verify(&asked, None), Err(Gap::ReplyCrossed));
 }
 
 /// Makes replica 1 of every shard one that takes much longer, seen a second ago.
-fn slow_second(shards: usize, rules: &mut Rules, router: &mut Router) {
+fn slow_second(shards: usize, rules: &mut AnswerRules, router: &mut Router) {
     let past = rules.start;
     for shard in 0..shards {
         for (number, millis) in [(0, 4), (1, 60)] {
--- a/crates/harefield/tests/decisions/groups.rs
+++ b/crates/harefield/tests/decisions/groups.rs
@@ -8,14 +8,14 @@
 use harefield::domain::event::Cause;
 use harefield::domain::event::Event;
 use harefield::domain::fanout::Action;
+use harefield::domain::fanout::AnswerRules;
 use harefield::domain::fanout::AttemptEnd;
-use harefield::domain::fanout::Brought;
 use harefield::domain::fanout::Fanout;
-use harefield::domain::fanout::GroupEnd;
-use harefield::domain::fanout::Hand;
-use harefield::domain::fanout::MOST_TRIALS;
-use harefield::domain::fanout::Rules;
-use harefield::domain::fanout::Send;
+use harefield::domain::fanout::GroupOutcome;
+use harefield::domain::fanout::GroupRequest;
+use harefield::domain::fanout::MAX_TRIALS;
+use harefield::domain::fanout::SendAttempt;
+use harefield::domain::fanout::ShardResult;
 use harefield::domain::ids::HostId;
 use harefield::domain::ids::ShardId;
 use harefield::domain::membership::PeerState;
@@ -52,8 +52,8 @@
     router: Router,
     now: Instant,
     events: Vec<Event>,
-    hands: Vec<Hand>,
-    sends: Vec<Send>,
+    hands: Vec<GroupRequest>,
+    sends: Vec<SendAttempt>,
     revoked: usize,
 }
 
@@ -97,22 +97,22 @@
         let mut router = Router::new(Policy::Cost, budgets, 7, now).at(places());
         router.apply(&view, now);
         router.see_daemons([&daemon(zone, live)]);
-        let rules = Rules {
+        let rules = AnswerRules {
             kind: "l".into(),
             repeatable: true,
             prefer: Preference::Coverage,
             start: now,
             deadline: at(now, 2000),
-            hedge: None,
-            fixed: None,
+            hedge_factor: None,
+            fixed_delay: None,
             objective: Some(at(now, 200)),
-            cut: Some(at(now, 200)),
-            least_share: 0.6,
-            possible: None,
+            cutoff: Some(at(now, 200)),
+            min_share: 0.6,
+            min_possible: None,
             grouped: true,
-            again: false,
+            repeated: false,
             attempts: 2,
-            trials: MOST_TRIALS,
+            trials: MAX_TRIALS,
         };
         let fanout = Fanout::new(Arc::clone(&view.lookups["l"].plans[0]), rules, 0);
         let mut world = Self {
@@ -135,23 +135,23 @@
         for action in actions {
             match action {
                 Action::Send(send) => self.sends.push(send),
-                Action::Hand(hand) => self.hands.push(hand),
+                Action::Delegate(hand) => self.hands.push(hand),
                 Action::Revoke(_) => self.revoked += 1,
                 Action::Cancel(_) => {}
             }
         }
     }
 
-    fn end_group(&mut self, end: &GroupEnd) {
+    fn end_group(&mut self, end: &GroupOutcome) {
         let hand = self.hands[0].clone();
         let actions = self.fanout.on_group_end(&hand, end, self.now, &mut self.router, &mut self.events);
         self.act(actions);
     }
 
-    fn answer(&mut self, send: &Send, text: &str) {
+    fn answer(&mut self, send: &SendAttempt, text: &str) {
         let end = AttemptEnd::Answered(part(text));
         let place = (send.shard, send.attempt);
-        let actions = self.fanout.on_end(place, end, self.now, &mut self.router, &mut self.events);
+        let actions = self.fanout.on_attempt_end(place, end, self.now, &mut self.router, &mut self.events);
         self.act(actions);
     }
 
@@ -166,18 +166,18 @@
             self.now += Duration::from_millis(millis.min(100));
             self.router.lease_mut().renew(self.now);
         }
-        let actions = self.fanout.on_time(self.now, &mut self.router, &mut self.events);
+        let actions = self.fanout.on_timer(self.now, &mut self.router, &mut self.events);
         self.act(actions);
     }
 
     /// Ends the group with `parts` contributions, and `missing` for the other shards.
-    fn bring(&mut self, parts: usize, missing: &Brought) {
+    fn bring(&mut self, parts: usize, missing: &ShardResult) {
         let shards = self.hands[0].shards.iter().enumerate();
         let all = shards.map(|(number, shard)| {
-            let brought = if number < parts { Brought::Part(part("group")) } else { missing.clone() };
+            let brought = if number < parts { ShardResult::Part(part("group")) } else { missing.clone() };
             (*shard, brought)
         });
-        let end = GroupEnd::Brought(all.collect());
+        let end = GroupOutcome::Results(all.collect());
         self.end_group(&end);
     }
 
@@ -226,7 +226,7 @@
     for send in world.sends.clone() {
         world.answer(&send, "direct");
     }
-    let missing = Brought::Missing { why: Gap::Late, ran: true, sent: 2 };
+    let missing = ShardResult::Missing { why: Gap::Late, ran: true, sent: 2 };
     world.bring(4, &missing);
     assert!(world.fanout.is_done());
     let finished = world.fanout.finish();
@@ -236,14 +236,14 @@
 #[test]
 fn unsent_asked_afresh() {
     let mut world = World::start(true);
-    world.end_group(&GroupEnd::NotSent);
+    world.end_group(&GroupOutcome::NotSent);
     assert_eq!(world.asked_later(), [2, 3, 4, 5].map(|shard| (shard, Cause::First)));
 }
 
 #[test]
 fn spent_not_asked_again() {
     let mut world = World::start(true);
-    let missing = Brought::Missing { why: Gap::Late, ran: true, sent: 2 };
+    let missing = ShardResult::Missing { why: Gap::Late, ran: true, sent: 2 };
     world.bring(3, &missing);
     assert_eq!(world.sends.len(), 2, "the daemon used both attempts of the shard");
 }
@@ -251,7 +251,7 @@
 #[test]
 fn one_attempt_left() {
     let mut world = World::start(true);
-    let missing = Brought::Missing { why: Gap::ReplyLost, ran: true, sent: 1 };
+    let missing = ShardResult::Missing { why: Gap::ReplyLost, ran: true, sent: 1 };
     world.bring(3, &missing);
     assert_eq!(world.asked_later(), [(5, Cause::Retry)]);
 }
@@ -260,7 +260,7 @@
 fn refused_there_is_a_retry() {
     // An upstream that refused was asked all the same: asking again is extra load.
     let mut world = World::start(true);
-    let missing = Brought::Missing { why: Gap::Overloaded, ran: false, sent: 1 };
+    let missing = ShardResult::Missing { why: Gap::Overloaded, ran: false, sent: 1 };
     world.bring(3, &missing);
     assert_eq!(world.asked_later(), [(5, Cause::Retry)]);
 }
@@ -290,7 +290,7 @@
     assert_eq!((world.revoked, world.sends.len()), (1, 2));
     world.pass(5);
     assert_eq!(world.sends.len(), SHARDS);
-    world.bring(4, &Brought::Part(part("group")));
+    world.bring(4, &ShardResult::Part(part("group")));
     for send in world.sends.clone() {
         world.answer(&send, "direct");
     }
@@ -318,7 +318,7 @@
     world.pass(150);
     world.pass(100);
     assert_eq!(world.revoked, 0, "its shards cannot be paid for");
-    world.bring(4, &Brought::Part(part("group")));
+    world.bring(4, &ShardResult::Part(part("group")));
     let finished = world.fanout.finish();
     assert_eq!((finished.outcome, finished.parts.len()), (Outcome::Answered, SHARDS));
 }
@@ -354,7 +354,7 @@
     world.answer_first();
     world.pass(250);
     world.pass(5);
-    let again: Vec<Send> = world.sends[2..].to_vec();
+    let again: Vec<SendAttempt> = world.sends[2..].to_vec();
     assert_eq!(again.len(), 4);
     for send in again {
         let (_, replica) = kept.iter().find(|(shard, _)| *shard == send.shard).expect("one was kept");
@@ -365,7 +365,7 @@
 #[test]
 fn part_of_group_brought() {
     let mut world = World::start(true);
-    let missing = Brought::Missing { why: Gap::ReplyLost, ran: true, sent: 2 };
+    let missing = ShardResult::Missing { why: Gap::ReplyLost, ran: true, sent: 2 };
     world.bring(3, &missing);
     let finished = world.fanout.finish();
     let from_group = finished.parts.iter().filter(|part| signature(&part.reply) == "group").count();
--- a/crates/harefield/tests/decisions/objectives.rs
+++ b/crates/harefield/tests/decisions/objectives.rs
@@ -6,17 +6,17 @@
 use crate::support::at;
 use crate::world::World;
 use crate::world::almost_whole;
+use harefield::domain::fanout::AnswerRules;
 use harefield::domain::fanout::AttemptEnd;
-use harefield::domain::fanout::Rules;
 use harefield::domain::outcome::Gap;
 use harefield::domain::outcome::Outcome;
 use harefield::domain::resources::Preference;
 use harefield::domain::routing::Verdict;
 
 /// Sets by when the answer is wanted, and cut.
-fn aim(rules: &mut Rules, millis: u64) {
+fn aim(rules: &mut AnswerRules, millis: u64) {
     rules.objective = Some(at(rules.start, millis));
-    rules.cut = rules.objective;
+    rules.cutoff = rules.objective;
 }
 
 #[test]
@@ -24,7 +24,7 @@
     let needed = |group, total| {
         let mut found = 0;
         World::with(1, 1, true, |rules, _| {
-            rules.least_share = 0.85;
+            rules.min_share = 0.85;
             found = rules.needed(group, total);
         });
         found
@@ -38,8 +38,8 @@
 fn short_group_goes_on() {
     // 44 of 49 are wanted, and 36 are enough for the whole: what is awaited still counts.
     let mut world = World::with(49, 1, true, |rules, _| {
-        rules.least_share = 0.89;
-        rules.possible = Some(36);
+        rules.min_share = 0.89;
+        rules.min_possible = Some(36);
         rules.attempts = 1;
     });
     for _ in 0..13 {
@@ -62,9 +62,9 @@
 
 #[test]
 fn objective_cuts() {
-    let objective = |rules: &mut Rules, least| {
+    let objective = |rules: &mut AnswerRules, least| {
         aim(rules, 50);
-        rules.least_share = least;
+        rules.min_share = least;
     };
     let mut world = World::with(20, 2, true, |rules, _| objective(rules, 0.89));
     for _ in 0..17 {
@@ -85,7 +85,7 @@
 fn objective_waits_for_all() {
     let mut world = World::with(20, 2, true, |rules, _| {
         aim(rules, 50);
-        rules.least_share = 0.5;
+        rules.min_share = 0.5;
     });
     for _ in 0..19 {
         world.answer(0);
@@ -100,7 +100,7 @@
 fn straggles_after_objective() {
     let mut world = World::with(4, 2, true, |rules, _| {
         aim(rules, 50);
-        rules.least_share = 1.0;
+        rules.min_share = 1.0;
     });
     world.answer(0);
     world.pass(Duration::from_millis(60));
@@ -118,10 +118,10 @@
     // Requests take 10 ms, and count as slow after 100: a hedge then would come too late.
     let hedged_after = |objective: Option<u64>, millis: u64| {
         let mut world = World::with(1, 2, true, |rules, _| {
-            rules.hedge = Some(10.0);
+            rules.hedge_factor = Some(10.0);
             rules.deadline = at(rules.start, 500);
             rules.objective = objective.map(|objective| at(rules.start, objective));
-            rules.cut = rules.objective;
+            rules.cutoff = rules.objective;
         });
         world.pass(Duration::from_millis(millis));
         world.sent.len() == 2
@@ -136,7 +136,7 @@
 #[test]
 fn hopeless_ends_early() {
     let mut world = World::with(4, 1, true, |rules, _| {
-        rules.least_share = 0.75;
+        rules.min_share = 0.75;
         rules.attempts = 1;
     });
     for _ in 0..2 {
--- a/crates/harefield/tests/decisions/overrun.rs
+++ b/crates/harefield/tests/decisions/overrun.rs
@@ -18,7 +18,7 @@
     let mut late = 0;
     for number in 0..200 {
         let objective = after(start, OBJECTIVE);
-        let cut = overrun.cut(start, objective, Duration::ZERO);
+        let cut = overrun.cutoff(start, objective, Duration::ZERO);
         let out = cut + Duration::from_millis(took(number));
         overrun.sample(cut, Duration::from_millis(OBJECTIVE), out);
         late += usize::from(number >= 100 && out > objective);
@@ -31,7 +31,7 @@
     let start = Instant::now();
     let mut overrun = Overrun::default();
     for _ in 0..count {
-        let cut = overrun.cut(start, after(start, OBJECTIVE), Duration::ZERO);
+        let cut = overrun.cutoff(start, after(start, OBJECTIVE), Duration::ZERO);
         overrun.sample(cut, Duration::from_millis(OBJECTIVE), out(start, cut));
     }
     (start, overrun)
@@ -53,7 +53,7 @@
 #[test]
 fn quick_host_gathers() {
     let (start, overrun) = learnt(100, |_, cut| cut + Duration::from_micros(300));
-    assert!(overrun.cut(start, after(start, OBJECTIVE), Duration::ZERO) > after(start, OBJECTIVE - 2));
+    assert!(overrun.cutoff(start, after(start, OBJECTIVE), Duration::ZERO) > after(start, OBJECTIVE - 2));
 }
 
 #[test]
@@ -61,14 +61,14 @@
     let start = Instant::now();
     let mut overrun = Overrun::default();
     overrun.sample(after(start, 80), Duration::from_millis(80), after(start, 40));
-    assert_eq!(overrun.cut(start, after(start, OBJECTIVE), Duration::ZERO), after(start, OBJECTIVE));
+    assert_eq!(overrun.cutoff(start, after(start, OBJECTIVE), Duration::ZERO), after(start, OBJECTIVE));
 }
 
 #[test]
 fn lost_replies_show_nothing() {
     // Answers that waited for what was lost do not make the next ones lack more.
     let (start, overrun) = learnt(50, |start, _| after(start, 900));
-    assert_eq!(overrun.cut(start, after(start, OBJECTIVE), Duration::ZERO), after(start, OBJECTIVE));
+    assert_eq!(overrun.cutoff(start, after(start, OBJECTIVE), Duration::ZERO), after(start, OBJECTIVE));
 }
 
 #[test]
@@ -79,7 +79,7 @@
     for _ in 0..50 {
         overrun.sample(start, Duration::from_millis(OBJECTIVE), after(start, 5));
     }
-    let cut = |kept| overrun.cut(start, after(start, OBJECTIVE), Duration::from_millis(kept));
+    let cut = |kept| overrun.cutoff(start, after(start, OBJECTIVE), Duration::from_millis(kept));
     assert_eq!(cut(7), after(start, OBJECTIVE));
     assert!(cut(0) <= after(start, OBJECTIVE - 5));
 }
--- a/crates/harefield/tests/decisions/rejecting_model.rs
+++ b/crates/harefield/tests/decisions/rejecting_model.rs
@@ -12,11 +12,11 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use harefield::domain::fanout::Action;
+use harefield::domain::fanout::AnswerRules;
 use harefield::domain::fanout::AttemptEnd;
 use harefield::domain::fanout::Fanout;
-use harefield::domain::fanout::MOST_TRIALS;
-use harefield::domain::fanout::Rules;
-use harefield::domain::fanout::Send;
+use harefield::domain::fanout::MAX_TRIALS;
+use harefield::domain::fanout::SendAttempt;
 use harefield::domain::ids::UpstreamId;
 use harefield::domain::outcome::Gap;
 use harefield::domain::places::Places;
@@ -122,22 +122,22 @@
 
     /// Runs one request; returns the share of the shards that were had.
     fn run(&mut self) -> f64 {
-        let rules = Rules {
+        let rules = AnswerRules {
             kind: "l".into(),
             repeatable: true,
             prefer: Preference::Coverage,
             start: self.now,
             deadline: at(self.now, 2000),
-            hedge: Some(1.6),
-            fixed: None,
+            hedge_factor: Some(1.6),
+            fixed_delay: None,
             objective: Some(at(self.now, 300)),
-            cut: Some(at(self.now, 300)),
-            least_share: 0.0,
-            possible: None,
+            cutoff: Some(at(self.now, 300)),
+            min_share: 0.0,
+            min_possible: None,
             grouped: false,
-            again: false,
+            repeated: false,
             attempts: 2,
-            trials: MOST_TRIALS,
+            trials: MAX_TRIALS,
         };
         let (mut now, mut events) = (self.now, Vec::new());
         let plan = self.group();
@@ -160,9 +160,9 @@
                 };
                 self.router.end(&send.upstream, send.start, verdict, &report, now);
                 let place = (send.shard, send.attempt);
-                flying.extend(sends(fanout.on_end(place, end, now, &mut self.router, &mut events)));
+                flying.extend(sends(fanout.on_attempt_end(place, end, now, &mut self.router, &mut events)));
             }
-            flying.extend(sends(fanout.on_time(now, &mut self.router, &mut events)));
+            flying.extend(sends(fanout.on_timer(now, &mut self.router, &mut events)));
         }
         let finished = fanout.finish();
         ratio(finished.parts.len(), SHARDS)
@@ -180,7 +180,7 @@
     }
 }
 
-fn sends(actions: Vec<Action>) -> Vec<Send> {
+fn sends(actions: Vec<Action>) -> Vec<SendAttempt> {
     actions.into_iter().filter_map(|a| if let Action::Send(send) = a { Some(send) } else { None }).collect()
 }
 
--- a/crates/harefield/tests/decisions/sharing.rs
+++ b/crates/harefield/tests/decisions/sharing.rs
@@ -10,9 +10,9 @@
 
 use harefield::domain::event::Event;
 use harefield::domain::fanout::Action;
+use harefield::domain::fanout::AnswerRules;
 use harefield::domain::fanout::Fanout;
-use harefield::domain::fanout::MOST_TRIALS;
-use harefield::domain::fanout::Rules;
+use harefield::domain::fanout::MAX_TRIALS;
 use harefield::domain::ids::HostId;
 use harefield::domain::membership::Row;
 use harefield::domain::places::Places;
@@ -66,7 +66,7 @@
     fn pass(&mut self, millis: u64) -> (usize, usize) {
         self.now = at(self.now, millis);
         self.router.lease_mut().renew(self.now);
-        let actions = self.fanout.on_time(self.now, &mut self.router, &mut Vec::new());
+        let actions = self.fanout.on_timer(self.now, &mut self.router, &mut Vec::new());
         let revoked = actions.iter().filter(|action| matches!(action, Action::Revoke(_))).count();
         let sent = actions.iter().filter(|action| matches!(action, Action::Send(_))).count();
         (revoked, sent)
@@ -94,7 +94,7 @@
         for action in self.start(daemon, silent).actions {
             match action {
                 Action::Send(_) => shared.own += 1,
-                Action::Hand(hand) => shared.groups.push((hand.host, hand.shards)),
+                Action::Delegate(hand) => shared.groups.push((hand.host, hand.shards)),
                 Action::Revoke(_) | Action::Cancel(_) => {}
             }
         }
@@ -124,22 +124,22 @@
         }
         let now = at(now, 900);
         router.lease_mut().renew(now);
-        let rules = Rules {
+        let rules = AnswerRules {
             kind: "l".into(),
             repeatable: true,
             prefer: Preference::Coverage,
             start: now,
             deadline: at(now, 1000),
-            hedge: None,
-            fixed: None,
+            hedge_factor: None,
+            fixed_delay: None,
             objective: Some(at(now, self.objective)),
-            cut: Some(at(now, self.objective)),
-            least_share: 0.85,
-            possible: None,
+            cutoff: Some(at(now, self.objective)),
+            min_share: 0.85,
+            min_possible: None,
             grouped: true,
-            again: false,
+            repeated: false,
             attempts: 2,
-            trials: MOST_TRIALS,
+            trials: MAX_TRIALS,
         };
         let mut fanout = Fanout::new(Arc::clone(&view.lookups["l"].plans[0]), rules, 0);
         let mut events: Vec<Event> = Vec::new();
--- a/crates/harefield/tests/decisions/world.rs
+++ b/crates/harefield/tests/decisions/world.rs
@@ -15,13 +15,13 @@
 use crate::support::view;
 use harefield::domain::event::Event;
 use harefield::domain::fanout::Action;
+use harefield::domain::fanout::AnswerRules;
 use harefield::domain::fanout::AttemptEnd;
 use harefield::domain::fanout::Fanout;
-use harefield::domain::fanout::Finished;
-use harefield::domain::fanout::MOST_ATTEMPTS;
-use harefield::domain::fanout::MOST_TRIALS;
-use harefield::domain::fanout::Rules;
-use harefield::domain::fanout::Send;
+use harefield::domain::fanout::FanoutResult;
+use harefield::domain::fanout::MAX_ATTEMPTS;
+use harefield::domain::fanout::MAX_TRIALS;
+use harefield::domain::fanout::SendAttempt;
 use harefield::domain::outcome::Gap;
 use harefield::domain::reply::Reply;
 use harefield::domain::resources::Preference;
@@ -77,9 +77,9 @@
     pub plan: Arc<Plan>,
     pub now: Instant,
     pub start: Instant,
-    pub flying: Vec<Send>,
-    pub told: Vec<(Send, AttemptEnd)>,
-    pub sent: Vec<Send>,
+    pub flying: Vec<SendAttempt>,
+    pub told: Vec<(SendAttempt, AttemptEnd)>,
+    pub sent: Vec<SendAttempt>,
     pub drained: BTreeSet<String>,
     pub events: Vec<Event>,
     pub repeatable: bool,
@@ -95,7 +95,7 @@
         shards: usize,
         replicas: usize,
         repeatable: bool,
-        change: impl FnOnce(&mut Rules, &mut Router),
+        change: impl FnOnce(&mut AnswerRules, &mut Router),
     ) -> Self {
         Self::limited(shards, replicas, repeatable, |_| None, change)
     }
@@ -106,7 +106,7 @@
         replicas: usize,
         repeatable: bool,
         limit: impl Fn(usize) -> Option<ReplicaLimit>,
-        change: impl FnOnce(&mut Rules, &mut Router),
+        change: impl FnOnce(&mut AnswerRules, &mut Router),
     ) -> Self {
         let start = Instant::now();
         let view = view(&set(shards, replicas, &[7]));
@@ -116,22 +116,22 @@
         }
         let plan = Arc::new(plan);
         let mut router = router(&view, start);
-        let mut rules = Rules {
+        let mut rules = AnswerRules {
             kind: "l".into(),
             repeatable,
             prefer: Preference::Coverage,
             start,
             deadline: at(start, 100),
-            hedge: Some(1.0),
-            fixed: None,
+            hedge_factor: Some(1.0),
+            fixed_delay: None,
             objective: None,
-            cut: None,
-            possible: None,
+            cutoff: None,
+            min_possible: None,
             grouped: false,
-            again: false,
-            least_share: 0.0,
-            attempts: MOST_ATTEMPTS,
-            trials: MOST_TRIALS,
+            repeated: false,
+            min_share: 0.0,
+            attempts: MAX_ATTEMPTS,
+            trials: MAX_TRIALS,
         };
         change(&mut rules, &mut router);
         let start = rules.start;
@@ -167,7 +167,7 @@
     }
 
     /// A once-only attempt leaves only when all earlier ones did not run.
-    pub fn assert_only_attempt(&self, next: &Send) {
+    pub fn assert_only_attempt(&self, next: &SendAttempt) {
         for earlier in self.sent.iter().filter(|send| send.shard == next.shard) {
             let end = self.told.iter().find(|(send, _)| send.attempt == earlier.attempt);
             let ran = end.is_none_or(|(_, end)| end.may_have_run());
@@ -185,16 +185,16 @@
         self.tell(&send, end);
     }
 
-    pub fn tell(&mut self, send: &Send, end: AttemptEnd) {
+    pub fn tell(&mut self, send: &SendAttempt, end: AttemptEnd) {
         let place = (send.shard, send.attempt);
-        let actions = self.fanout.on_end(place, end, self.now, &mut self.router, &mut self.events);
+        let actions = self.fanout.on_attempt_end(place, end, self.now, &mut self.router, &mut self.events);
         self.act(actions);
     }
 
     pub fn pass(&mut self, time: Duration) {
         self.now += time;
         self.router.lease_mut().renew(self.now);
-        let actions = self.fanout.on_time(self.now, &mut self.router, &mut self.events);
+        let actions = self.fanout.on_timer(self.now, &mut self.router, &mut self.events);
         self.act(actions);
     }
 
@@ -243,7 +243,7 @@
         }
     }
 
-    pub fn run(mut self, steps: &[Step]) -> (Finished, Vec<(Send, AttemptEnd)>, Vec<Send>) {
+    pub fn run(mut self, steps: &[Step]) -> (FanoutResult, Vec<(SendAttempt, AttemptEnd)>, Vec<SendAttempt>) {
         for step in steps {
             if self.fanout.is_done() {
                 break;
@@ -260,7 +260,7 @@
 }
 
 /// Returns a body that names the very attempt it is for.
-fn body_of(send: &Send) -> Box<RawValue> {
+fn body_of(send: &SendAttempt) -> Box<RawValue> {
     RawValue::from_string(format!("[{},{}]", send.shard, send.attempt)).expect("it is JSON")
 }
 
--- a/crates/harefield/tests/processes/silent_connections.rs
+++ b/crates/harefield/tests/processes/silent_connections.rs
@@ -18,7 +18,7 @@
 use harefield::adapters::upstreams::HttpUpstreams;
 use harefield::adapters::upstreams::OwnProtocol;
 use harefield::domain::accounts::Asker;
-use harefield::domain::fanout::Echo;
+use harefield::domain::fanout::ReplyIdentity;
 use harefield::domain::hlc::Stamp;
 use harefield::domain::query::ByteQuery;
 use harefield::domain::query::Query;
@@ -151,7 +151,7 @@
     Call {
         place: Place { upstream: "u".into(), address },
         share: 4,
-        echo: Echo { request: "r".to_owned(), shard: "s/0".to_owned(), version: 1 },
+        echo: ReplyIdentity { request: "r".to_owned(), shard: "s/0".to_owned(), version: 1 },
         remaining: Duration::from_secs(4),
         drain: Duration::ZERO,
         once: false,
