--- a/crates/harefield/src/domain/fanout/attempts.rs
+++ b/crates/harefield/src/domain/fanout/attempts.rs
@@ -1,4 +1,4 @@
-//! How attempts leave: first ones, retries, hedges and probes.
+//! Sends attempts: first ones, retries, hedges and probes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,10 +21,11 @@
 use crate::domain::routing::Router;
 use crate::domain::routing::Until;
 
-/// How often a shard that waits for room asks again.
+/// How often a shard without an available replica checks again.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// How often a hedge that the budget denied asks again.
+/// How often a delayed hedge is tried again, when the budget denied it or an answer is awaited
+/// first.
 const DENIED_INTERVAL: Duration = Duration::from_millis(10);
 
 impl Fanout {
@@ -33,7 +34,7 @@
         self.start_attempt(shard, cause, step);
     }
 
-    /// Asks a replica, or notes when to try again, or gives the shard up.
+    /// Sends an attempt to a replica, schedules a retry, or closes the shard.
     pub(super) fn start_attempt<S: Sink>(
         &mut self,
         shard: usize,
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Sends a second attempt, the first being slow, where the budget allows.
+    /// Sends a second attempt if the first one is slow and the budget allows.
     pub(super) fn hedge<S: Sink>(&mut self, shard: usize, step: &mut StepContext<'_, S>) {
         let before = std::mem::take(&mut self.shards[shard].hedge);
         if self.revoke(shard, step) {
@@ -96,8 +97,8 @@
         self.send(shard, choice, Cause::Hedge, step);
     }
 
-    /// Sends an extra attempt to a replica that is passed over, where it is
-    /// time to look how it does, off the path of the request.
+    /// Sends an extra attempt to a replica that routing avoids, if its latency is due to be
+    /// measured again, without delaying the request.
     fn probe<S: Sink>(&mut self, shard: usize, chosen: &UpstreamId, step: &mut StepContext<'_, S>) {
         let hedges = self.rules.hedge_factor.is_some() && self.rules.fixed_delay.is_none();
         if !self.rules.repeatable || !hedges || !self.may_send(shard) {
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Returns whether one more upstream may be asked for a shard; probes count.
+    /// Returns whether one more attempt on a shard is allowed; probes count.
     pub(super) fn may_send(&self, shard: usize) -> bool {
         self.shards[shard].sent < self.rules.attempts
     }
@@ -123,7 +124,8 @@
         Ask {
             replicas: self.shards[shard].named_only().unwrap_or(all),
             tried,
-            // The free choice is for one that takes the request.
+            // Checking whether a replica still rejects requests must not use up the free choice,
+            // which is for one that accepts them.
             checkable: limit.map_or(all, |limit| &limit.named),
             version: self.plan.version,
             kind: &self.rules.kind,
@@ -182,11 +184,11 @@
         step.actions.push(Action::Send(SendAttempt { shard, upstream, attempt, cause, start }));
     }
 
-    /// Returns when a hedge beside a request that leaves for `first` is due: once the
-    /// reply counts as slow, or while another replica's reply would still be in time.
+    /// Returns when a hedge for a request to `first` is due: once the reply counts as slow, or at
+    /// the last moment when another replica's reply would still be in time.
     ///
-    /// Over 15 played days the second raised the credit of the kind with the shortest
-    /// objective from 0.882 to 0.893.
+    /// The second rule raised the credit of the kind with the shortest objective from 0.882 to
+    /// 0.893 over 15 simulated days.
     fn hedge_time(
         &self,
         shard: usize,
--- a/crates/harefield/src/domain/fanout/context.rs
+++ b/crates/harefield/src/domain/fanout/context.rs
@@ -1,4 +1,4 @@
-//! One step of the machine: the time, what it may ask, and what it decides.
+//! The context of one step of the state machine: the time, the router, and the decisions so far.
 
 use std::time::Instant;
 
@@ -7,7 +7,7 @@
 use crate::domain::event::Sink;
 use crate::domain::routing::Router;
 
-/// What a step of the machine works with.
+/// The inputs of a step, and the actions and events that it collects.
 pub(super) struct StepContext<'a, S> {
     pub now: Instant,
     pub router: &'a mut Router,
--- a/crates/harefield/src/domain/fanout/crash_guard.rs
+++ b/crates/harefield/src/domain/fanout/crash_guard.rs
@@ -1,13 +1,13 @@
-//! Care with a request that may end whoever runs it.
+//! Protection against requests that crash the upstreams that run them ("queries of death").
 //!
-//! The pattern: one request of 20 shards crashed each upstream that ran it, and was asked
-//! again at the shards' other upstreams at once, so that all 40 ended and every other
-//! request of the next seconds failed. While nobody has answered a request, what was lost
-//! with its upstream waits: until one answers, which shows that the request can be run, or
-//! until nobody has it any more. Then one upstream is asked alone.
+//! The guard exists because one request over 20 shards crashed each upstream that ran it and was
+//! retried at once on the shards' other upstreams, so that all 40 crashed and every other request
+//! of the next seconds failed. While no upstream has answered a request, shards whose upstream
+//! crashed are suspended: until one answers, which shows that the request is harmless, or until no
+//! attempt is in flight. Then a single trial attempt is sent.
 //!
-//! The limits: a request beside upstreams that crash for other reasons has an answer of
-//! another shard by then, so that it waits for some milliseconds at most.
+//! A request whose upstreams crash for other reasons has an answer from another shard by then, so
+//! it is delayed by a few milliseconds at most.
 
 use super::context::StepContext;
 use super::machine::Fanout;
@@ -15,16 +15,16 @@
 use crate::domain::event::Sink;
 use crate::domain::outcome::Gap;
 
-/// How many upstreams are asked alone in one fan-out where some ended and nobody has
-/// answered: as many as decide.
+/// The most trial attempts in one fan-out after a crash without any answer: two crashes in trials
+/// are enough for the request to be withheld.
 pub const MAX_TRIALS: u32 = 2;
 
-/// With as many shards, one of them has answered before a hedge is due, unless the request
-/// itself is the reason.
+/// With at least this many shards, one has answered before a hedge is due, unless the request
+/// itself is the cause.
 const WIDE_SHARDS: usize = 4;
 
 impl Fanout {
-    /// Lets a shard wait whose upstream may have ended.
+    /// Suspends retries and hedges of a shard whose upstream may have crashed.
     pub(super) fn suspend(&mut self, shard: usize) {
         self.suspended.insert(shard);
         let state = &mut self.shards[shard];
@@ -32,11 +32,11 @@
         state.hedge = Hedge::Off;
     }
 
-    /// Says whether hedges wait for the first answer: all but the first one do, which finds
-    /// out whether just the connections are silent.
+    /// Returns whether hedges have to wait for the first answer. A wide fan-out may send one hedge
+    /// before, to find out whether only the connections are unresponsive.
     ///
-    /// A request that ends its upstreams after 60 ms would be hedged after some 45 ms, and
-    /// end as many more as the budget allows.
+    /// A request that crashes its upstreams after 60 ms would otherwise be hedged after about 45
+    /// ms, and crash as many more upstreams as the budget allows.
     pub(super) fn delays_hedges(&self) -> bool {
         if self.is_answered() || self.shards.len() < WIDE_SHARDS {
             return self.is_suspect();
@@ -45,27 +45,27 @@
         self.loss_seen || hedged || self.rules.trials == 0
     }
 
-    /// Notes that a reply was lost, or a group was taken back. Few shards wait for nothing
-    /// unless their upstream is known to have ended: there may be no other answer to wait for.
+    /// Records that a reply was lost or a group was revoked. In a narrow fan-out only a known crash
+    /// suspends shards: there may be no other answer to wait for.
     pub(super) fn record_loss(&mut self, why: Gap) {
         let waits = self.shards.len() >= WIDE_SHARDS || self.rules.trials == 0;
         self.loss_seen |= why == Gap::UpstreamEnded || why == Gap::ReplyLost && waits;
     }
 
-    /// Asks nobody alone: the request is known to have ended several upstreams, and who runs
-    /// it alone is one for all daemons.
+    /// Disables trials: the request is known to have crashed several upstreams, and the fleet
+    /// allows only one trial of it at a time.
     pub fn disable_trials(&mut self) {
         self.rules.trials = 0;
     }
 
-    /// Says whether nothing more of the request is to leave for now: an upstream may have ended
-    /// while it had it, and nobody has answered.
+    /// Returns whether sending is suspended: an upstream may have crashed while it had the request,
+    /// and no upstream has answered.
     pub(super) fn is_suspect(&self) -> bool {
         self.loss_seen && !self.is_answered()
     }
 
-    /// Lets shards that wait go on where an upstream has answered, or one of them where
-    /// nobody has the request any more.
+    /// Resumes suspended shards once an upstream has answered, or sends a trial for one of them if
+    /// no attempt is in flight.
     pub(super) fn resume_suspended<S: Sink>(&mut self, step: &mut StepContext<'_, S>) {
         if self.suspended.is_empty() {
             return;
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Asks for one of the shards; returns whether any could be.
+    /// Sends a trial attempt for one of the shards; returns whether one was sent.
     fn send_trial<S: Sink>(&mut self, suspended: &[usize], step: &mut StepContext<'_, S>) -> bool {
         if self.trials >= self.rules.trials {
             return false;
--- a/crates/harefield/src/domain/fanout/group_request.rs
+++ b/crates/harefield/src/domain/fanout/group_request.rs
@@ -1,4 +1,4 @@
-//! A group of shards as it is handed to a daemon, and what came of it.
+//! A group of shards that is delegated to another daemon, and its outcome.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,53 +9,54 @@
 use crate::domain::outcome::Gap;
 use crate::domain::reply::Reply;
 
-/// A group of shards that is to be handed to a daemon.
+/// A group of shards to delegate to another daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GroupRequest {
-    /// The daemon.
+    /// The daemon that receives the group.
     pub host: HostId,
-    /// The attempt's number, which its shards share.
+    /// The attempt's number, shared by all shards of the group.
     pub attempt: AttemptId,
-    /// The shards' places in the plan.
+    /// The shards' positions in the plan.
     pub shards: Vec<usize>,
-    /// When it was decided.
+    /// When the group was sent.
     pub start: Instant,
-    /// The fallbacks of shards with more replicas than attempts: this daemon asks no other one
-    /// where the group fails. The daemon that the group goes to may ask them too, and chooses
-    /// among all replicas for the rest of the attempts, so that both stay within them.
+    /// For each shard with more replicas than attempts, the only replica that this daemon queries
+    /// if the group fails. The receiving daemon may query that replica too, and spends the
+    /// remaining attempts on replicas of its choice, so that both daemons together stay within the
+    /// attempt limit.
     pub fallbacks: Vec<(usize, UpstreamId)>,
-    /// How many other replicas of these shards that daemon may ask.
+    /// How many other replicas of these shards the receiving daemon may query.
     pub free: u32,
-    /// How long the daemon may gather before it answers with what it has; none
-    /// where nothing is due before the deadline.
+    /// How long the daemon may wait for replies before it answers with those it has; `None` if
+    /// there is no cutoff before the deadline.
     pub gather_time: Option<Duration>,
-    /// When the daemon is taken to be gone.
+    /// When the daemon is presumed dead.
     pub lost_at: Instant,
 }
 
-/// What a daemon brought of one shard.
+/// What a daemon returned for one shard.
 #[derive(Clone, Debug)]
 pub enum ShardResult {
-    /// Its contribution.
+    /// The shard's contribution.
     Part(Reply),
-    /// Nothing.
+    /// No contribution.
     Missing {
-        /// Why.
+        /// The reason.
         why: Gap,
-        /// Whether it may have run there.
+        /// Whether an upstream may have run the request.
         ran: bool,
-        /// How many upstreams it was sent to there.
+        /// How many upstreams the daemon sent the request to.
         sent: u32,
     },
 }
 
-/// How a group ended.
+/// The outcome of a group.
 #[derive(Clone, Debug)]
 pub enum GroupOutcome {
-    /// What the daemon brought of each shard, by its place in the plan.
+    /// The result of each shard, by its position in the plan.
     Results(Vec<(usize, ShardResult)>),
-    /// Nothing was sent to any upstream.
+    /// The group was not accepted, so nothing was sent to any upstream.
     NotSent,
-    /// The daemon was sent the group, and did not answer.
+    /// The daemon received the group but did not answer.
     Silent,
 }
--- a/crates/harefield/src/domain/fanout/groups.rs
+++ b/crates/harefield/src/domain/fanout/groups.rs
@@ -1,11 +1,10 @@
-//! Groups of far shards that are handed to a daemon beside their replicas.
+//! Delegates groups of distant shards to daemons near their replicas.
 //!
-//! One message and one merged answer cross between zones in place of one
-//! request and one reply a shard. A group is a first attempt on each of its
-//! shards; what the daemon brings of them counts as their contributions, and
-//! what it does not bring is tried directly, within the attempts and budgets. No
-//! shard is asked directly while its group is out: the group's records are
-//! merged, so its parts count together or not at all.
+//! One message and one merged answer between zones replace a request and a reply per shard. A group
+//! is a first attempt on each of its shards. The results that the daemon returns count as their
+//! contributions; shards without one are queried directly, within the attempt limit and budgets. No
+//! shard is queried directly while its group is outstanding: the group's records are merged, so its
+//! parts count together or not at all.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -36,36 +35,36 @@
 use crate::domain::view::ReplicaLimit;
 use crate::domain::view::ShardPlan;
 
-/// The fewest shards that are worth handing on: one alone costs as many bytes
-/// either way, and a hop more.
+/// The smallest group worth delegating: a single shard costs as many bytes either way, and a hop
+/// more.
 const MIN_GROUP: usize = 2;
 
-/// A group without an objective is revoked after this many times its slow pace:
-/// what is slow there is hedged there, so only a daemon that is gone shows here.
+/// A group without an objective is revoked after this many times its slow latency. Slow shards are
+/// hedged by the receiving daemon, so only a dead daemon takes this long.
 const REVOKE_FACTOR: f64 = 1.6;
 
-/// A daemon has at least this long, the way aside: longer than the users'
-/// searchers usually take, and than one hedge there.
+/// The shortest time before a group is revoked, besides the round trip: longer than the users'
+/// searchers usually take, including one hedge.
 const MIN_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// A group with an objective is overdue this long after it, besides one more way there and
-/// back: a connection to its daemon that had to be opened takes that.
+/// A group with an objective is overdue this long after it, plus one more round trip in case a
+/// connection to its daemon had to be opened.
 const OVERDUE: Duration = Duration::from_millis(10);
 
-/// How long an overdue group is awaited whose shards cannot be asked again, since no
-/// budget pays for it: as long as daemons wait before they take one for silent.
+/// How long to wait for an overdue group whose shards cannot be queried again because no budget
+/// pays for it: as long as daemons wait before they consider another one unresponsive.
 const LOST_AFTER: Duration = Duration::from_millis(150);
 
-/// How often an overdue group is looked at again.
+/// How often an overdue group is checked again.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The pause between revoking a group and asking its shards directly: the
-/// daemon, if it lives, is to end its own attempts first.
+/// The pause between revoking a group and querying its shards directly, so that the daemon, if
+/// alive, ends its own attempts first.
 const REVOKE_PAUSE: Duration = Duration::from_millis(3);
 
 impl Fanout {
-    /// Hands shards on in groups: far ones to daemons beside their replicas, and a part of
-    /// the others where they are too many for this daemon; returns those that are left.
+    /// Delegates distant shards to daemons near their replicas, and some of the others if they are
+    /// too many for this daemon; returns the remaining shards.
     pub(super) fn delegate_groups<S: Sink>(&mut self, step: &mut StepContext<'_, S>) -> Vec<usize> {
         if !self.rules.grouped {
             return (0..self.shards.len()).collect();
@@ -78,8 +77,8 @@
         direct
     }
 
-    /// Sorts the shards by the region of their nearest replicas; those that are far from
-    /// any daemon to hand them to are returned by themselves.
+    /// Groups the shards by the region of their nearest replicas. Shards without a daemon to
+    /// delegate them to are returned separately.
     fn by_region<S: Sink>(
         &self,
         step: &mut StepContext<'_, S>,
@@ -107,8 +106,8 @@
         (regions, away.into_keys().collect())
     }
 
-    /// Shares the shards of a region out among the daemons there, or hands those of each
-    /// other availability zone to one daemon beside them; returns this daemon's own part.
+    /// Shares the shards of a region among the daemons there, or else delegates those of each other
+    /// availability zone to one daemon in it; returns this daemon's own part.
     fn delegate_region<S: Sink>(
         &mut self,
         region: &str,
@@ -132,7 +131,7 @@
         own
     }
 
-    /// Returns how much this daemon may ask by itself; none without an objective.
+    /// Returns the limits on what this daemon queries itself; `None` without an objective.
     fn allowance<S: Sink>(&self, step: &StepContext<'_, S>) -> Option<Allowance> {
         let left = self.rules.objective?.saturating_duration_since(self.rules.start);
         Some(Allowance::new(step.router.shard_time(), left))
@@ -160,7 +159,7 @@
         own
     }
 
-    /// Hands shards to a daemon.
+    /// Sends a group of shards to a daemon.
     fn send_group<S: Sink>(&mut self, host: HostId, wanted: Vec<Wanted>, step: &mut StepContext<'_, S>) {
         let (attempt, start) = (self.next_id, step.now);
         self.next_id += 1;
@@ -202,9 +201,9 @@
         step.actions.push(Action::Delegate(group));
     }
 
-    /// Chooses a fallback for each shard with more replicas than attempts, which this daemon
-    /// asks where the group fails. Which replica to ask first is left to the daemon that the
-    /// group goes to: it carries nearly all of the shard's requests, and sees who rejects.
+    /// Chooses a fallback replica, which this daemon queries if the group fails, for each shard
+    /// with more replicas than attempts. The receiving daemon decides which replica to query first:
+    /// it handles nearly all of the shard's requests, and so knows which replicas reject them.
     fn choose_fallbacks<S: Sink>(
         &mut self,
         wanted: &[Wanted],
@@ -224,15 +223,15 @@
         all
     }
 
-    /// Takes a group back from a daemon that does not answer, and asks its
-    /// shards directly; returns whether the shard was in a group.
+    /// Revokes an overdue group and schedules direct attempts on its shards; returns whether the
+    /// shard was in a group.
     ///
-    /// A group whose shards cannot be paid for again is awaited longer: without it the
-    /// request fails, and its caller has to send the whole of it once more. Over 15
-    /// played days of eight daemons the credit of all requests rose from 0.904 to 0.916
-    /// by this and by awaiting a connection. So is one whose shards this daemon cannot ask
-    /// in time beside those that it took back already: where most groups are overdue the
-    /// backlog is on this side, and another hundred requests make it longer.
+    /// If the budgets don't pay for querying its shards again, the daemon waits longer: without the
+    /// group the request fails, and its caller has to send all of it once more. Over 15 simulated
+    /// days of eight daemons, this and waiting for a connection to open raised the credit of all
+    /// requests from 0.904 to 0.916. The daemon also waits longer if it can't query the shards in
+    /// time besides those that it has already taken back: when most groups are overdue, the backlog
+    /// is on this side, and another hundred requests make it longer.
     pub(super) fn revoke<S: Sink>(&mut self, shard: usize, step: &mut StepContext<'_, S>) -> bool {
         let holds =
             |group: &GroupRequest| self.shards[shard].in_flight.iter().any(|f| f.attempt == group.attempt);
@@ -268,8 +267,8 @@
         true
     }
 
-    /// Says whether enough shards make an answer without a group, counting those of its
-    /// shards whose retries are paid for; and whether this daemon can ask them.
+    /// Returns whether enough shards make an answer without a group, counting those of its shards
+    /// whose retries are paid for, and whether this daemon has the capacity to query them.
     fn replaceable<S: Sink>(&self, at: usize, step: &mut StepContext<'_, S>) -> bool {
         let group = &self.groups[at];
         let taken_back = self.shards.iter().filter(|shard| shard.retry_at.is_some()).count();
@@ -290,7 +289,7 @@
         expected >= self.rules.min_shards(self.shards.len())
     }
 
-    /// Takes the end of a group.
+    /// Handles the outcome of a group.
     pub fn on_group_end(
         &mut self,
         group: &GroupRequest,
@@ -335,7 +334,7 @@
                 return self.record_unsent(shard, group, step);
             }
             ShardResult::Missing { why, ran, sent } => {
-                // What the daemon sent counts among the shard's attempts.
+                // The daemon's attempts count against the shard's limit.
                 if let Some(state) = self.shards.get_mut(shard) {
                     state.sent = state.sent.saturating_add(sent.saturating_sub(1));
                 }
@@ -349,7 +348,7 @@
         self.record_group_end(shard, group, end, step);
     }
 
-    /// Takes a shard that nothing was sent for: it is asked as for the first time.
+    /// Handles a shard that was sent to no upstream: its next attempt counts as a first one.
     fn record_unsent<S: Sink>(&mut self, shard: usize, group: &GroupRequest, step: &mut StepContext<'_, S>) {
         if self.remove_in_flight(shard, group.attempt).is_none() {
             return;
@@ -380,8 +379,8 @@
     }
 }
 
-/// Returns the zone in which most far shards have replicas, with those
-/// shards; none where no zone has enough. Which of equals is drawn.
+/// Returns the zone with replicas of the most distant shards, and those shards; `None` if no zone
+/// has enough. Ties are broken at random.
 fn largest_zone<S: Sink>(
     zones: &BTreeMap<usize, Vec<Arc<str>>>,
     index: &str,
--- a/crates/harefield/src/domain/fanout/machine.rs
+++ b/crates/harefield/src/domain/fanout/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine of one fan-out: what it is told and what it answers.
+//! The state machine of one fan-out: its events and the actions that follow from them.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -33,7 +33,7 @@
 use crate::domain::view::Plan;
 use crate::domain::view::ShardPlan;
 
-/// The fan-out of one request at one snapshot.
+/// The fan-out of one request over one snapshot.
 #[derive(Debug)]
 pub struct Fanout {
     pub(super) plan: Arc<Plan>,
@@ -41,26 +41,27 @@
     pub(super) shards: Vec<Shard>,
     pub(super) next_id: AttemptId,
     contributed: usize,
-    /// When it began, and when half of its shards and enough for an answer were in.
+    /// When the fan-out started, and when half of its shards and enough for an answer had
+    /// contributed.
     started: Option<Instant>,
     half: Option<Instant>,
     enough: Option<Instant>,
-    /// The shards that this daemon asks first itself.
+    /// The shards that this daemon queries itself at the start.
     direct: Vec<usize>,
-    /// The groups that are out.
+    /// The groups without an outcome yet.
     pub(super) groups: Vec<GroupRequest>,
     open: usize,
     is_cut: bool,
-    /// Whether an upstream may have ended while it had the request.
+    /// Whether an upstream may have crashed while it had the request.
     pub(super) loss_seen: bool,
-    /// The shards that wait for a sign that the request does not end who runs it.
+    /// The shards that wait for evidence that the request does not crash upstreams.
     pub(super) suspended: BTreeSet<usize>,
-    /// How many upstreams were asked alone after that.
+    /// How many trial attempts were sent since.
     pub(super) trials: u32,
 }
 
 impl Fanout {
-    /// Creates a fan-out over a plan; `first` numbers its first attempt.
+    /// Creates a fan-out over a plan; `first` is the number of its first attempt.
     #[must_use]
     pub fn new(plan: Arc<Plan>, rules: AnswerRules, first: AttemptId) -> Self {
         let shard = |plan: &ShardPlan| Shard { limit: plan.limit.clone(), ..Shard::default() };
@@ -86,13 +87,12 @@
         }
     }
 
-    /// Returns the plan.
     #[must_use]
     pub fn plan(&self) -> &Arc<Plan> {
         &self.plan
     }
 
-    /// Returns how it found the upstreams.
+    /// Returns what the fan-out shows of the load on the upstreams.
     #[must_use]
     pub fn congestion(&self, now: Instant) -> Crowd {
         let waited = self.shards.iter().filter(|shard| shard.waited).count();
@@ -104,19 +104,19 @@
         Crowd { waited, shards: self.shards.len(), objective: self.rules.objective.is_some(), progress }
     }
 
-    /// Returns whether it only waits for its last shards: its objective has passed, and
-    /// most shards have contributed. It then loads few upstreams, and must not keep
-    /// others from the rest.
+    /// Returns whether the fan-out only waits for stragglers: its objective has passed and at least
+    /// half of its shards have contributed. It then loads few upstreams, and must not keep other
+    /// requests from the rest.
     ///
-    /// Over 15 played days credit of the kind with the shortest objective rose from 0.893
-    /// to 0.898 by giving its permit back.
+    /// Releasing its permit then raised the credit of the kind with the shortest objective from
+    /// 0.893 to 0.898 over 15 simulated days.
     #[must_use]
     pub fn is_straggling(&self, now: Instant) -> bool {
         let passed = self.rules.objective.is_some_and(|objective| now >= objective);
         passed && self.contributed * 2 >= self.shards.len()
     }
 
-    /// Returns the number that the next attempt would have.
+    /// Returns the number of the next attempt.
     #[must_use]
     pub fn next_attempt(&self) -> AttemptId {
         self.next_id
@@ -128,10 +128,10 @@
         self.is_cut || self.open == 0
     }
 
-    /// Hands on what other daemons are to ask; [`Fanout::start`] asks the rest.
+    /// Delegates groups of shards to other daemons; [`Fanout::start`] queries the rest.
     ///
-    /// Groups leave before this daemon chooses among the replicas of its own shards: they
-    /// have a hop and another daemon's work before them.
+    /// Groups are sent before this daemon chooses replicas for its own shards, because they still
+    /// have a hop and another daemon's work ahead of them.
     pub fn start_groups(&mut self, now: Instant, router: &mut Router, sink: &mut impl Sink) -> Vec<Action> {
         let mut step = StepContext::new(now, router, sink);
         self.started = Some(now);
@@ -139,7 +139,7 @@
         step.actions
     }
 
-    /// Asks every shard that was not handed on for the first time.
+    /// Sends first attempts for all shards that were not delegated.
     pub fn start(&mut self, now: Instant, router: &mut Router, sink: &mut impl Sink) -> Vec<Action> {
         let mut step = StepContext::new(now, router, sink);
         for shard in std::mem::take(&mut self.direct) {
@@ -150,7 +150,7 @@
         step.actions
     }
 
-    /// Takes the end of an attempt.
+    /// Handles the end of an attempt.
     pub fn on_attempt_end(
         &mut self,
         (shard, attempt): (usize, AttemptId),
@@ -167,7 +167,7 @@
         step.actions
     }
 
-    /// Takes the passing of time: retries, hedges and the cut that are due.
+    /// Handles the passing of time: retries, hedges and the cutoff that are due.
     pub fn on_timer(&mut self, now: Instant, router: &mut Router, sink: &mut impl Sink) -> Vec<Action> {
         let mut step = StepContext::new(now, router, sink);
         if self.is_done() {
@@ -191,7 +191,7 @@
         step.actions
     }
 
-    /// Returns when time next matters.
+    /// Returns when [`Fanout::on_timer`] is due next.
     #[must_use]
     pub fn next_wake(&self) -> Instant {
         let cut = self.rules.cutoff_at(self.contributed, self.shards.len());
@@ -205,7 +205,7 @@
         self.contributed > 0
     }
 
-    /// Gives the result; what was not answered by now counts as missing.
+    /// Returns the result; shards without a contribution count as missing.
     #[must_use]
     pub fn finish(self) -> FanoutResult {
         let mut coverage = Coverage::default();
@@ -285,12 +285,11 @@
             self.enough = Some(step.now);
         }
         self.open -= 1;
-        self.cancel_flights(shard, step);
+        self.cancel_in_flight(shard, step);
     }
 
-    /// Cancels what is under way, but for probes: they are to show how a
-    /// replica does.
-    fn cancel_flights<S: Sink>(&self, shard: usize, step: &mut StepContext<'_, S>) {
+    /// Cancels the attempts in flight except probes, which are to measure a replica's latency.
+    fn cancel_in_flight<S: Sink>(&self, shard: usize, step: &mut StepContext<'_, S>) {
         let in_flight = &self.shards[shard].in_flight;
         for flight in in_flight.iter().filter(|flight| flight.cause != Cause::Probe) {
             let (attempt, upstream) = (flight.attempt, Arc::clone(&flight.upstream));
@@ -307,7 +306,7 @@
             if !self.shards[shard].is_open() {
                 continue;
             }
-            self.cancel_flights(shard, step);
+            self.cancel_in_flight(shard, step);
             if !self.shards[shard].in_flight.is_empty() {
                 self.shards[shard].gap = Some(Gap::Late);
             }
@@ -342,8 +341,8 @@
         }
     }
 
-    /// Says whether the budget would pay for asking for a shard now; where it does not, there
-    /// is nothing to wait for.
+    /// Returns whether the budget would pay for an attempt on a shard now; if not, there is nothing
+    /// to wait for.
     fn has_budget<S: Sink>(&self, shard: usize, step: &mut StepContext<'_, S>) -> bool {
         self.shards[shard].sent == 0 || step.router.budget(&self.plan.shards[shard].shard).has_retry()
     }
--- a/crates/harefield/src/domain/fanout/mod.rs
+++ b/crates/harefield/src/domain/fanout/mod.rs
@@ -1,11 +1,10 @@
-//! The fan-out of one request: which shard is asked where and when, which
-//! replies count, and when the answer is given.
+//! The fan-out of one request: which replica of each shard is queried and when, which replies
+//! count, and when the answer is given.
 //!
-//! A state machine without I/O. It is told what happened and when, and says
-//! what to do next: `machine` takes what happened, `sending` decides on attempts,
-//! `groups` on shards that other daemons ask, `caution` on requests that may end whoever
-//! runs them, `cut`, `overrun` and `judge` on
-//! the answer.
+//! A state machine without I/O. The caller passes in events with their times, and carries out the
+//! returned actions. `machine` handles events, `attempts` sends first attempts, retries, hedges and
+//! probes, `groups` delegates groups of shards to other daemons, `crash_guard` limits the damage of
+//! requests that crash upstreams, and `rules`, `overrun` and `result` decide on the answer.
 
 mod attempts;
 mod context;
--- a/crates/harefield/src/domain/fanout/overrun.rs
+++ b/crates/harefield/src/domain/fanout/overrun.rs
@@ -1,24 +1,25 @@
-//! How long after its cut an answer usually goes out.
+//! Learns how long after its cutoff an answer is usually sent.
 //!
-//! The load pattern: wide answers on hosts with a small part of a core. Groups answer at
-//! the same moment, and taking each in takes milliseconds, so that an answer cut 14 ms
-//! before its objective went out 10 to 30 ms after it. What the daemon takes is learnt
-//! from its own answers, and the cut is moved forward by what the margin does not hold.
+//! This matters for wide fan-outs on hosts with a fraction of a core. Groups answer at the same
+//! moment and processing each takes milliseconds, so that an answer cut 14 ms before its objective
+//! was sent 10 to 30 ms after it. The daemon learns this overrun from its own answers, and moves
+//! the cutoff forward by the part that the margin does not cover.
 //!
-//! The limit is a quarter of the time to gather: on the smallest hosts it takes most of the
-//! rest until the replies are in, and an answer that lacks too many shards is none.
+//! The cutoff moves by at most a quarter of the time that is left for collecting replies: on the
+//! smallest hosts most of that time passes before the replies are in, and an answer that lacks too
+//! many shards is not valid.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// How far one answer moves what was learnt: a member of a cell gives two a second.
+/// The weight of one answer in the moving averages; a member of a cell gives about two answers a
+/// second.
 const GAIN: f64 = 0.2;
 
-/// How many times the usual deviation is kept besides the mean: one answer in ten or so
-/// is later.
+/// How many mean deviations are added to the mean; about one answer in ten takes longer.
 const DEVIATIONS: f64 = 1.5;
 
-/// The part of the time to gather that an overrun may take, in percent.
+/// The largest overrun, in percent of the time for collecting replies.
 const MAX_PERCENT: u32 = 25;
 
 /// The learnt overrun of the answers of one daemon.
@@ -29,9 +30,9 @@
 }
 
 impl Overrun {
-    /// Takes when an answer went out that was to be cut at `cut`, and had `time` until its
-    /// objective. One that had all before its cut shows nothing, nor one that is later than
-    /// can be made up for: it waited for something that was lost.
+    /// Records that an answer with a cutoff at `cut`, and `time` until its objective, was sent at
+    /// `out`. Answers that were complete before their cutoff are ignored, and so are those with a
+    /// larger overrun than can be compensated for: they waited for something that was lost.
     pub fn sample(&mut self, cut: Instant, time: Duration, out: Instant) {
         let Some(took) = out.checked_duration_since(cut) else { return };
         if took > time * MAX_PERCENT / 100 {
@@ -42,8 +43,8 @@
         self.mean += (took - self.mean) * GAIN;
     }
 
-    /// Returns when an answer is cut that is to go out at `objective`, and is begun now;
-    /// `kept` is kept of the objective for that already.
+    /// Returns the cutoff for an answer that is started now and due at `objective`. `kept` is the
+    /// margin already reserved before the objective.
     #[must_use]
     pub fn cutoff(self, now: Instant, objective: Instant, kept: Duration) -> Instant {
         let left = objective.saturating_duration_since(now);
--- a/crates/harefield/src/domain/fanout/result.rs
+++ b/crates/harefield/src/domain/fanout/result.rs
@@ -1,4 +1,4 @@
-//! What a finished fan-out is called.
+//! The result of a finished fan-out and its result code.
 
 use crate::domain::code::Code;
 use crate::domain::outcome::Coverage;
@@ -7,37 +7,37 @@
 use crate::domain::outcome::Part;
 use crate::domain::reply::Reply;
 
-/// What a finished fan-out found.
+/// The result of a finished fan-out.
 #[derive(Debug)]
 pub struct FanoutResult {
-    /// What became of the request.
+    /// The outcome of the request.
     pub outcome: Outcome,
     /// The result code.
     pub code: Code,
     /// Which shards contributed.
     pub coverage: Coverage,
-    /// Their contributions.
+    /// The contributions.
     pub parts: Vec<Part>,
-    /// What an upstream replied that failed, where it is the caller's business.
+    /// The reply of an upstream that reported a failure, to be passed on to the caller.
     pub failure: Option<Reply>,
-    /// How many upstreams each missing shard was sent to, in the same order.
+    /// How many upstreams each missing shard was sent to, in the order of `coverage.missing`.
     pub sent: Vec<u32>,
 }
 
-/// How a fan-out ended, besides its coverage.
+/// How a fan-out ended, apart from its coverage.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Conclusion {
-    /// Whether a shard that did not contribute may have run it.
+    /// Whether a shard that did not contribute may have run the request.
     pub ran: bool,
-    /// Whether the answer was cut while replies were awaited.
+    /// Whether the answer was cut while replies were outstanding.
     pub is_cut: bool,
     /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// How many shards make an answer.
+    /// The fewest contributions that make an answer.
     pub least: usize,
 }
 
-/// Says what became of a request.
+/// Returns the outcome of a request and its result code.
 pub(super) fn classify(coverage: &Coverage, conclusion: Conclusion) -> (Outcome, Code) {
     if coverage.whole {
         return (Outcome::Answered, Code::Whole);
--- a/crates/harefield/src/domain/fanout/rules.rs
+++ b/crates/harefield/src/domain/fanout/rules.rs
@@ -1,4 +1,4 @@
-//! When the answer is given although shards are missing.
+//! The rules for answering a request, and when an answer is given although shards are missing.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,67 +7,66 @@
 use crate::domain::ratio;
 use crate::domain::resources::Preference;
 
-/// A time-first answer is cut early once this share of the shards, in percent,
-/// has contributed.
+/// A time-first answer is cut early once this percentage of the shards has contributed.
 const EARLY_CUTOFF_PERCENT: usize = 90;
 
-/// A time-first answer may be cut after this part of its time.
+/// A time-first answer may be cut once the deadline's time divided by this has passed.
 const EARLY_CUTOFF_DIVISOR: u32 = 2;
 
-/// A group may lack this many times its even part of what an answer may lack: slow
-/// upstreams are not spread evenly.
+/// A group may lack this many times its proportional share of the shards that an answer may lack,
+/// because slow upstreams are not spread evenly over groups.
 const UNEVEN_FACTOR: usize = 2;
 
-/// The most attempts on one shard where the lookup names no number.
+/// The most attempts per shard for lookups that don't set a limit.
 pub const MAX_ATTEMPTS: u32 = 6;
 
-/// The rules that one request is answered by.
+/// The rules by which one request is answered.
 #[derive(Clone, Debug)]
 pub struct AnswerRules {
-    /// The kind of request, for its pace.
+    /// The kind of request (the lookup's name), which selects the latency statistics.
     pub kind: Arc<str>,
     /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Whether time or coverage goes first.
+    /// Whether time or coverage has priority.
     pub prefer: Preference,
-    /// When the request was let in.
+    /// When the request was admitted.
     pub start: Instant,
     /// When it must be answered.
     pub deadline: Instant,
-    /// After how many times the slow pace a hedge is due; none for no hedges.
+    /// A hedge is due after this many times the slow latency; `None` disables hedges.
     pub hedge_factor: Option<f64>,
-    /// A fixed delay before hedges instead; a baseline for measurements.
+    /// A fixed delay before hedges, used instead of `hedge_factor` as a baseline in measurements.
     pub fixed_delay: Option<Duration>,
-    /// When an answer that has enough shards is given, though others are
-    /// awaited; none for the preference's own rule.
+    /// When an answer with enough shards is given although others are outstanding; `None` applies
+    /// the rule of `prefer`.
     pub objective: Option<Instant>,
-    /// When that answer is cut, so that it goes out by the objective.
+    /// When that answer is cut, so that it is sent by the objective.
     pub cutoff: Option<Instant>,
-    /// The least share of the shards that makes an answer.
+    /// The smallest share of the shards that makes an answer.
     pub min_share: f64,
-    /// How many shards must still be possible; once fewer are, the fan-out ends. None for
-    /// as many as make an answer. A group whose part is lost may be made up for by others.
+    /// The fan-out ends once fewer shards than this can still contribute; `None` for as many as
+    /// make an answer. For a group this is lower, since other groups may compensate for its missing
+    /// shards.
     pub min_possible: Option<usize>,
-    /// Whether far shards are handed on in groups.
+    /// Whether distant shards are delegated in groups.
     pub grouped: bool,
-    /// Whether another daemon asked these shards for the same request before:
-    /// first attempts earn nothing then.
+    /// Whether another daemon has already queried these shards for the same request. First attempts
+    /// then add nothing to the retry budgets.
     pub repeated: bool,
-    /// The most attempts on one shard, probes included.
+    /// The most attempts per shard, including probes.
     pub attempts: u32,
-    /// How many upstreams this daemon may ask alone where some ended and nobody has
-    /// answered. For a group none: the daemon that handed it on does.
+    /// How many single trial attempts this daemon may make after an upstream crashed and none
+    /// answered. Zero for a group: the daemon that delegated it makes them.
     pub trials: u32,
 }
 
 impl AnswerRules {
-    /// Returns when the answer is cut, given how many of `total` shards have
-    /// contributed.
+    /// Returns when the answer is cut, given how many of `total` shards have contributed.
     ///
-    /// Where an objective is set, that is early enough for it once enough shards are in.
-    /// Where coverage goes first, or the request runs only once, that is the
-    /// deadline. Where time goes first, waiting for the last stragglers ends
-    /// half-way, once nearly all shards have contributed.
+    /// With an objective, that is `cutoff` once enough shards have contributed, and the deadline
+    /// before. Without one, if coverage has priority or the request may run only once, that is the
+    /// deadline. If time has priority, it is half of the time until the deadline once nearly all
+    /// shards have contributed.
     #[must_use]
     pub fn cutoff_at(&self, contributed: usize, total: usize) -> Instant {
         if let Some(cut) = self.cutoff {
@@ -81,11 +80,11 @@
         self.deadline
     }
 
-    /// Returns how many shards of a group of a fan-out over `total` must be in before its
-    /// daemon answers without the others.
+    /// Returns how many shards of a group must have contributed before its daemon answers without
+    /// the others, for a fan-out over `total` shards.
     ///
-    /// Where six groups share a fan-out that may lack 27 of 180 shards, each may lack a
-    /// part of them; if each lacked all 27, the answer would be none.
+    /// If six groups share a fan-out that may lack 27 of 180 shards, each may lack only some of
+    /// them: if each lacked 27, there would be too few for an answer.
     #[must_use]
     pub fn needed(&self, group: usize, total: usize) -> usize {
         let lacking = total - self.min_shards(total);
@@ -93,8 +92,8 @@
         group.saturating_sub(lacking.min(part))
     }
 
-    /// Returns how many shards of a group must be possible for the whole to be an answer,
-    /// if all others come.
+    /// Returns how many shards of a group must be able to contribute for the whole fan-out to get
+    /// an answer, if all other shards contribute.
     #[must_use]
     pub fn min_possible(&self, group: usize, total: usize) -> usize {
         group.saturating_sub(total - self.min_shards(total))
--- a/crates/harefield/src/domain/fanout/shard.rs
+++ b/crates/harefield/src/domain/fanout/shard.rs
@@ -1,4 +1,4 @@
-//! One shard of a fan-out: its attempts and how it stands.
+//! One shard of a fan-out: its state and its attempts.
 
 use std::time::Instant;
 
@@ -10,12 +10,12 @@
 use crate::domain::reply::Reply;
 use crate::domain::view::ReplicaLimit;
 
-/// A request to an upstream that is to be sent.
+/// An attempt to send to an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SendAttempt {
-    /// The shard's place in the plan.
+    /// The shard's position in the plan.
     pub shard: usize,
-    /// The upstream to ask.
+    /// The upstream to query.
     pub upstream: UpstreamId,
     /// The attempt's number within the request.
     pub attempt: AttemptId,
@@ -25,48 +25,48 @@
     pub start: Instant,
 }
 
-/// An attempt whose reply is no longer wanted.
+/// An attempt whose reply is no longer needed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Cancel {
     /// The attempt.
     pub attempt: AttemptId,
-    /// The upstream that was asked.
+    /// The upstream that was queried.
     pub upstream: UpstreamId,
 }
 
-/// What the fan-out asks its surroundings to do.
+/// An action for the caller of the state machine to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send a request to an upstream.
     Send(SendAttempt),
-    /// Hand a group of shards to a daemon.
+    /// Delegate a group of shards to a daemon.
     Delegate(GroupRequest),
-    /// Take a group back from its daemon.
+    /// Revoke a group from its daemon.
     Revoke(AttemptId),
-    /// Tell an upstream that a reply is no longer wanted.
+    /// Notify an upstream that a reply is no longer needed.
     Cancel(Cancel),
 }
 
 /// How an attempt ended.
 #[derive(Clone, Debug)]
 pub enum AttemptEnd {
-    /// The upstream answered this request, whole, at the snapshot asked for.
+    /// The upstream answered completely, for this request and the requested snapshot.
     Answered(Reply),
-    /// The upstream refused; `begun` says whether it had begun to run it.
+    /// The upstream refused the request.
     Refused {
-        /// Why, as the gap it leaves.
+        /// The gap to record for the shard.
         why: Gap,
-        /// Whether the upstream had begun.
+        /// Whether the upstream had already begun to run the request.
         begun: bool,
     },
-    /// The upstream ran it, and replied that it failed.
+    /// The upstream ran the request and replied with a failure.
     Failed(Reply),
     /// Nothing was written to the upstream.
     NotSent {
-        /// Why not.
+        /// The reason.
         why: Gap,
     },
-    /// The request was written, and no usable reply came.
+    /// The request was written, but no usable reply came.
     Lost {
         /// What happened to the reply.
         why: Gap,
@@ -74,7 +74,7 @@
 }
 
 impl AttemptEnd {
-    /// Returns the gap that the end leaves; none for an answer.
+    /// Returns the gap to record for the shard; `None` for an answer.
     #[must_use]
     pub fn gap(&self) -> Option<Gap> {
         match self {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Returns whether the request ran, or may have.
+    /// Returns whether the request ran or may have run.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
         match self {
@@ -95,7 +95,7 @@
     }
 }
 
-/// An attempt under way.
+/// An attempt without an outcome yet.
 #[derive(Clone, Debug)]
 pub(super) struct InFlight {
     pub attempt: AttemptId,
@@ -104,7 +104,7 @@
     pub cause: Cause,
 }
 
-/// How far the hedge of a shard is.
+/// The state of a shard's hedge.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Hedge {
     /// None is due.
@@ -112,40 +112,36 @@
     Off,
     /// One is due at this time.
     Due(Instant),
-    /// One was due, the budget denied it, and it is asked for again at this time.
+    /// One was due, but the budget denied it; the budget is checked again at this time.
     Denied(Instant),
-    /// One was sent; there is no second.
+    /// One was sent; there is no second one.
     Sent,
 }
 
-/// How a shard stands.
+/// The state of a shard.
 #[derive(Debug, Default)]
 pub(super) struct Shard {
-    /// Attempts under way.
     pub in_flight: Vec<InFlight>,
-    /// Which replicas may be asked; all where there is no limit.
+    /// Which replicas may be queried; `None` for all.
     pub limit: Option<ReplicaLimit>,
-    /// Replicas that failed and are passed over until all have.
+    /// Replicas that failed, skipped until all have failed.
     pub failed: Vec<UpstreamId>,
     /// Replicas that cannot serve this request at all.
     pub unfit: Vec<UpstreamId>,
-    /// How many attempts were sent.
     pub sent: u32,
-    /// The contribution.
     pub part: Option<Reply>,
-    /// What an upstream replied that said that it failed.
+    /// The reply of an upstream that reported a failure.
     pub failure: Option<Reply>,
-    /// The latest reason that it did not contribute.
+    /// The latest reason for not contributing.
     pub gap: Option<Gap>,
-    /// Whether an attempt that brought nothing may have run.
+    /// Whether an attempt without a contribution may have run.
     pub ran: bool,
-    /// Whether nothing more will be tried.
+    /// Whether no more attempts will be made.
     pub closed: bool,
-    /// When to try again, where the shard waits for a replica.
+    /// When to try again, while the shard waits for a replica.
     pub retry_at: Option<Instant>,
-    /// Whether a hedge is due, or was sent.
     pub hedge: Hedge,
-    /// Whether it ever had to wait for room.
+    /// Whether it ever waited because its replicas were overloaded.
     pub waited: bool,
 }
 
@@ -154,7 +150,7 @@
         self.part.is_none() && !self.closed
     }
 
-    /// Returns whether an attempt other than a probe is under way.
+    /// Returns whether an attempt other than a probe is in flight.
     pub fn is_awaited(&self) -> bool {
         self.in_flight.iter().any(|flight| flight.cause != Cause::Probe)
     }
@@ -163,12 +159,12 @@
         self.ran || !self.in_flight.is_empty()
     }
 
-    /// Returns the only replicas that may be asked; none for all.
+    /// Returns the only replicas that may be queried; `None` for all.
     pub fn named_only(&self) -> Option<&[UpstreamId]> {
         self.limit.as_ref().filter(|limit| limit.free == 0).map(|limit| &*limit.named)
     }
 
-    /// Counts an attempt that leaves for a replica.
+    /// Counts an attempt against the shard's limits.
     pub fn count_attempt(&mut self, upstream: &UpstreamId) {
         self.sent += 1;
         if let Some(limit) = &mut self.limit
@@ -178,7 +174,6 @@
         }
     }
 
-    /// Returns when a hedge is due.
     pub fn hedge_at(&self) -> Option<Instant> {
         match self.hedge {
             Hedge::Due(at) | Hedge::Denied(at) => Some(at),
@@ -186,7 +181,7 @@
         }
     }
 
-    /// Returns the replicas that a new attempt passes over.
+    /// Returns the replicas that a new attempt skips.
     pub fn tried(&self) -> Vec<UpstreamId> {
         let flying = self.in_flight.iter().map(|flight| &flight.upstream);
         flying.chain(&self.failed).chain(&self.unfit).cloned().collect()
@@ -198,7 +193,7 @@
         self.gap.get_or_insert(gap);
     }
 
-    /// Notes a failed attempt on `upstream`.
+    /// Records a failed attempt on `upstream`.
     pub fn record_failure(&mut self, upstream: &UpstreamId, end: &AttemptEnd) {
         self.ran |= end.may_have_run();
         self.gap = end.gap();
--- a/crates/harefield/src/domain/fanout/verify.rs
+++ b/crates/harefield/src/domain/fanout/verify.rs
@@ -1,9 +1,9 @@
-//! The check that a reply belongs to its own request, shard and snapshot.
+//! Verifies that a reply belongs to its request, shard and snapshot.
 
 use crate::domain::ids::Version;
 use crate::domain::outcome::Gap;
 
-/// What a request names and its reply must name again.
+/// The identity of a request that its reply must echo.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplyIdentity {
     /// The request and attempt.
@@ -14,11 +14,11 @@
     pub version: Version,
 }
 
-/// Checks that a reply echoes what was asked.
+/// Verifies that a reply echoes the identity of its request.
 ///
 /// # Errors
 ///
-/// Returns the gap that the reply leaves, since it may not be used.
+/// Returns the gap to record for the shard, because the reply must not be used.
 pub fn verify(asked: &ReplyIdentity, echoed: Option<&ReplyIdentity>) -> Result<(), Gap> {
     let Some(echoed) = echoed else {
         return Err(Gap::ReplyCrossed);
