--- a/crates/harefield/src/domain/fanout/groups.rs
+++ b/crates/harefield/src/domain/fanout/groups.rs
@@ -164,13 +164,14 @@
         let (attempt, start) = (self.next_id, step.now);
         self.next_id += 1;
         let way = step.router.relays().way_of(&host);
-        let gather = self.rules.cutoff.map(|cut| cut.saturating_duration_since(start).saturating_sub(way));
+        let gather_time =
+            self.rules.cutoff.map(|cut| cut.saturating_duration_since(start).saturating_sub(way));
         let slow = step.router.relays().pace(&self.rules.kind).slow().mul_f64(REVOKE_FACTOR);
         let slow = slow.max(way + MIN_TIMEOUT);
         let due = self.rules.objective.map(|objective| objective.saturating_duration_since(start));
         let due = due.map_or(slow, |due| due + way + OVERDUE);
         let revoke = start + due.max(way + MIN_TIMEOUT);
-        let lost = revoke + LOST_AFTER;
+        let lost_at = revoke + LOST_AFTER;
         let fallbacks = self.choose_fallbacks(&wanted, step);
         let shards: Vec<usize> = wanted.into_iter().map(|wanted| wanted.at).collect();
         step.router.relays_mut().begin(&host, start);
@@ -187,16 +188,7 @@
         }
         step.emit(Event::GroupSent { to: Arc::clone(&host), shards: shards.len(), attempt });
         let free = self.rules.attempts.saturating_sub(1);
-        let group = GroupRequest {
-            host,
-            attempt,
-            shards,
-            start,
-            fallbacks,
-            free,
-            gather_time: gather,
-            lost_at: lost,
-        };
+        let group = GroupRequest { host, attempt, shards, start, fallbacks, free, gather_time, lost_at };
         self.groups.push(group.clone());
         step.actions.push(Action::Delegate(group));
     }
--- a/crates/harefield/src/domain/fanout/machine.rs
+++ b/crates/harefield/src/domain/fanout/machine.rs
@@ -87,6 +87,7 @@
         }
     }
 
+    /// Returns the plan that the fan-out runs over.
     #[must_use]
     pub fn plan(&self) -> &Arc<Plan> {
         &self.plan
--- a/crates/harefield/src/engine/relay.rs
+++ b/crates/harefield/src/engine/relay.rs
@@ -80,9 +80,9 @@
             whole: false,
             shown: Shown::default(),
         };
-        let least_share = ratio(group.needed, group.shards.len());
+        let min_share = ratio(group.needed, group.shards.len());
         let rules = AnswerRules {
-            min_share: least_share,
+            min_share,
             min_possible: group.possible,
             grouped: false,
             repeated: group.again,
@@ -120,7 +120,7 @@
         let parts = plan.parts.iter().map(|part| &part.plan);
         let plan = std::iter::once(plan).chain(parts).find(|plan| plan.lookup.index == group.index)?;
         let limits = group.only.iter().map(|(at, names)| (*at, limit_of(names)));
-        let shards = self.narrow(plan.group(&group.shards, limits)?, &group.regions);
+        let shards = self.narrow(plan.group_plan(&group.shards, limits)?, &group.regions);
         let found = Found {
             plan: Arc::clone(plan),
             work,
@@ -143,7 +143,7 @@
         }
         let router = self.router.borrow();
         let region = |name: &UpstreamId| Some(router.region_of(&router.searcher(name)?.spec().zone));
-        plan.narrowed(|name| residency.allows(region(name).as_ref()))
+        plan.filtered(|name| residency.allows(region(name).as_ref()))
     }
 
     fn group_reply(
