--- a/crates/harefield/examples/target.rs
+++ b/crates/harefield/examples/target.rs
@@ -24,7 +24,7 @@
 use harefield::domain::routing::Policy;
 use harefield::domain::routing::Router;
 use harefield::domain::view::View;
-use harefield::domain::view::ViewSources;
+use harefield::domain::view::ViewInputs;
 
 const DAEMONS: usize = 2700;
 const SHARDS: usize = 210;
@@ -129,18 +129,18 @@
 /// One region.
 static PLACES: LazyLock<Places> = LazyLock::new(Places::default);
 
-fn sources<'a>(own: &'a HostId, set: &'a Arc<ResourceSet>, hosts: &'a HostList) -> ViewSources<'a> {
-    ViewSources {
+fn sources<'a>(own: &'a HostId, set: &'a Arc<ResourceSet>, hosts: &'a HostList) -> ViewInputs<'a> {
+    ViewInputs {
         own,
         revision: Some(Revision::first(1)),
         set,
-        listed: Some(Revision::first(1)),
+        hosts_revision: Some(Revision::first(1)),
         hosts,
         fleet: &[],
         size: CellSize::default(),
         places: &PLACES,
         cold: Bound::default(),
-        keyed: false,
+        require_keys: false,
     }
 }
 
--- a/crates/harefield/src/control/publish.rs
+++ b/crates/harefield/src/control/publish.rs
@@ -13,7 +13,7 @@
 use crate::domain::membership::PeerState;
 use crate::domain::membership::Row;
 use crate::domain::view::View;
-use crate::domain::view::ViewSources;
+use crate::domain::view::ViewInputs;
 use crate::domain::word::NamedWord;
 use crate::engine::PeerView;
 use crate::engine::ToWorker;
@@ -40,17 +40,17 @@
         let config = self.config.borrow();
         let now = self.ports.clock.now();
         let set = self.lapsed.borrow_mut().patch(config.set(), self.was_away(), now);
-        self.view.borrow().next(&ViewSources {
+        self.view.borrow().next(&ViewInputs {
             own: &self.settings.own.host,
             revision: config.revision(),
             set: &set,
-            listed: self.hosts.borrow().revision(),
+            hosts_revision: self.hosts.borrow().revision(),
             hosts: &self.list.borrow(),
             fleet: &self.fleet.borrow(),
             size: self.settings.cell,
             places: &self.settings.places,
             cold: self.settings.cold,
-            keyed: self.settings.keyed,
+            require_keys: self.settings.keyed,
         })
     }
 
--- a/crates/harefield/src/domain/fanout/attempts.rs
+++ b/crates/harefield/src/domain/fanout/attempts.rs
@@ -135,9 +135,9 @@
     fn choose<S: Sink>(&self, shard: usize, step: &mut StepContext<'_, S>) -> Result<Choice, Bar> {
         let tried = self.shards[shard].tried();
         let chosen = step.router.choose(&self.choice_request(shard, &tried), step.now);
-        let abroad = self.plan.shards[shard].abroad;
+        let outside = self.plan.shards[shard].outside_regions;
         chosen.map_err(
-            |exclusion| if abroad { Bar { gap: Gap::OutsideRegions, ..exclusion } } else { exclusion },
+            |exclusion| if outside { Bar { gap: Gap::OutsideRegions, ..exclusion } } else { exclusion },
         )
     }
 
--- a/crates/harefield/src/domain/routing/router.rs
+++ b/crates/harefield/src/domain/routing/router.rs
@@ -29,7 +29,7 @@
 use crate::domain::lease::Lease;
 use crate::domain::places::Places;
 use crate::domain::resources::Upstream;
-use crate::domain::view::OwnUpstream;
+use crate::domain::view::UpstreamShare;
 use crate::domain::view::View;
 use crate::domain::word::NamedWord;
 use crate::domain::word::Word;
@@ -160,7 +160,7 @@
             |name: &UpstreamId, s: &Searcher| s.left_within(longest, now) && named(view, name, s).is_some();
         self.searchers.retain(|name, s| own.contains_key(name) || s.under_way() > 0 || begun(name, s));
         for (name, upstream) in own {
-            let OwnUpstream { spec, sharers, rank, connections, cold } = upstream;
+            let UpstreamShare { spec, sharers, rank, connections, cold } = upstream;
             let cold = cold.map(|cold| self.own.cold_part(cold));
             let sharers = (*sharers).max(self.least_sharers);
             let share = connection_share(*connections, sharers);
--- a/crates/harefield/src/domain/view/mod.rs
+++ b/crates/harefield/src/domain/view/mod.rs
@@ -6,7 +6,7 @@
 //! view shares with the one before whatever did not change.
 
 mod builder;
-mod paths;
+mod path_index;
 mod plan;
 
 use std::collections::BTreeMap;
@@ -16,12 +16,12 @@
 use std::sync::Arc;
 
 use self::builder::Builder;
-use self::paths::Paths;
+use self::path_index::PathIndex;
 pub use self::plan::LookupPlan;
 pub use self::plan::Plan;
 pub use self::plan::ReplicaLimit;
 pub use self::plan::ShardPlan;
-pub use self::plan::Weighted;
+pub use self::plan::WeightedPlan;
 use super::accounts::Directory;
 use super::cell;
 use super::cell::Candidate;
@@ -41,7 +41,7 @@
 
 /// An upstream that this daemon may dial.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OwnUpstream {
+pub struct UpstreamShare {
     /// The resource.
     pub spec: Arc<Upstream>,
     /// How many members share its limits.
@@ -56,7 +56,7 @@
 
 /// What a view is worked out from.
 #[derive(Clone, Copy, Debug)]
-pub struct ViewSources<'a> {
+pub struct ViewInputs<'a> {
     /// The daemon that the view is for.
     pub own: &'a HostId,
     /// The configuration revision in force.
@@ -64,7 +64,7 @@
     /// The set in force.
     pub set: &'a Arc<ResourceSet>,
     /// The revision of the host list.
-    pub listed: Option<Revision>,
+    pub hosts_revision: Option<Revision>,
     /// The host list.
     pub hosts: &'a HostList,
     /// The daemons as they know each other, where the platform lists none.
@@ -76,7 +76,7 @@
     /// How far above what cold upstreams bear the fleet may go.
     pub cold: Bound,
     /// Whether lookups that are not public ask for a key also where no account is published.
-    pub keyed: bool,
+    pub require_keys: bool,
 }
 
 /// Everything that a request is decided on, immutable.
@@ -87,7 +87,7 @@
     /// The edition of the catalogs; 0 where there are none.
     pub edition: Edition,
     /// The revision of the host list.
-    pub listed: Option<Revision>,
+    pub hosts_revision: Option<Revision>,
     /// The set in force.
     pub set: Arc<ResourceSet>,
     /// The addresses listed as leaving.
@@ -98,14 +98,14 @@
     /// everyone a member.
     pub cells: Cells,
     /// The upstreams of the cells that this daemon is a member of.
-    pub upstreams: BTreeMap<UpstreamId, OwnUpstream>,
+    pub upstreams: BTreeMap<UpstreamId, UpstreamShare>,
     /// The client accounts.
     pub directory: Arc<Directory>,
     /// Bounds on callers' requests, as published.
     pub bounds: Bounds,
     /// The availability zones whose upstreams get nothing new.
     pub evacuated: HashSet<Arc<str>>,
-    paths: Paths,
+    paths: PathIndex,
     daemons: Vec<HostId>,
     fleet: Vec<Candidate>,
     sizes: BTreeMap<Arc<str>, usize>,
@@ -114,10 +114,10 @@
 impl View {
     /// Works out the view that follows `self`.
     #[must_use]
-    pub fn next(&self, sources: &ViewSources<'_>) -> Self {
-        let daemons = sources.hosts.daemons();
-        let sizes = cell::sizes(sources.set, sources.size, daemons.len().max(sources.fleet.len()));
-        let fleet = sources.fleet.to_vec();
+    pub fn next(&self, inputs: &ViewInputs<'_>) -> Self {
+        let daemons = inputs.hosts.daemons();
+        let sizes = cell::sizes(inputs.set, inputs.size, daemons.len().max(inputs.fleet.len()));
+        let fleet = inputs.fleet.to_vec();
         let cells = if daemons == self.daemons && fleet == self.fleet && sizes == self.sizes {
             self.cells.clone()
         } else if daemons.is_empty() && !fleet.is_empty() {
@@ -125,26 +125,26 @@
         } else {
             cell::assign(&sizes, &daemons)
         };
-        let static_cells = static_cells(sources, &sizes);
-        let builder = Builder::new(sources, &cells, self, &static_cells);
+        let static_cells = static_cells(inputs, &sizes);
+        let builder = Builder::new(inputs, &cells, self, &static_cells);
         let lookups = builder.lookups();
         let upstreams = builder.upstreams();
-        let paths = Paths::new(&lookups);
-        let directory = if self.directory.is_of(sources.set, sources.keyed) {
+        let paths = PathIndex::new(&lookups);
+        let directory = if self.directory.is_of(inputs.set, inputs.require_keys) {
             Arc::clone(&self.directory)
         } else {
-            Arc::new(Directory::new(sources.set, sources.keyed))
+            Arc::new(Directory::new(inputs.set, inputs.require_keys))
         };
         Self {
             paths,
             directory,
-            bounds: sources.set.bounds(),
-            evacuated: sources.set.evacuations.keys().map(Arc::clone).collect(),
-            revision: sources.revision,
-            edition: sources.set.edition(),
-            listed: sources.listed,
-            set: Arc::clone(sources.set),
-            leaving: sources.hosts.leaving(),
+            bounds: inputs.set.bounds(),
+            evacuated: inputs.set.evacuations.keys().map(Arc::clone).collect(),
+            revision: inputs.revision,
+            edition: inputs.set.edition(),
+            hosts_revision: inputs.hosts_revision,
+            set: Arc::clone(inputs.set),
+            leaving: inputs.hosts.leaving(),
             lookups,
             cells,
             upstreams,
@@ -164,11 +164,11 @@
 /// Returns the cells as they would be if all daemons answered: those who share what a cold
 /// upstream bears do not change with who is seen to. Empty where nothing is bound, or the
 /// platform lists the daemons.
-fn static_cells(sources: &ViewSources<'_>, sizes: &BTreeMap<Arc<str>, usize>) -> Cells {
-    if sources.set.services.values().all(|service| service.cold.is_none()) {
+fn static_cells(inputs: &ViewInputs<'_>, sizes: &BTreeMap<Arc<str>, usize>) -> Cells {
+    if inputs.set.services.values().all(|service| service.cold.is_none()) {
         return Cells::default();
     }
     let live = |candidate: &Candidate| Candidate { live: true, ..candidate.clone() };
-    let fleet: Vec<Candidate> = sources.fleet.iter().map(live).collect();
+    let fleet: Vec<Candidate> = inputs.fleet.iter().map(live).collect();
     cell::assign_by_zone(sizes, &fleet)
 }
--- a/crates/harefield/src/domain/view/paths.rs
+++ b/crates/harefield/src/domain/view/path_index.rs
@@ -15,11 +15,11 @@
 
 /// The path prefixes under each host name, the longest first.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Paths {
+pub(super) struct PathIndex {
     by_host: HashMap<Arc<str>, Vec<PathPrefix>>,
 }
 
-impl Paths {
+impl PathIndex {
     /// Sorts the lookups' entries by host name, the longest prefix first.
     pub(super) fn new(lookups: &HashMap<Arc<str>, Arc<LookupPlan>>) -> Self {
         let mut by_host: HashMap<Arc<str>, Vec<PathPrefix>> = HashMap::new();
--- a/crates/harefield/src/domain/view/plan.rs
+++ b/crates/harefield/src/domain/view/plan.rs
@@ -17,7 +17,7 @@
     /// Its replicas, in the regions in which the lookup may be served.
     pub replicas: Vec<UpstreamId>,
     /// Whether all its replicas stand in other regions.
-    pub abroad: bool,
+    pub outside_regions: bool,
     /// Which of them may be asked where another daemon may ask as well; all where there is
     /// no limit.
     pub limit: Option<ReplicaLimit>,
@@ -35,7 +35,7 @@
 
 impl ShardPlan {
     /// Takes a limit; replicas that may not be asked by it are left out.
-    fn bind(&mut self, limit: ReplicaLimit) {
+    fn apply_limit(&mut self, limit: ReplicaLimit) {
         if limit.free == 0 {
             self.replicas.retain(|name| limit.named.contains(name));
         } else {
@@ -44,7 +44,7 @@
     }
 
     /// Returns how many replicas are asked at the most.
-    fn most_asked(&self) -> usize {
+    fn max_queried(&self) -> usize {
         let most = |limit: &ReplicaLimit| limit.named.len().saturating_add(limit.free as usize);
         self.limit.as_ref().map_or(usize::MAX, most).min(self.replicas.len())
     }
@@ -64,21 +64,21 @@
 impl Plan {
     /// Returns the plan with those replicas alone that `keeps` says.
     #[must_use]
-    pub fn narrowed(mut self, keeps: impl Fn(&UpstreamId) -> bool) -> Self {
+    pub fn filtered(mut self, keeps: impl Fn(&UpstreamId) -> bool) -> Self {
         for shard in &mut self.shards {
             let before = shard.replicas.len();
             shard.replicas.retain(&keeps);
             if let Some(limit) = &mut shard.limit {
                 limit.named.retain(&keeps);
             }
-            shard.abroad |= before > 0 && shard.replicas.is_empty();
+            shard.outside_regions |= before > 0 && shard.replicas.is_empty();
         }
         self
     }
 
     /// Returns the plan of one of its shards alone.
     #[must_use]
-    pub fn only(&self, shard: &ShardPlan) -> Self {
+    pub fn single_shard(&self, shard: &ShardPlan) -> Self {
         Self { index: Arc::clone(&self.index), version: self.version, shards: vec![shard.clone()] }
     }
 }
@@ -96,9 +96,9 @@
     pub plans: Vec<Arc<Plan>>,
     /// The parts that its requests are divided over, with their weights; none
     /// where all go by its own plans.
-    pub parts: Vec<Weighted>,
+    pub parts: Vec<WeightedPlan>,
     /// What the plans were worked out from, to tell whether it changed.
-    pub(super) sources: Sources,
+    pub(super) inputs: PlanInputs,
 }
 
 impl LookupPlan {
@@ -109,7 +109,7 @@
     /// of one than may be asked and that daemon did not say which: the two would choose
     /// theirs apart, and together ask more than the lookup allows.
     #[must_use]
-    pub fn group(
+    pub fn group_plan(
         &self,
         names: &[ShardId],
         limits: impl IntoIterator<Item = (usize, ReplicaLimit)>,
@@ -118,18 +118,18 @@
         let find = |name: &ShardId| whole.shards.iter().find(|shard| shard.shard == *name).cloned();
         let mut shards = names.iter().map(find).collect::<Option<Vec<_>>>()?;
         for (at, limit) in limits {
-            shards.get_mut(at)?.bind(limit);
+            shards.get_mut(at)?.apply_limit(limit);
         }
         let most =
             self.lookup.attempts.map_or(usize::MAX, |most| usize::try_from(most).unwrap_or(usize::MAX));
-        let bounded = shards.iter().all(|shard| shard.most_asked() <= most);
+        let bounded = shards.iter().all(|shard| shard.max_queried() <= most);
         bounded.then(|| Plan { index: Arc::clone(&whole.index), version: whole.version, shards })
     }
 }
 
 /// One part of a lookup's requests.
 #[derive(Clone, Debug)]
-pub struct Weighted {
+pub struct WeightedPlan {
     /// Its weight, relative to the other parts'.
     pub weight: u32,
     /// How it is answered.
@@ -141,7 +141,7 @@
 
 /// The resources that a lookup's plans were worked out from.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Sources {
+pub(super) struct PlanInputs {
     pub(super) indexes: Vec<Arc<Index>>,
     pub(super) services: Vec<Arc<Service>>,
     pub(super) holders: Vec<Holders>,
@@ -150,21 +150,21 @@
     pub(super) zones: Vec<Option<Arc<str>>>,
 }
 
-impl Sources {
+impl PlanInputs {
     /// Returns whether nothing was replaced, not even by an equal value.
-    pub(super) fn same(&self, other: &Self) -> bool {
+    pub(super) fn is_same(&self, other: &Self) -> bool {
         let same_holders = |(a, b): (&Holders, &Holders)| match (a, b) {
             (Some(a), Some(b)) => Arc::ptr_eq(a, b),
             (a, b) => a.is_none() && b.is_none(),
         };
         self.zones == other.zones
-            && same_values(&self.indexes, &other.indexes)
-            && same_values(&self.services, &other.services)
+            && same_items(&self.indexes, &other.indexes)
+            && same_items(&self.services, &other.services)
             && self.holders.len() == other.holders.len()
             && self.holders.iter().zip(&other.holders).all(same_holders)
     }
 }
 
-fn same_values<T>(own: &[Arc<T>], other: &[Arc<T>]) -> bool {
+fn same_items<T>(own: &[Arc<T>], other: &[Arc<T>]) -> bool {
     own.len() == other.len() && own.iter().zip(other).all(|(a, b)| Arc::ptr_eq(a, b))
 }
--- a/crates/harefield/src/engine/caution.rs
+++ b/crates/harefield/src/engine/caution.rs
@@ -323,7 +323,7 @@
         let usable = |name: &&Arc<str>| router.usable(name, plan.version);
         let shards = plan.shards.iter().filter(|shard| shard.replicas.iter().any(|name| usable(&name)));
         let shards: Vec<&ShardPlan> = shards.collect();
-        let one = plan.only(shards.choose(&mut rand::rng())?);
+        let one = plan.single_shard(shards.choose(&mut rand::rng())?);
         Some((Arc::clone(&plan), Arc::new(one)))
     }
 }
--- a/crates/harefield/tests/decisions/cold.rs
+++ b/crates/harefield/tests/decisions/cold.rs
@@ -34,7 +34,7 @@
 use harefield::domain::routing::Router;
 use harefield::domain::routing::Verdict;
 use harefield::domain::view::View;
-use harefield::domain::view::ViewSources;
+use harefield::domain::view::ViewInputs;
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
@@ -112,17 +112,17 @@
 
     /// Takes a view of those that it knows, whom it sees to answer or not.
     fn learn(&mut self, fleet: &[Candidate], set: &Arc<ResourceSet>, now: Instant) {
-        self.view = self.view.next(&ViewSources {
+        self.view = self.view.next(&ViewInputs {
             own: &self.host,
             revision: Some(Revision::first(1)),
             set,
-            listed: None,
+            hosts_revision: None,
             hosts: &HostList::default(),
             fleet,
             size: CellSize { most: MEMBERS, wanted: 1 },
             places: &places(ZONES[self.life.number % 3]),
             cold: BOUND,
-            keyed: false,
+            require_keys: false,
         });
         self.router.apply(&self.view, now);
         let others = fleet.iter().filter(|other| other.host != self.host);
--- a/crates/harefield/tests/decisions/groups.rs
+++ b/crates/harefield/tests/decisions/groups.rs
@@ -385,15 +385,15 @@
 fn unnamed_replicas_declined() {
     // The sender knows two of three replicas and names none: it may ask both itself.
     let names: [ShardId; 2] = ["s/000".into(), "s/001".into()];
-    assert!(plan(3).group(&names, []).is_none());
-    assert!(plan(2).group(&names, []).is_some());
+    assert!(plan(3).group_plan(&names, []).is_none());
+    assert!(plan(2).group_plan(&names, []).is_some());
     let only = [(0, vec![replica(0, 0), replica(0, 1)]), (1, vec![replica(1, 2)])];
     let limits = only.clone().map(|(at, named)| (at, ReplicaLimit { named, free: 0 }));
-    let group = plan(3).group(&names, limits.clone()).expect("it says which");
+    let group = plan(3).group_plan(&names, limits.clone()).expect("it says which");
     assert_eq!(group.shards[0].replicas, only[0].1);
     assert_eq!(group.shards[1].replicas, only[1].1);
     let [first, _] = limits;
-    assert!(plan(3).group(&names, [first]).is_none(), "one of two is not said");
+    assert!(plan(3).group_plan(&names, [first]).is_none(), "one of two is not said");
 }
 
 #[test]
@@ -401,9 +401,9 @@
     // Two attempts are allowed: one that the sender keeps, and one of free choice.
     let names: [ShardId; 1] = ["s/000".into()];
     let limit = |free| [(0, ReplicaLimit { named: vec![replica(0, 2)], free })];
-    let group = plan(3).group(&names, limit(1)).expect("they stay within two");
+    let group = plan(3).group_plan(&names, limit(1)).expect("they stay within two");
     assert_eq!(group.shards[0].replicas.len(), 3, "it chooses among all");
-    assert!(plan(3).group(&names, limit(2)).is_none(), "together they could ask three");
+    assert!(plan(3).group_plan(&names, limit(2)).is_none(), "together they could ask three");
 }
 
 #[test]
--- a/crates/harefield/tests/decisions/residency.rs
+++ b/crates/harefield/tests/decisions/residency.rs
@@ -26,7 +26,7 @@
 use harefield::domain::routing::Ask;
 use harefield::domain::routing::Until;
 use harefield::domain::view::View;
-use harefield::domain::view::ViewSources;
+use harefield::domain::view::ViewInputs;
 
 /// The availability zones, two in each of three regions.
 const ZONES: [&str; 6] = ["a1", "a2", "b1", "b2", "c1", "c2"];
@@ -60,17 +60,17 @@
 }
 
 fn next(before: &View, set: &Arc<ResourceSet>) -> View {
-    before.next(&ViewSources {
+    before.next(&ViewInputs {
         own: &"127.0.0.1:7200".into(),
         revision: Some(Revision::first(1)),
         set,
-        listed: None,
+        hosts_revision: None,
         hosts: &HostList::default(),
         fleet: &[],
         size: CellSize::default(),
         places: &places(),
         cold: Bound::default(),
-        keyed: false,
+        require_keys: false,
     })
 }
 
@@ -101,7 +101,7 @@
             let home = |zone: &&String| homes.is_empty() || homes.contains(&region_of(zone));
             let expected: Vec<&String> = free[shard].iter().filter(home).collect();
             prop_assert_eq!(replicas.iter().collect::<Vec<_>>(), expected);
-            prop_assert_eq!(view.lookups["l"].plans[0].shards[shard].abroad, replicas.is_empty());
+            prop_assert_eq!(view.lookups["l"].plans[0].shards[shard].outside_regions, replicas.is_empty());
         }
     }
 
@@ -142,11 +142,11 @@
 fn moved_upstream_planned_anew() {
     let set = set_in(&[vec![0], vec![2]], &["a"]);
     let view = next(&View::default(), &set);
-    assert!(!view.lookups["l"].plans[0].shards[0].abroad);
+    assert!(!view.lookups["l"].plans[0].shards[0].outside_regions);
     // The same upstream comes back in another region; nothing else of the lookup changes.
     let moved = json!({ "address": "127.0.0.1:9", "zone": "b2", "slots": 2, "connections": 25 }).to_string();
     let set = changed(&set, &format!("upstreams/{}", replica(0, 0)), Some(&moved));
-    assert!(next(&view, &set).lookups["l"].plans[0].shards[0].abroad);
+    assert!(next(&view, &set).lookups["l"].plans[0].shards[0].outside_regions);
 }
 
 #[test]
--- a/crates/harefield/tests/decisions/support.rs
+++ b/crates/harefield/tests/decisions/support.rs
@@ -24,7 +24,7 @@
 use harefield::domain::routing::Policy;
 use harefield::domain::routing::Router;
 use harefield::domain::view::View;
-use harefield::domain::view::ViewSources;
+use harefield::domain::view::ViewInputs;
 
 /// Returns a configuration that draws the same cases in every run.
 pub fn cases(count: u32) -> Config {
@@ -87,17 +87,17 @@
 
 /// Returns the view of a set in a fleet without listed hosts.
 pub fn view(set: &Arc<ResourceSet>) -> View {
-    View::default().next(&ViewSources {
+    View::default().next(&ViewInputs {
         own: &"127.0.0.1:7200".into(),
         revision: Some(Revision::first(1)),
         set,
-        listed: None,
+        hosts_revision: None,
         hosts: &HostList::default(),
         fleet: &[],
         size: CellSize::default(),
         places: &Places::default(),
         cold: Bound::default(),
-        keyed: false,
+        require_keys: false,
     })
 }
 
--- a/crates/harefield/tests/decisions/views.rs
+++ b/crates/harefield/tests/decisions/views.rs
@@ -15,7 +15,7 @@
 use harefield::domain::resources::ResourceSet;
 use harefield::domain::revision::Revision;
 use harefield::domain::view::View;
-use harefield::domain::view::ViewSources;
+use harefield::domain::view::ViewInputs;
 
 fn hosts(count: u16) -> HostList {
     let row = |state: &str| json!({ "role": "harefield", "state": state, "zone": "a" });
@@ -26,17 +26,17 @@
 fn next(before: &View, own: u16, set: &Arc<ResourceSet>, hosts: &HostList, most: usize) -> View {
     let own: HostId = format!("127.0.0.1:{own}").into();
     let size = CellSize { most, wanted: 1 };
-    before.next(&ViewSources {
+    before.next(&ViewInputs {
         own: &own,
         revision: Some(Revision::first(1)),
         set,
-        listed: Some(Revision::first(1)),
+        hosts_revision: Some(Revision::first(1)),
         hosts,
         fleet: &[],
         size,
         places: &Places::default(),
         cold: Bound::default(),
-        keyed: false,
+        require_keys: false,
     })
 }
 
