--- a/crates/harefield/src/domain/view/builder.rs
+++ b/crates/harefield/src/domain/view/builder.rs
@@ -1,5 +1,5 @@
-//! Works out one view from the set in force and the hosts, sharing with the view
-//! before whatever did not change.
+//! Builds a view from the active resource set and the hosts, and reuses unchanged parts of the
+//! previous view.
 
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -34,20 +34,20 @@
 use crate::domain::resources::Snapshot;
 use crate::domain::resources::Upstream;
 
-/// Works out one view.
+/// Builds one view.
 pub(super) struct Builder<'a> {
     inputs: &'a ViewInputs<'a>,
     cells: &'a Cells,
     previous: &'a View,
-    /// The cells as they would be if all daemons answered.
+    /// The cells as they would be if all daemons were live.
     static_cells: &'a Cells,
     fleet: HashMap<&'a HostId, &'a Candidate>,
-    /// Plans over whole indexes, which lookups share.
+    /// Plans over whole indexes, shared between lookups.
     plans: RefCell<HashMap<String, Vec<Arc<Plan>>>>,
 }
 
 impl<'a> Builder<'a> {
-    /// Prepares the work on the view that follows `before`.
+    /// Creates a builder for the view that follows `previous`.
     pub(super) fn new(
         inputs: &'a ViewInputs<'a>,
         cells: &'a Cells,
@@ -73,8 +73,7 @@
         planned.collect()
     }
 
-    /// Returns the plan of the view before, if nothing that it was worked out
-    /// from has changed.
+    /// Returns the plan of the previous view if none of its inputs have changed.
     fn unchanged_plan(&self, name: &Arc<str>, lookup: &Arc<Lookup>) -> Option<Arc<LookupPlan>> {
         let previous = self.previous.lookups.get(name)?;
         let same = Arc::ptr_eq(&previous.lookup, lookup)
@@ -83,7 +82,7 @@
         same.then(|| Arc::clone(previous))
     }
 
-    /// Returns whether a lookup may be served by an upstream.
+    /// Returns whether a lookup may be served by an upstream in its region.
     fn allows(&self, lookup: &Lookup, upstream: &UpstreamId) -> bool {
         let zone = self.inputs.set.upstreams.get(upstream).map(|upstream| &upstream.zone);
         let region = zone.map(|zone| self.inputs.places.region_of(zone));
@@ -97,8 +96,7 @@
         set.replicas(shard).map(zone).collect()
     }
 
-    /// Returns what a lookup's plans are worked out from; none where an index
-    /// does not exist.
+    /// Returns the inputs of a lookup's plans; `None` if an index does not exist.
     fn plan_inputs(&self, lookup: &Lookup) -> Option<PlanInputs> {
         let set = self.inputs.set;
         let mut inputs = PlanInputs::default();
@@ -135,8 +133,7 @@
         Some(Arc::new(LookupPlan { name, lookup, member, plans, parts, inputs }))
     }
 
-    /// Returns a lookup's plans, the newest first; lookups that ask whole
-    /// indexes share them.
+    /// Returns a lookup's plans, newest first. Lookups that query whole indexes share them.
     fn plans_of(&self, lookup: &Lookup, member: bool) -> Option<Vec<Arc<Plan>>> {
         let set = self.inputs.set;
         let (index_name, index) = set.indexes.get_key_value(lookup.index.as_str())?;
@@ -170,7 +167,7 @@
         whole.filtered(|upstream| self.allows(lookup, upstream))
     }
 
-    /// Gathers the upstreams of the cells that the daemon is a member of.
+    /// Collects the upstreams of the cells that the daemon is a member of.
     pub(super) fn upstreams(&self) -> BTreeMap<UpstreamId, UpstreamShare> {
         let set = self.inputs.set;
         let mut members: BTreeMap<&UpstreamId, HashSet<&HostId>> = BTreeMap::new();
@@ -191,8 +188,8 @@
         own.collect()
     }
 
-    /// Returns what this daemon may send to an upstream while it is cold; none where none of
-    /// its services bounds that.
+    /// Returns what this daemon may send to an upstream while it is cold; `None` if none of its
+    /// services limits that.
     fn cold_allowance(&self, name: &UpstreamId, upstream: &Upstream) -> Option<Allowance> {
         let services = || upstream.holds.iter().filter_map(|shard| shard.split_once('/'));
         let limits = services().filter_map(|(service, _)| self.inputs.set.services.get(service)?.cold);
--- a/crates/harefield/src/domain/view/mod.rs
+++ b/crates/harefield/src/domain/view/mod.rs
@@ -1,9 +1,9 @@
-//! The view that a worker acts on: the set in force, the hosts as listed, and
-//! the plans worked out from both.
+//! The view that a worker acts on: the active resource set, the listed hosts, and the plans derived
+//! from both.
 //!
-//! A view holds plans and upstreams only of the cells that its daemon is a
-//! member of; of the others it knows the lookups and who the members are. A new
-//! view shares with the one before whatever did not change.
+//! A view has plans and upstreams only for the cells that its daemon is a member of. For other
+//! cells it has the lookups and the members. A new view shares unchanged parts with the previous
+//! one.
 
 mod builder;
 mod path_index;
@@ -39,63 +39,62 @@
 use super::resources::Upstream;
 use super::revision::Revision;
 
-/// An upstream that this daemon may dial.
+/// An upstream that this daemon may connect to, and this daemon's share of its limits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamShare {
-    /// The resource.
+    /// The upstream's resource.
     pub spec: Arc<Upstream>,
-    /// How many members share its limits.
+    /// How many cell members share its limits.
     pub sharers: u32,
-    /// How many of them come before this one, in an order that is the same for all.
+    /// How many of the members come before this one, in an order that is the same on all daemons.
     pub rank: u32,
-    /// How many connections it takes in all.
+    /// How many connections it accepts in total.
     pub connections: u32,
-    /// What this daemon may send to it while it is cold; none where that is not bound.
+    /// What this daemon may send while the upstream is cold; `None` if there is no limit.
     pub cold: Option<Allowance>,
 }
 
-/// What a view is worked out from.
+/// The inputs that a view is derived from.
 #[derive(Clone, Copy, Debug)]
 pub struct ViewInputs<'a> {
     /// The daemon that the view is for.
     pub own: &'a HostId,
-    /// The configuration revision in force.
+    /// The active configuration revision.
     pub revision: Option<Revision>,
-    /// The set in force.
+    /// The active resource set.
     pub set: &'a Arc<ResourceSet>,
     /// The revision of the host list.
     pub hosts_revision: Option<Revision>,
     /// The host list.
     pub hosts: &'a HostList,
-    /// The daemons as they know each other, where the platform lists none.
+    /// The daemons as they know each other by gossip, for platforms that list none.
     pub fleet: &'a [Candidate],
-    /// How large cells may be.
+    /// The limits on cell sizes.
     pub size: CellSize,
-    /// Which region each availability zone is in.
+    /// The region of each availability zone.
     pub places: &'a Places,
-    /// How far above what cold upstreams bear the fleet may go.
+    /// How far the fleet may exceed what cold upstreams can handle.
     pub cold: Bound,
-    /// Whether lookups that are not public ask for a key also where no account is published.
+    /// Whether lookups that are not public require a key even if no account is published.
     pub require_keys: bool,
 }
 
-/// Everything that a request is decided on, immutable.
+/// The immutable state that a request is decided on.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// The configuration revision in force; none before the first.
+    /// The active configuration revision; `None` before the first.
     pub revision: Option<Revision>,
-    /// The edition of the catalogs; 0 where there are none.
+    /// The edition of the catalogs; 0 if there are none.
     pub edition: Edition,
     /// The revision of the host list.
     pub hosts_revision: Option<Revision>,
-    /// The set in force.
+    /// The active resource set.
     pub set: Arc<ResourceSet>,
     /// The addresses listed as leaving.
     pub leaving: HashSet<SocketAddr>,
     /// The lookups, by name.
     pub lookups: HashMap<Arc<str>, Arc<LookupPlan>>,
-    /// The cell of each index; empty where no daemon is listed, which makes
-    /// everyone a member.
+    /// The cell of each index; empty if no daemon is known, so that every daemon is a member.
     pub cells: Cells,
     /// The upstreams of the cells that this daemon is a member of.
     pub upstreams: BTreeMap<UpstreamId, UpstreamShare>,
@@ -103,7 +102,7 @@
     pub directory: Arc<Directory>,
     /// Bounds on callers' requests, as published.
     pub bounds: Bounds,
-    /// The availability zones whose upstreams get nothing new.
+    /// The availability zones whose upstreams get no new requests.
     pub evacuated: HashSet<Arc<str>>,
     paths: PathIndex,
     daemons: Vec<HostId>,
@@ -112,7 +111,7 @@
 }
 
 impl View {
-    /// Works out the view that follows `self`.
+    /// Returns the view that follows `self`.
     #[must_use]
     pub fn next(&self, inputs: &ViewInputs<'_>) -> Self {
         let daemons = inputs.hosts.daemons();
@@ -154,16 +153,16 @@
         }
     }
 
-    /// Returns the lookup that a caller's path leads to, by the longest prefix.
+    /// Returns the lookup for a caller's host name and path, by the longest matching prefix.
     #[must_use]
     pub fn lookup_at(&self, host: &str, path: &str) -> Option<&Arc<LookupPlan>> {
         self.paths.lookup_at(host, path)
     }
 }
 
-/// Returns the cells as they would be if all daemons answered: those who share what a cold
-/// upstream bears do not change with who is seen to. Empty where nothing is bound, or the
-/// platform lists the daemons.
+/// Returns the cells as they would be if all daemons were live, so that the shares of a cold
+/// upstream's capacity don't change with the daemons that are seen as live. Empty if no service
+/// limits cold upstreams, or if the platform lists the daemons.
 fn static_cells(inputs: &ViewInputs<'_>, sizes: &BTreeMap<Arc<str>, usize>) -> Cells {
     if inputs.set.services.values().all(|service| service.cold.is_none()) {
         return Cells::default();
--- a/crates/harefield/src/domain/view/path_index.rs
+++ b/crates/harefield/src/domain/view/path_index.rs
@@ -1,4 +1,4 @@
-//! Which lookup a caller's path leads to.
+//! Finds the lookup for a caller's path.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -6,21 +6,21 @@
 
 use super::plan::LookupPlan;
 
-/// A path prefix that leads to a lookup.
+/// A path prefix and the plan of its lookup.
 #[derive(Clone, Debug)]
 struct PathPrefix {
     prefix: Arc<str>,
     plan: Arc<LookupPlan>,
 }
 
-/// The path prefixes under each host name, the longest first.
+/// The path prefixes of each host name, the longest first.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PathIndex {
     by_host: HashMap<Arc<str>, Vec<PathPrefix>>,
 }
 
 impl PathIndex {
-    /// Sorts the lookups' entries by host name, the longest prefix first.
+    /// Builds the index from the entries of all lookups.
     pub(super) fn new(lookups: &HashMap<Arc<str>, Arc<LookupPlan>>) -> Self {
         let mut by_host: HashMap<Arc<str>, Vec<PathPrefix>> = HashMap::new();
         for plan in lookups.values() {
@@ -35,7 +35,7 @@
         Self { by_host }
     }
 
-    /// Returns the lookup that a path leads to, by the longest prefix.
+    /// Returns the lookup for a path, by the longest matching prefix.
     pub(super) fn lookup_at(&self, host: &str, path: &str) -> Option<&Arc<LookupPlan>> {
         let prefixes = self.by_host.get(host)?;
         prefixes.iter().find(|found| path.starts_with(&*found.prefix)).map(|found| &found.plan)
--- a/crates/harefield/src/domain/view/plan.rs
+++ b/crates/harefield/src/domain/view/plan.rs
@@ -1,4 +1,4 @@
-//! The plans of a lookup: which shards of which snapshots answer it.
+//! The plans of a lookup: the shards of each snapshot that answer it.
 
 use std::sync::Arc;
 
@@ -9,32 +9,31 @@
 use crate::domain::resources::Lookup;
 use crate::domain::resources::Service;
 
-/// One shard of a plan, with the replicas that are configured for it.
+/// A shard of a plan, with its configured replicas.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShardPlan {
     /// The shard.
     pub shard: ShardId,
-    /// Its replicas, in the regions in which the lookup may be served.
+    /// The shard's replicas in the regions in which the lookup may be served.
     pub replicas: Vec<UpstreamId>,
-    /// Whether all its replicas stand in other regions.
+    /// Whether all replicas are in other regions.
     pub outside_regions: bool,
-    /// Which of them may be asked where another daemon may ask as well; all where there is
-    /// no limit.
+    /// Which replicas may be queried if another daemon may query them too; `None` for all.
     pub limit: Option<ReplicaLimit>,
 }
 
-/// Which replicas a daemon may ask for another one, so that both together stay within the
-/// lookup's attempts whatever either of them does.
+/// Which replicas a daemon may query on behalf of another one, so that both together stay within
+/// the lookup's attempt limit whatever either of them does.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaLimit {
-    /// The replicas that the other daemon may ask as well.
+    /// The replicas that the other daemon may query too.
     pub named: Vec<UpstreamId>,
-    /// How many others may be asked besides.
+    /// How many other replicas may be queried.
     pub free: u32,
 }
 
 impl ShardPlan {
-    /// Takes a limit; replicas that may not be asked by it are left out.
+    /// Applies a limit; removes replicas that it excludes.
     fn apply_limit(&mut self, limit: ReplicaLimit) {
         if limit.free == 0 {
             self.replicas.retain(|name| limit.named.contains(name));
@@ -43,14 +42,14 @@
         }
     }
 
-    /// Returns how many replicas are asked at the most.
+    /// Returns the most replicas that may be queried.
     fn max_queried(&self) -> usize {
         let most = |limit: &ReplicaLimit| limit.named.len().saturating_add(limit.free as usize);
         self.limit.as_ref().map_or(usize::MAX, most).min(self.replicas.len())
     }
 }
 
-/// The shards of one snapshot that a lookup asks.
+/// The shards of one snapshot that a lookup queries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
     /// The index.
@@ -62,7 +61,7 @@
 }
 
 impl Plan {
-    /// Returns the plan with those replicas alone that `keeps` says.
+    /// Returns the plan with only those replicas for which `keeps` returns true.
     #[must_use]
     pub fn filtered(mut self, keeps: impl Fn(&UpstreamId) -> bool) -> Self {
         for shard in &mut self.shards {
@@ -76,38 +75,37 @@
         self
     }
 
-    /// Returns the plan of one of its shards alone.
+    /// Returns the plan for a single shard.
     #[must_use]
     pub fn single_shard(&self, shard: &ShardPlan) -> Self {
         Self { index: Arc::clone(&self.index), version: self.version, shards: vec![shard.clone()] }
     }
 }
 
-/// A lookup with the plans that may answer it.
+/// A lookup with the plans that can answer it.
 #[derive(Clone, Debug)]
 pub struct LookupPlan {
     /// The lookup's name.
     pub name: Arc<str>,
-    /// The resource.
+    /// The lookup's resource.
     pub lookup: Arc<Lookup>,
-    /// Whether this daemon may run it.
+    /// Whether this daemon is in the cell of the lookup's index, and so may run it.
     pub member: bool,
-    /// The plans, newest snapshot first; none unless this daemon may run it.
+    /// The plans, newest snapshot first; empty unless this daemon may run the lookup.
     pub plans: Vec<Arc<Plan>>,
-    /// The parts that its requests are divided over, with their weights; none
-    /// where all go by its own plans.
+    /// The weighted plans that requests are split over; empty if all requests use `plans`.
     pub parts: Vec<WeightedPlan>,
-    /// What the plans were worked out from, to tell whether it changed.
+    /// The inputs of the plans, for detecting changes.
     pub(super) inputs: PlanInputs,
 }
 
 impl LookupPlan {
-    /// Returns the plan of a group of shards that another daemon names, with the limits on
-    /// some of them by their places in the group.
+    /// Returns the plan for a group of shards that another daemon named, with limits for some of
+    /// them by their positions in the group.
     ///
-    /// There is none where a shard is not known, or where this daemon knows more replicas
-    /// of one than may be asked and that daemon did not say which: the two would choose
-    /// theirs apart, and together ask more than the lookup allows.
+    /// Returns `None` if a shard is unknown, or if this daemon knows more replicas of a shard than
+    /// may be queried and the other daemon set no limit for it: the two daemons would choose
+    /// independently, and together could query more than the lookup allows.
     #[must_use]
     pub fn group_plan(
         &self,
@@ -130,23 +128,22 @@
 /// One part of a lookup's requests.
 #[derive(Clone, Debug)]
 pub struct WeightedPlan {
-    /// Its weight, relative to the other parts'.
+    /// The weight, relative to the other parts.
     pub weight: u32,
-    /// How it is answered.
+    /// The plan for this part.
     pub plan: Arc<LookupPlan>,
 }
 
-/// The upstreams that hold a shard by their own word; none where none does.
+/// The upstreams that announced that they hold a shard; `None` if there are none.
 pub(super) type Holders = Option<Arc<[UpstreamId]>>;
 
-/// The resources that a lookup's plans were worked out from.
+/// The resources that a lookup's plans are derived from.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PlanInputs {
     pub(super) indexes: Vec<Arc<Index>>,
     pub(super) services: Vec<Arc<Service>>,
     pub(super) holders: Vec<Holders>,
-    /// The availability zones of the replicas, where the lookup may be served in some
-    /// regions only.
+    /// The availability zones of the replicas, if the lookup may be served in some regions only.
     pub(super) zones: Vec<Option<Arc<str>>>,
 }
 
