--- a/crates/harefield/src/domain/fanout/mod.rs
+++ b/crates/harefield/src/domain/fanout/mod.rs
@@ -1,36 +1,35 @@
-//! The fan-out of one request: which shard is asked where and when, which
-//! replies count, and when the answer is given.
+//! The fan-out of one request: which replica of each shard is queried and when, which replies
+//! count, and when the answer is given.
 //!
-//! A state machine without I/O. It is told what happened and when, and says
-//! what to do next: `machine` takes what happened, `sending` decides on attempts,
-//! `groups` on shards that other daemons ask, `caution` on requests that may end whoever
-//! runs them, `cut`, `overrun` and `judge` on
-//! the answer.
+//! A state machine without I/O. The caller passes in events with their times, and carries out the
+//! returned actions. `machine` handles events, `attempts` sends first attempts, retries, hedges and
+//! probes, `groups` delegates groups of shards to other daemons, `crash_guard` limits the damage of
+//! requests that crash upstreams, and `rules`, `overrun` and `result` decide on the answer.
 
-mod caution;
-mod cut;
+mod attempts;
+mod context;
+mod crash_guard;
+mod group_request;
 mod groups;
-mod hand;
-mod judge;
 mod machine;
 mod overrun;
-mod sending;
+mod result;
+mod rules;
 mod shard;
-mod step;
 mod verify;
 
-pub use caution::MOST_TRIALS;
-pub use cut::MOST_ATTEMPTS;
-pub use cut::Rules;
-pub use hand::Brought;
-pub use hand::GroupEnd;
-pub use hand::Hand;
-pub use judge::Finished;
+pub use crash_guard::MAX_TRIALS;
+pub use group_request::GroupOutcome;
+pub use group_request::GroupRequest;
+pub use group_request::ShardResult;
 pub use machine::Fanout;
 pub use overrun::Overrun;
+pub use result::FanoutResult;
+pub use rules::AnswerRules;
+pub use rules::MAX_ATTEMPTS;
 pub use shard::Action;
 pub use shard::AttemptEnd;
 pub use shard::Cancel;
-pub use shard::Send;
-pub use verify::Echo;
+pub use shard::SendAttempt;
+pub use verify::ReplyIdentity;
 pub use verify::verify;
--- a/crates/harefield/src/domain/routing/router.rs
+++ b/crates/harefield/src/domain/routing/router.rs
@@ -28,7 +28,7 @@
 use crate::domain::lease::Lease;
 use crate::domain::places::Places;
 use crate::domain::resources::Upstream;
-use crate::domain::view::OwnUpstream;
+use crate::domain::view::UpstreamShare;
 use crate::domain::view::View;
 use crate::domain::word::NamedWord;
 use crate::domain::word::Word;
@@ -161,7 +161,7 @@
         };
         self.upstreams.retain(|name, s| specs.contains_key(name) || s.in_flight() > 0 || in_use(name, s));
         for (name, upstream) in specs {
-            let OwnUpstream { spec, sharers, rank, connections, cold } = upstream;
+            let UpstreamShare { spec, sharers, rank, connections, cold } = upstream;
             let cold = cold.map(|cold| self.local.cold_quota(cold));
             let sharers = (*sharers).max(self.min_sharers);
             let share = connection_share(*connections, sharers);
--- a/crates/harefield/src/domain/view/mod.rs
+++ b/crates/harefield/src/domain/view/mod.rs
@@ -1,12 +1,12 @@
-//! The view that a worker acts on: the set in force, the hosts as listed, and
-//! the plans worked out from both.
+//! The view that a worker acts on: the active resource set, the listed hosts, and the plans derived
+//! from both.
 //!
-//! A view holds plans and upstreams only of the cells that its daemon is a
-//! member of; of the others it knows the lookups and who the members are. A new
-//! view shares with the one before whatever did not change.
+//! A view has plans and upstreams only for the cells that its daemon is a member of. For other
+//! cells it has the lookups and the members. A new view shares unchanged parts with the previous
+//! one.
 
 mod builder;
-mod paths;
+mod path_index;
 mod plan;
 
 use std::collections::BTreeMap;
@@ -16,12 +16,12 @@
 use std::sync::Arc;
 
 use self::builder::Builder;
-use self::paths::Paths;
+use self::path_index::PathIndex;
 pub use self::plan::LookupPlan;
 pub use self::plan::Plan;
 pub use self::plan::ReplicaLimit;
 pub use self::plan::ShardPlan;
-pub use self::plan::Weighted;
+pub use self::plan::WeightedPlan;
 use super::accounts::Directory;
 use super::cell;
 use super::cell::Candidate;
@@ -39,85 +39,84 @@
 use super::resources::Upstream;
 use super::revision::Revision;
 
-/// An upstream that this daemon may dial.
+/// An upstream that this daemon may connect to, and this daemon's share of its limits.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OwnUpstream {
-    /// The resource.
+pub struct UpstreamShare {
+    /// The upstream's resource.
     pub spec: Arc<Upstream>,
-    /// How many members share its limits.
+    /// How many cell members share its limits.
     pub sharers: u32,
-    /// How many of them come before this one, in an order that is the same for all.
+    /// How many of the members come before this one, in an order that is the same on all daemons.
     pub rank: u32,
-    /// How many connections it takes in all.
+    /// How many connections it accepts in total.
     pub connections: u32,
-    /// What this daemon may send to it while it is cold; none where that is not bound.
+    /// What this daemon may send while the upstream is cold; `None` if there is no limit.
     pub cold: Option<Allowance>,
 }
 
-/// What a view is worked out from.
+/// The inputs that a view is derived from.
 #[derive(Clone, Copy, Debug)]
-pub struct ViewSources<'a> {
+pub struct ViewInputs<'a> {
     /// The daemon that the view is for.
     pub own: &'a HostId,
-    /// The configuration revision in force.
+    /// The active configuration revision.
     pub revision: Option<Revision>,
-    /// The set in force.
+    /// The active resource set.
     pub set: &'a Arc<ResourceSet>,
     /// The revision of the host list.
-    pub listed: Option<Revision>,
+    pub hosts_revision: Option<Revision>,
     /// The host list.
     pub hosts: &'a HostList,
-    /// The daemons as they know each other, where the platform lists none.
+    /// The daemons as they know each other by gossip, for platforms that list none.
     pub fleet: &'a [Candidate],
-    /// How large cells may be.
+    /// The limits on cell sizes.
     pub size: CellSize,
-    /// Which region each availability zone is in.
+    /// The region of each availability zone.
     pub places: &'a Places,
-    /// How far above what cold upstreams bear the fleet may go.
+    /// How far the fleet may exceed what cold upstreams can handle.
     pub cold: ColdBounds,
-    /// Whether lookups that are not public ask for a key also where no account is published.
-    pub keyed: bool,
+    /// Whether lookups that are not public require a key even if no account is published.
+    pub require_keys: bool,
 }
 
-/// Everything that a request is decided on, immutable.
+/// The immutable state that a request is decided on.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// The configuration revision in force; none before the first.
+    /// The active configuration revision; `None` before the first.
     pub revision: Option<Revision>,
-    /// The edition of the catalogs; 0 where there are none.
+    /// The edition of the catalogs; 0 if there are none.
     pub edition: Edition,
     /// The revision of the host list.
-    pub listed: Option<Revision>,
-    /// The set in force.
+    pub hosts_revision: Option<Revision>,
+    /// The active resource set.
     pub set: Arc<ResourceSet>,
     /// The addresses listed as leaving.
     pub leaving: HashSet<SocketAddr>,
     /// The lookups, by name.
     pub lookups: HashMap<Arc<str>, Arc<LookupPlan>>,
-    /// The cell of each index; empty where no daemon is listed, which makes
-    /// everyone a member.
+    /// The cell of each index; empty if no daemon is known, so that every daemon is a member.
     pub cells: Cells,
     /// The upstreams of the cells that this daemon is a member of.
-    pub upstreams: BTreeMap<UpstreamId, OwnUpstream>,
+    pub upstreams: BTreeMap<UpstreamId, UpstreamShare>,
     /// The client accounts.
     pub directory: Arc<Directory>,
     /// Bounds on callers' requests, as published.
     pub bounds: Bounds,
-    /// The availability zones whose upstreams get nothing new.
+    /// The availability zones whose upstreams get no new requests.
     pub evacuated: HashSet<Arc<str>>,
-    paths: Paths,
+    paths: PathIndex,
     daemons: Vec<HostId>,
     fleet: Vec<Candidate>,
     sizes: BTreeMap<Arc<str>, usize>,
 }
 
 impl View {
-    /// Works out the view that follows `self`.
+    /// Returns the view that follows `self`.
     #[must_use]
-    pub fn next(&self, sources: &ViewSources<'_>) -> Self {
-        let daemons = sources.hosts.daemons();
-        let sizes = cell::sizes(sources.set, sources.size, daemons.len().max(sources.fleet.len()));
-        let fleet = sources.fleet.to_vec();
+    pub fn next(&self, inputs: &ViewInputs<'_>) -> Self {
+        let daemons = inputs.hosts.daemons();
+        let sizes = cell::sizes(inputs.set, inputs.size, daemons.len().max(inputs.fleet.len()));
+        let fleet = inputs.fleet.to_vec();
         let cells = if daemons == self.daemons && fleet == self.fleet && sizes == self.sizes {
             self.cells.clone()
         } else if daemons.is_empty() && !fleet.is_empty() {
@@ -125,26 +124,26 @@
         } else {
             cell::assign(&sizes, &daemons)
         };
-        let static_cells = static_cells(sources, &sizes);
-        let builder = Builder::new(sources, &cells, self, &static_cells);
+        let static_cells = static_cells(inputs, &sizes);
+        let builder = Builder::new(inputs, &cells, self, &static_cells);
         let lookups = builder.lookups();
         let upstreams = builder.upstreams();
-        let paths = Paths::new(&lookups);
-        let directory = if self.directory.is_of(sources.set, sources.keyed) {
+        let paths = PathIndex::new(&lookups);
+        let directory = if self.directory.is_of(inputs.set, inputs.require_keys) {
             Arc::clone(&self.directory)
         } else {
-            Arc::new(Directory::new(sources.set, sources.keyed))
+            Arc::new(Directory::new(inputs.set, inputs.require_keys))
         };
         Self {
             paths,
             directory,
-            bounds: sources.set.bounds(),
-            evacuated: sources.set.evacuations.keys().map(Arc::clone).collect(),
-            revision: sources.revision,
-            edition: sources.set.edition(),
-            listed: sources.listed,
-            set: Arc::clone(sources.set),
-            leaving: sources.hosts.leaving(),
+            bounds: inputs.set.bounds(),
+            evacuated: inputs.set.evacuations.keys().map(Arc::clone).collect(),
+            revision: inputs.revision,
+            edition: inputs.set.edition(),
+            hosts_revision: inputs.hosts_revision,
+            set: Arc::clone(inputs.set),
+            leaving: inputs.hosts.leaving(),
             lookups,
             cells,
             upstreams,
@@ -154,21 +153,21 @@
         }
     }
 
-    /// Returns the lookup that a caller's path leads to, by the longest prefix.
+    /// Returns the lookup for a caller's host name and path, by the longest matching prefix.
     #[must_use]
     pub fn lookup_at(&self, host: &str, path: &str) -> Option<&Arc<LookupPlan>> {
         self.paths.lookup_at(host, path)
     }
 }
 
-/// Returns the cells as they would be if all daemons answered: those who share what a cold
-/// upstream bears do not change with who is seen to. Empty where nothing is bound, or the
-/// platform lists the daemons.
-fn static_cells(sources: &ViewSources<'_>, sizes: &BTreeMap<Arc<str>, usize>) -> Cells {
-    if sources.set.services.values().all(|service| service.cold.is_none()) {
+/// Returns the cells as they would be if all daemons were live, so that the shares of a cold
+/// upstream's capacity don't change with the daemons that are seen as live. Empty if no service
+/// limits cold upstreams, or if the platform lists the daemons.
+fn static_cells(inputs: &ViewInputs<'_>, sizes: &BTreeMap<Arc<str>, usize>) -> Cells {
+    if inputs.set.services.values().all(|service| service.cold.is_none()) {
         return Cells::default();
     }
     let live = |candidate: &Candidate| Candidate { live: true, ..candidate.clone() };
-    let fleet: Vec<Candidate> = sources.fleet.iter().map(live).collect();
+    let fleet: Vec<Candidate> = inputs.fleet.iter().map(live).collect();
     cell::assign_by_zone(sizes, &fleet)
 }
--- a/crates/harefield/src/engine/relay.rs
+++ b/crates/harefield/src/engine/relay.rs
@@ -13,8 +13,8 @@
 use super::worker::Worker;
 use crate::domain::event::Event;
 use crate::domain::event::Sink;
-use crate::domain::fanout::Finished;
-use crate::domain::fanout::Rules;
+use crate::domain::fanout::AnswerRules;
+use crate::domain::fanout::FanoutResult;
 use crate::domain::ids::ShardId;
 use crate::domain::ids::UpstreamId;
 use crate::domain::merge::greatest;
@@ -80,12 +80,12 @@
             whole: false,
             shown: Shown::default(),
         };
-        let least_share = ratio(group.needed, group.shards.len());
-        let rules = Rules {
-            least_share,
-            possible: group.possible,
+        let min_share = ratio(group.needed, group.shards.len());
+        let rules = AnswerRules {
+            min_share,
+            min_possible: group.possible,
             grouped: false,
-            again: group.again,
+            repeated: group.again,
             trials: 0,
             ..self.rules(&found, self.overruns.groups.get(), Duration::ZERO)
         };
@@ -120,7 +120,7 @@
         let parts = plan.parts.iter().map(|part| &part.plan);
         let plan = std::iter::once(plan).chain(parts).find(|plan| plan.lookup.index == group.index)?;
         let limits = group.only.iter().map(|(at, names)| (*at, limit_of(names)));
-        let shards = self.narrow(plan.group(&group.shards, limits)?, &group.regions);
+        let shards = self.narrow(plan.group_plan(&group.shards, limits)?, &group.regions);
         let found = Found {
             plan: Arc::clone(plan),
             work,
@@ -143,13 +143,13 @@
         }
         let router = self.router.borrow();
         let region = |name: &UpstreamId| Some(router.region_of(&router.upstream(name)?.spec().zone));
-        plan.narrowed(|name| residency.allows(region(name).as_ref()))
+        plan.filtered(|name| residency.allows(region(name).as_ref()))
     }
 
     fn group_reply(
         &self,
         shards: &[ShardId],
-        finished: &Finished,
+        finished: &FanoutResult,
         most: usize,
         took: Duration,
     ) -> GroupReply {
