--- a/crates/harefield/examples/accounts.rs
+++ b/crates/harefield/examples/accounts.rs
@@ -41,8 +41,8 @@
     let start = Instant::now();
     let mut reserve = Reserve::default();
     let kept = measure(|_| {
-        reserve.put(1, start);
-        reserve.count(start);
+        reserve.add(1, start);
+        reserve.count_request(start);
         black_box(reserve.take(start));
     });
     let mut grants = Grants::new(start);
--- a/crates/harefield/src/adapters/callers.rs
+++ b/crates/harefield/src/adapters/callers.rs
@@ -21,7 +21,7 @@
 
 use super::http;
 use super::http::BodyError;
-use crate::domain::accounts::Asker;
+use crate::domain::accounts::Requester;
 use crate::domain::buffers::Use;
 use crate::domain::code::Code;
 use crate::domain::key::Credential;
@@ -102,7 +102,7 @@
         limit: body.deadline_ms.map(Duration::from_millis),
         origin: Origin::Caller,
         credential,
-        asker: Asker::default(),
+        asker: Requester::default(),
     };
     let mut answer = worker.lookup(request).await;
     answer.id = body.id;
--- a/crates/harefield/src/adapters/operators/mod.rs
+++ b/crates/harefield/src/adapters/operators/mod.rs
@@ -26,7 +26,7 @@
 use crate::domain::code::Code;
 use crate::domain::feed::Items;
 use crate::domain::ids::Key;
-use crate::domain::resources::Fault;
+use crate::domain::resources::ResourceError;
 use crate::domain::resources::ResourceSet;
 use crate::ports::Clock;
 use crate::telemetry::Board;
@@ -53,7 +53,7 @@
     /// # Errors
     ///
     /// Returns every fault of the set.
-    pub fn check(&self) -> Result<ResourceSet, Vec<Fault>> {
+    pub fn check(&self) -> Result<ResourceSet, Vec<ResourceError>> {
         let items: Items =
             self.items.iter().map(|(key, value)| (Arc::clone(key), value.get().into())).collect();
         ResourceSet::parse(&items)
@@ -64,7 +64,7 @@
 #[derive(Debug, Serialize)]
 struct Checked {
     accepted: bool,
-    faults: Vec<Fault>,
+    faults: Vec<ResourceError>,
 }
 
 /// Answers operators.
--- a/crates/harefield/src/adapters/operators/resources.rs
+++ b/crates/harefield/src/adapters/operators/resources.rs
@@ -20,7 +20,7 @@
 use crate::domain::ids::UpstreamId;
 use crate::domain::membership::Row;
 use crate::domain::resources::Account;
-use crate::domain::resources::Fault;
+use crate::domain::resources::ResourceError;
 use crate::domain::resources::ResourceSet;
 use crate::domain::revision::Revision;
 use crate::telemetry::Status;
@@ -55,7 +55,7 @@
     key: String,
     spec: Value,
     accepted: bool,
-    faults: Vec<Fault>,
+    faults: Vec<ResourceError>,
     conditions: Value,
 }
 
--- a/crates/harefield/src/commands/check.rs
+++ b/crates/harefield/src/commands/check.rs
@@ -16,7 +16,7 @@
 use crate::adapters::operators::SetFile;
 use crate::adapters::settings::Settings;
 use crate::domain::code::Code;
-use crate::domain::resources::Fault;
+use crate::domain::resources::ResourceError;
 
 const HELP: &str = "\
 Usage: harefield check FILE
@@ -98,7 +98,7 @@
 }
 
 /// Points at the key of a resource with a fault.
-fn label(text: &str, fault: &Fault) -> LabeledSpan {
+fn label(text: &str, fault: &ResourceError) -> LabeledSpan {
     let quoted = format!("\"{}\"", fault.key);
     let start = text.find(&quoted).unwrap_or(0);
     LabeledSpan::at(start..start + quoted.len(), format!("{}: {}", fault.code, fault.detail))
--- a/crates/harefield/src/control/suspicion.rs
+++ b/crates/harefield/src/control/suspicion.rs
@@ -6,7 +6,7 @@
 
 use super::duty::Control;
 use crate::domain::event::Event;
-use crate::domain::suspects::Standing;
+use crate::domain::suspects::Clearance;
 use crate::domain::suspects::Suspect;
 use crate::domain::suspects::SuspectReport;
 use crate::domain::time::millis;
@@ -31,7 +31,7 @@
     /// Takes what another daemon knows, and passes on what was news.
     pub(super) fn hear_suspects(self: &Rc<Self>, reports: &[SuspectReport]) {
         let now = self.ports.clock.now();
-        let news = reports.iter().filter(|report| self.join_suspect(&report.heard(now)));
+        let news = reports.iter().filter(|report| self.join_suspect(&report.to_suspect(now)));
         if news.count() > 0 {
             self.warn_soon();
         }
@@ -41,8 +41,8 @@
     fn join_suspect(&self, suspect: &Suspect) -> bool {
         let now = self.ports.clock.now();
         let mut suspects = self.suspects.borrow_mut();
-        let heard = suspects.hear(suspect, now);
-        let Some(known) = suspects.suspect(suspect.work).filter(|_| heard.news) else {
+        let heard = suspects.merge(suspect, now);
+        let Some(known) = suspects.suspect(suspect.work).filter(|_| heard.changed) else {
             return heard.cleared;
         };
         drop(suspects);
@@ -54,10 +54,10 @@
     fn note(&self, Suspect { work, evidence }: &Suspect) {
         let (work, ends, alone) = (*work, evidence.ends().len(), evidence.alone());
         let event = match evidence.standing(self.ports.clock.now()) {
-            Standing::Free if ends == 0 => Event::WorkCleared { work },
-            Standing::Free => return,
-            Standing::Alone(_) => Event::WorkSuspected { work, ends, alone, withheld: 0 },
-            Standing::Withheld(time) => Event::WorkSuspected { work, ends, alone, withheld: millis(time) },
+            Clearance::Free if ends == 0 => Event::WorkCleared { work },
+            Clearance::Free => return,
+            Clearance::Alone(_) => Event::WorkSuspected { work, ends, alone, withheld: 0 },
+            Clearance::Withheld(time) => Event::WorkSuspected { work, ends, alone, withheld: millis(time) },
         };
         self.emit(event);
     }
@@ -83,7 +83,7 @@
     /// Returns what a daemon that has just started is told of such works.
     pub(super) fn gravest_reports(&self) -> Vec<SuspectReport> {
         let now = self.ports.clock.now();
-        let gravest = self.suspects.borrow().gravest(now);
+        let gravest = self.suspects.borrow().most_severe(now);
         gravest.iter().map(|suspect| SuspectReport::new(suspect, now)).collect()
     }
 
--- a/crates/harefield/src/domain/accounts/asker.rs
+++ b/crates/harefield/src/domain/accounts/asker.rs
@@ -11,7 +11,7 @@
 
 /// Whose request it is. Between daemons this goes, and never the key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Asker {
+pub struct Requester {
     /// Whether client accounts are in force: what the request says of who sends it then
     /// stays at the daemon that it came to.
     pub checked: bool,
@@ -23,7 +23,7 @@
     pub regions: Regions,
 }
 
-impl Asker {
+impl Requester {
     /// Returns the asker of a public lookup without a key.
     #[must_use]
     pub fn public() -> Self {
@@ -38,7 +38,7 @@
 
     /// Returns whose share of a daemon its requests use: the account's, else the team's.
     #[must_use]
-    pub fn share_of(&self, team: &str) -> Arc<str> {
+    pub fn share_owner(&self, team: &str) -> Arc<str> {
         self.account.as_ref().map_or_else(|| team.into(), Arc::clone)
     }
 }
--- a/crates/harefield/src/domain/accounts/directory.rs
+++ b/crates/harefield/src/domain/accounts/directory.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use super::asker::Asker;
+use super::asker::Requester;
 use crate::domain::ids::AccountId;
 use crate::domain::key::Credential;
 use crate::domain::key::KeyDigest;
@@ -22,8 +22,8 @@
 impl Client {
     /// Returns what other daemons are told of its requests.
     #[must_use]
-    pub fn asker(&self) -> Asker {
-        Asker {
+    pub fn requester(&self) -> Requester {
+        Requester {
             checked: true,
             account: Some(Arc::clone(&self.name)),
             urgency: self.account.urgency,
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug)]
 pub enum Identity {
     /// Anyone: no accounts are in force, or the lookup is public and no key was shown.
-    Anyone(Asker),
+    Anyone(Requester),
     /// An account.
     Known(Arc<Client>),
     /// Nobody that may ask: there is no key, or nothing that is one.
@@ -71,7 +71,7 @@
 
     /// Returns whether it says the same as a set.
     #[must_use]
-    pub fn is_of(&self, set: &ResourceSet, required: bool) -> bool {
+    pub fn matches(&self, set: &ResourceSet, required: bool) -> bool {
         let held = |(name, account): (&AccountId, &Arc<Account>)| {
             self.names.get(name).is_some_and(|client| Arc::ptr_eq(&client.account, account))
         };
@@ -96,14 +96,14 @@
     #[must_use]
     pub fn identify(&self, credential: Credential, public: bool) -> Identity {
         if !self.required {
-            return Identity::Anyone(Asker::default());
+            return Identity::Anyone(Requester::default());
         }
         match credential {
             Credential::Key(key) => match self.clients.get(&key) {
                 Some(client) => Identity::Known(Arc::clone(client)),
                 None => Identity::Unknown(key),
             },
-            Credential::Missing if public => Identity::Anyone(Asker::public()),
+            Credential::Missing if public => Identity::Anyone(Requester::public()),
             Credential::Missing | Credential::Malformed => Identity::Missing,
         }
     }
--- a/crates/harefield/src/domain/accounts/grants.rs
+++ b/crates/harefield/src/domain/accounts/grants.rs
@@ -18,7 +18,7 @@
 
 /// What a holder says to who wants permits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum GrantResponse {
     /// So many permits, one at least.
     Granted(u32),
     /// None; one is free for who comes back after this time.
@@ -53,7 +53,7 @@
     }
 
     /// Grants up to `wanted` permits of a part.
-    pub fn grant(&mut self, slot: &SlotId, limit: PartLimit, wanted: u32, now: Instant) -> Answer {
+    pub fn grant(&mut self, slot: &SlotId, limit: PartLimit, wanted: u32, now: Instant) -> GrantResponse {
         if now.saturating_duration_since(self.swept) >= SWEEP_EVERY {
             self.swept = now;
             self.buckets.retain(|_, bucket| bucket.full > now);
@@ -68,7 +68,7 @@
 
     /// Returns how many parts are kept.
     #[must_use]
-    pub fn kept(&self) -> usize {
+    pub fn bucket_count(&self) -> usize {
         self.buckets.len()
     }
 }
@@ -89,17 +89,17 @@
         self.at = self.at.max(now);
     }
 
-    fn take(&mut self, limit: PartLimit, wanted: u32, now: Instant) -> Answer {
+    fn take(&mut self, limit: PartLimit, wanted: u32, now: Instant) -> GrantResponse {
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "it is not negative")]
         let whole = self.tokens.max(0.0) as u32;
         let granted = whole.min(wanted.max(1));
         if granted > 0 {
             self.tokens -= f64::from(granted);
-            return Answer::Granted(granted);
+            return GrantResponse::Granted(granted);
         }
         let first = now + time_for(1.0 - self.tokens, limit.rate);
         let turn = first.max(self.turn + time_for(1.0, limit.rate)).min(now + HORIZON);
         self.turn = turn;
-        Answer::Empty(turn.saturating_duration_since(now))
+        GrantResponse::Empty(turn.saturating_duration_since(now))
     }
 }
--- a/crates/harefield/src/domain/accounts/holders.rs
+++ b/crates/harefield/src/domain/accounts/holders.rs
@@ -68,7 +68,7 @@
     /// Creates the candidates over the availability zones that all daemons know of, as a
     /// daemon of the zone `own` sees them; one zone for all where there are none.
     #[must_use]
-    pub fn over<'a>(zones: impl IntoIterator<Item = &'a Arc<str>>, own: &Arc<str>) -> Self {
+    pub fn new<'a>(zones: impl IntoIterator<Item = &'a Arc<str>>, own: &Arc<str>) -> Self {
         let mut zones: Vec<Arc<str>> = zones.into_iter().map(Arc::clone).collect();
         zones.sort_unstable();
         let empty = Self { zones, ..Self::default() };
@@ -76,7 +76,7 @@
     }
 
     /// Takes the daemons as they are seen now.
-    pub fn see<'a>(&mut self, rows: impl IntoIterator<Item = &'a Row>, now: Instant) {
+    pub fn update<'a>(&mut self, rows: impl IntoIterator<Item = &'a Row>, now: Instant) {
         let mut hosts: BTreeMap<Arc<str>, BTreeSet<HostId>> = BTreeMap::new();
         let mut absent = BTreeMap::new();
         for row in rows {
@@ -112,7 +112,7 @@
 
     /// Returns how many parts a limit is to have.
     #[must_use]
-    pub fn wanted(&self) -> u32 {
+    pub fn part_count(&self) -> u32 {
         let zones = self.zones.len().max(1);
         let parts = zones * LEAST_PARTS.div_ceil(zones);
         u32::try_from(parts).unwrap_or(u32::MAX)
--- a/crates/harefield/src/domain/accounts/reserve.rs
+++ b/crates/harefield/src/domain/accounts/reserve.rs
@@ -36,12 +36,12 @@
     }
 
     /// Takes a permit back that nothing ran under.
-    pub fn give_back(&mut self, until: Instant) {
+    pub fn release(&mut self, until: Instant) {
         self.permits.push((until, 1));
     }
 
     /// Counts a request.
-    pub fn count(&mut self, now: Instant) {
+    pub fn count_request(&mut self, now: Instant) {
         let (since, count) = self.counted.unwrap_or((now, 0));
         let passed = now.saturating_duration_since(since);
         if passed < RATE_WINDOW {
@@ -63,14 +63,14 @@
     }
 
     /// Takes permits that were granted to who asked for them at `asked`.
-    pub fn put(&mut self, permits: u32, asked: Instant) {
+    pub fn add(&mut self, permits: u32, asked: Instant) {
         if permits > 0 {
             self.permits.push((asked + VALID, permits));
         }
     }
 
     /// Takes a holder's word that a part has nothing to give for a while.
-    pub fn note_empty(&mut self, part: u32, wait: Duration, now: Instant) {
+    pub fn record_empty(&mut self, part: u32, wait: Duration, now: Instant) {
         self.empty.insert(part, now + wait);
     }
 
--- a/crates/harefield/src/domain/accounts/unknown.rs
+++ b/crates/harefield/src/domain/accounts/unknown.rs
@@ -23,26 +23,26 @@
 
 /// What to do about a key that is not known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asking {
+pub enum UnknownKeyAction {
     /// It was asked for and stayed unknown under the accounts in force.
-    Known,
+    Refuse,
     /// Too many requests ask already.
-    Crowded,
+    Busy,
     /// Ask, and say how that ended.
-    Begun,
+    Query,
 }
 
 impl UnknownKeys {
     /// Begins to ask for what is newer, since a key is not known.
-    pub fn begin(&mut self, key: &KeyDigest) -> Asking {
+    pub fn begin(&mut self, key: &KeyDigest) -> UnknownKeyAction {
         if self.keys.contains(key) {
-            return Asking::Known;
+            return UnknownKeyAction::Refuse;
         }
         if self.asking >= MOST_ASKING {
-            return Asking::Crowded;
+            return UnknownKeyAction::Busy;
         }
         self.asking += 1;
-        Asking::Begun
+        UnknownKeyAction::Query
     }
 
     /// Takes that one that began to ask has ended.
--- a/crates/harefield/src/domain/admission/crowd.rs
+++ b/crates/harefield/src/domain/admission/crowd.rs
@@ -40,7 +40,7 @@
 
 /// How a fan-out found the upstreams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Crowd {
+pub struct Congestion {
     /// Shards that waited for room.
     pub waited: usize,
     /// All shards.
@@ -52,7 +52,7 @@
     pub progress: Option<Progress>,
 }
 
-impl Crowd {
+impl Congestion {
     /// Returns whether too many requests are with the upstreams.
     pub(super) fn is_crowded(self) -> bool {
         if self.objective {
--- a/crates/harefield/src/domain/admission/gate.rs
+++ b/crates/harefield/src/domain/admission/gate.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use super::crowd::Crowd;
+use super::crowd::Congestion;
 use super::queue::Arrival;
 use super::queue::GAIN;
 use super::queue::Queue;
@@ -83,7 +83,7 @@
 
 /// What the gate decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Entry {
+pub enum Admission {
     /// It runs now.
     Run,
     /// It waits under this number.
@@ -94,7 +94,7 @@
 
 /// A request that left the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Called {
+pub enum Dequeued {
     /// It runs now.
     Run(WaiterId),
     /// It can no longer make its deadline.
@@ -180,7 +180,7 @@
     }
 
     /// Decides on a request that arrives at `now`.
-    pub fn arrive(&mut self, arrival: &Arrival, now: Instant) -> Entry {
+    pub fn arrive(&mut self, arrival: &Arrival, now: Instant) -> Admission {
         let class = class(arrival);
         let urgent = class == 0;
         if urgent {
@@ -190,21 +190,27 @@
         let first = self.queues[..=class].iter().all(|q| q.waiters.is_empty());
         if first && self.has_room_for(class) && !reserved {
             self.enter(&arrival.team);
-            return Entry::Run;
+            return Admission::Run;
         }
         if let Some((code, wait)) = self.refuses(arrival, now) {
-            return Entry::Refuse(code, self.book(wait, now));
+            return Admission::Refuse(code, self.book(wait, now));
         }
         let id = self.next;
         self.next += 1;
         let waiter = Waiter { id, arrival: arrival.clone() };
         self.queues[class].insert(waiter, now);
-        Entry::Wait(id)
+        Admission::Wait(id)
     }
 
     /// Takes the end of a request that ran for `took`; `crowd` tells how many of its
     /// shards had to wait for room. Returns who leaves the queue.
-    pub fn leave(&mut self, team: &Arc<str>, took: Duration, crowd: Crowd, now: Instant) -> Vec<Called> {
+    pub fn complete(
+        &mut self,
+        team: &Arc<str>,
+        took: Duration,
+        crowd: Congestion,
+        now: Instant,
+    ) -> Vec<Dequeued> {
         self.exit(team);
         let seconds = took.as_secs_f64();
         self.time += (seconds - self.time) * GAIN;
@@ -220,7 +226,7 @@
         } else if number(self.total) + 2.0 >= self.limit {
             self.limit = (self.limit + 1.0 / self.limit).min(number(self.limits.running));
         }
-        self.call(now)
+        self.dequeue(now)
     }
 
     /// Takes a request that was given up on its way, as when its caller went away: how
@@ -229,9 +235,9 @@
     /// Taken for an end, it shrank the limit to two, and behind it ordinary requests
     /// waited: on a played day on which 30 of 100 callers gave up early, credit of the
     /// whole rose by 0.024 with this.
-    pub fn abandon(&mut self, team: &Arc<str>, now: Instant) -> Vec<Called> {
+    pub fn abandon(&mut self, team: &Arc<str>, now: Instant) -> Vec<Dequeued> {
         self.exit(team);
-        self.call(now)
+        self.dequeue(now)
     }
 
     /// Shrinks the limit, at most once in the time of a fan-out: those that ran
@@ -245,19 +251,19 @@
     }
 
     /// Takes a waiter that went away by itself.
-    pub fn forget(&mut self, id: WaiterId) {
+    pub fn cancel(&mut self, id: WaiterId) {
         for queue in &mut self.queues {
             queue.remove(|waiter| waiter.id == id);
         }
     }
 
     /// Calls those who may run or can no longer make their deadline.
-    pub fn call(&mut self, now: Instant) -> Vec<Called> {
+    pub fn dequeue(&mut self, now: Instant) -> Vec<Dequeued> {
         let mut called = self.expire(now);
         while self.has_room() {
             let Some(waiter) = self.pick(now) else { break };
             self.enter(&waiter.arrival.team);
-            called.push(Called::Run(waiter.id));
+            called.push(Dequeued::Run(waiter.id));
         }
         called
     }
@@ -287,7 +293,7 @@
     }
 
     /// Returns when a caller may come back that waited in vain, and went by itself.
-    pub fn turn(&mut self, now: Instant) -> Duration {
+    pub fn retry_after(&mut self, now: Instant) -> Duration {
         self.book(self.expected_wait(Urgency::Ordinary), now)
     }
 
@@ -313,7 +319,7 @@
         }
         let left = arrival.deadline.saturating_duration_since(now);
         let need = Duration::from_secs_f64(self.time * ROOM);
-        let hopeless = now + wait > self.leaves_at(arrival);
+        let hopeless = now + wait > self.refuse_at(arrival);
         if hopeless || wait > left / PATIENCE || wait + need > left {
             return Some((Code::TooLate, wait));
         }
@@ -323,7 +329,7 @@
     /// Returns when a request that waits can no longer make its objective, or its deadline
     /// where it has none, and is refused.
     #[must_use]
-    pub fn leaves_at(&self, arrival: &Arrival) -> Instant {
+    pub fn refuse_at(&self, arrival: &Arrival) -> Instant {
         leaves_at(arrival, self.enough)
     }
 
@@ -333,7 +339,7 @@
         self.queues[class_of(urgency)].wait(self.time / self.limit)
     }
 
-    fn expire(&mut self, now: Instant) -> Vec<Called> {
+    fn expire(&mut self, now: Instant) -> Vec<Dequeued> {
         let need = Duration::from_secs_f64(self.time * ROOM);
         let wait = self.expected_wait(Urgency::Ordinary);
         let mut called = Vec::new();
@@ -344,7 +350,7 @@
             refused.extend(queue.waiters.iter().filter(|w| late(w)).map(|w| w.id));
             queue.remove(late);
         }
-        called.extend(refused.into_iter().map(|id| Called::Refuse(id, self.book(wait, now))));
+        called.extend(refused.into_iter().map(|id| Dequeued::Refuse(id, self.book(wait, now))));
         called
     }
 
--- a/crates/harefield/src/domain/admission/mod.rs
+++ b/crates/harefield/src/domain/admission/mod.rs
@@ -12,10 +12,10 @@
 mod returns;
 mod turns;
 
-pub use crowd::Crowd;
+pub use crowd::Congestion;
 pub use crowd::Progress;
-pub use gate::Called;
-pub use gate::Entry;
+pub use gate::Admission;
+pub use gate::Dequeued;
 pub use gate::Gate;
 pub use gate::GateLimits;
 pub use queue::Arrival;
--- a/crates/harefield/src/domain/configuration.rs
+++ b/crates/harefield/src/domain/configuration.rs
@@ -17,7 +17,7 @@
 use super::ids::Edition;
 use super::ids::Era;
 use super::ids::Key;
-use super::resources::Fault;
+use super::resources::ResourceError;
 use super::resources::ResourceSet;
 use super::revision::Revision;
 
@@ -27,7 +27,7 @@
     /// It is in force.
     Accepted,
     /// It is refused; the last good one stays in force.
-    Refused(Vec<Fault>),
+    Refused(Vec<ResourceError>),
     /// It is not newer than what was seen.
     Old,
 }
@@ -38,7 +38,7 @@
     /// The revision.
     pub revision: Revision,
     /// Its faults.
-    pub faults: Vec<Fault>,
+    pub faults: Vec<ResourceError>,
 }
 
 /// The configuration of one daemon.
@@ -58,7 +58,7 @@
     /// What is in force.
     set: Arc<ResourceSet>,
     /// Why what is carried on cannot be in force with what the platform has; it is left out.
-    clash: Vec<Fault>,
+    clash: Vec<ResourceError>,
     seen: Option<Revision>,
     pending: Vec<Change>,
     /// What those name.
@@ -105,7 +105,7 @@
 
     /// Returns why what is carried on is left out; empty where it is in force.
     #[must_use]
-    pub fn clash(&self) -> &[Fault] {
+    pub fn clash(&self) -> &[ResourceError] {
         &self.clash
     }
 
@@ -273,7 +273,12 @@
     }
 
     /// Puts what changes lead to in force, unless it has faults.
-    fn accept(&mut self, revision: Revision, changes: &[Change], span: Span) -> Result<(), Vec<Fault>> {
+    fn accept(
+        &mut self,
+        revision: Revision,
+        changes: &[Change],
+        span: Span,
+    ) -> Result<(), Vec<ResourceError>> {
         let set = self.told.apply(changes)?;
         let entered = self.entered(revision);
         self.told = Arc::new(set);
--- a/crates/harefield/src/domain/fanout/machine.rs
+++ b/crates/harefield/src/domain/fanout/machine.rs
@@ -15,7 +15,7 @@
 use super::shard::Flight;
 use super::shard::Shard;
 use super::step::Step;
-use crate::domain::admission::Crowd;
+use crate::domain::admission::Congestion;
 use crate::domain::admission::Progress;
 use crate::domain::event::Cause;
 use crate::domain::event::Drop;
@@ -94,14 +94,14 @@
 
     /// Returns how it found the upstreams.
     #[must_use]
-    pub fn crowd(&self, now: Instant) -> Crowd {
+    pub fn crowd(&self, now: Instant) -> Congestion {
         let waited = self.shards.iter().filter(|shard| shard.waited).count();
         let progress = self.rules.cut.zip(self.begun).map(|(cut, begun)| Progress {
             half: self.half.unwrap_or(now).saturating_duration_since(begun),
             enough: self.enough.unwrap_or(now).saturating_duration_since(begun),
             allowed: cut.saturating_duration_since(self.rules.start),
         });
-        Crowd { waited, shards: self.shards.len(), objective: self.rules.objective.is_some(), progress }
+        Congestion { waited, shards: self.shards.len(), objective: self.rules.objective.is_some(), progress }
     }
 
     /// Returns whether it only waits for its last shards: its objective has passed, and
--- a/crates/harefield/src/domain/resources/check.rs
+++ b/crates/harefield/src/domain/resources/check.rs
@@ -6,7 +6,7 @@
 use std::hash::Hash;
 use std::sync::Arc;
 
-use super::fault::Fault;
+use super::fault::ResourceError;
 use super::set::ResourceSet;
 use crate::domain::code::Code;
 use crate::domain::ids::Key;
@@ -17,7 +17,7 @@
 /// Collects the faults of one set.
 pub(super) struct Checker<'a> {
     set: &'a ResourceSet,
-    faults: Vec<Fault>,
+    faults: Vec<ResourceError>,
 }
 
 impl<'a> Checker<'a> {
@@ -26,7 +26,7 @@
     }
 
     /// Checks every resource.
-    pub(super) fn check_all(mut self) -> Vec<Fault> {
+    pub(super) fn check_all(mut self) -> Vec<ResourceError> {
         for name in self.set.upstreams.keys() {
             self.upstream(name);
         }
@@ -44,7 +44,7 @@
     }
 
     /// Checks the resources that were changed, and those that name them.
-    pub(super) fn check_touched<'k>(mut self, keys: impl IntoIterator<Item = &'k Key>) -> Vec<Fault> {
+    pub(super) fn check_touched<'k>(mut self, keys: impl IntoIterator<Item = &'k Key>) -> Vec<ResourceError> {
         let mut touched = Touched::default();
         for key in keys {
             touched.note(self.set, key);
@@ -72,7 +72,7 @@
 
     fn fault(&mut self, kind: &str, name: &str, code: Code, detail: String) {
         let key = format!("{kind}/{name}").into();
-        self.faults.push(Fault { key, code, detail });
+        self.faults.push(ResourceError { key, code, detail });
     }
 
     fn upstream(&mut self, name: &str) {
--- a/crates/harefield/src/domain/resources/fault.rs
+++ b/crates/harefield/src/domain/resources/fault.rs
@@ -11,7 +11,7 @@
 
 /// One thing wrong with one resource.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fault {
+pub struct ResourceError {
     /// The resource's key.
     pub key: Key,
     /// The code of the fault.
--- a/crates/harefield/src/domain/resources/mod.rs
+++ b/crates/harefield/src/domain/resources/mod.rs
@@ -8,8 +8,8 @@
 mod parse;
 mod set;
 
-pub use fault::Fault;
 pub use fault::MAX_VALUE_BYTES;
+pub use fault::ResourceError;
 pub use kinds::Account;
 pub use kinds::Bounds;
 pub use kinds::Catalog;
--- a/crates/harefield/src/domain/resources/parse.rs
+++ b/crates/harefield/src/domain/resources/parse.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use super::check::Checker;
-use super::fault::Fault;
+use super::fault::ResourceError;
 use super::set::ResourceSet;
 use crate::domain::feed::Change;
 use crate::domain::ids::Key;
@@ -15,7 +15,9 @@
     /// # Errors
     ///
     /// Returns every fault of the set; a set with faults is refused whole.
-    pub fn parse<'a>(items: impl IntoIterator<Item = (&'a Key, &'a Arc<str>)>) -> Result<Self, Vec<Fault>> {
+    pub fn parse<'a>(
+        items: impl IntoIterator<Item = (&'a Key, &'a Arc<str>)>,
+    ) -> Result<Self, Vec<ResourceError>> {
         let mut set = Self::default();
         let mut faults = Vec::new();
         for (key, value) in items {
@@ -31,7 +33,7 @@
     /// # Errors
     ///
     /// Returns every fault that the changes bring.
-    pub fn apply(&self, changes: &[Change]) -> Result<Self, Vec<Fault>> {
+    pub fn apply(&self, changes: &[Change]) -> Result<Self, Vec<ResourceError>> {
         let newest: BTreeMap<&Key, Option<&str>> =
             changes.iter().map(|change| (&change.key, change.value.as_deref())).collect();
         let mut set = self.clone();
--- a/crates/harefield/src/domain/resources/set.rs
+++ b/crates/harefield/src/domain/resources/set.rs
@@ -5,8 +5,8 @@
 
 use serde::de::DeserializeOwned;
 
-use super::fault::Fault;
 use super::fault::MAX_VALUE_BYTES;
+use super::fault::ResourceError;
 use super::kinds::Account;
 use super::kinds::Bounds;
 use super::kinds::Catalog;
@@ -46,10 +46,10 @@
 
 impl ResourceSet {
     /// Puts a value under a key, or removes what stands there.
-    pub(super) fn put(&mut self, key: &Key, value: Option<&str>) -> Result<(), Fault> {
+    pub(super) fn put(&mut self, key: &Key, value: Option<&str>) -> Result<(), ResourceError> {
         if let Some(size) = value.map(str::len).filter(|size| *size > MAX_VALUE_BYTES) {
             let detail = format!("{size} bytes");
-            return Err(Fault { key: Arc::clone(key), code: Code::ResourceTooLarge, detail });
+            return Err(ResourceError { key: Arc::clone(key), code: Code::ResourceTooLarge, detail });
         }
         match key.split_once('/') {
             Some(("services", name)) => put(&mut self.services, key, name, value),
@@ -64,12 +64,12 @@
                 let detail =
                     "expected services/, upstreams/, lookups/, indexes/, accounts/, catalogs/ or evacuations/"
                         .to_owned();
-                Err(Fault { key: Arc::clone(key), code: Code::ResourceUnknownKind, detail })
+                Err(ResourceError { key: Arc::clone(key), code: Code::ResourceUnknownKind, detail })
             }
         }
     }
 
-    fn put_upstream(&mut self, key: &Key, name: &str, value: Option<&str>) -> Result<(), Fault> {
+    fn put_upstream(&mut self, key: &Key, name: &str, value: Option<&str>) -> Result<(), ResourceError> {
         let before = self.upstreams.get(name).map(Arc::clone);
         put(&mut self.upstreams, key, name, value)?;
         let after = self.upstreams.get(name).map(Arc::clone);
@@ -101,7 +101,7 @@
 
     /// Puts a catalog's resources in the place of those that it had before;
     /// what did not change stays the same value.
-    fn put_catalog(&mut self, key: &Key, name: &str, value: Option<&str>) -> Result<(), Fault> {
+    fn put_catalog(&mut self, key: &Key, name: &str, value: Option<&str>) -> Result<(), ResourceError> {
         let before = self.catalogs.get(name).map(Arc::clone).unwrap_or_default();
         put(&mut self.catalogs, key, name, value)?;
         let after = self.catalogs.get(name).map(Arc::clone).unwrap_or_default();
@@ -184,10 +184,10 @@
     key: &Key,
     name: &str,
     value: Option<&str>,
-) -> Result<(), Fault> {
+) -> Result<(), ResourceError> {
     let before = map.remove(name);
     let Some(value) = value else { return Ok(()) };
-    let parsed: T = serde_json::from_str(value).map_err(|error| Fault {
+    let parsed: T = serde_json::from_str(value).map_err(|error| ResourceError {
         key: Arc::clone(key),
         code: Code::ResourceMalformed,
         detail: error.to_string(),
--- a/crates/harefield/src/domain/suspects/book.rs
+++ b/crates/harefield/src/domain/suspects/book.rs
@@ -5,8 +5,8 @@
 use std::time::Instant;
 
 use super::answered::Answered;
+use super::evidence::Clearance;
 use super::evidence::Evidence;
-use super::evidence::Standing;
 use crate::domain::ids::UpstreamId;
 use crate::domain::ids::WorkId;
 use crate::domain::work::Work;
@@ -30,9 +30,9 @@
 
 /// What came of another daemon's word on a work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Heard {
+pub struct MergeOutcome {
     /// Whether it was news here.
-    pub news: bool,
+    pub changed: bool,
     /// Whether an answer that is known here clears the work of it.
     pub cleared: bool,
 }
@@ -65,7 +65,7 @@
     /// Says whether others are to be told of it now.
     fn is_due(&self, again: Duration, now: Instant) -> bool {
         let rested = self.told.is_none_or(|told| now.saturating_duration_since(told) >= again);
-        self.times < TRANSMITS || (rested && self.evidence.standing(now) != Standing::Free)
+        self.times < TRANSMITS || (rested && self.evidence.standing(now) != Clearance::Free)
     }
 }
 
@@ -79,13 +79,19 @@
 impl Suspects {
     /// Takes the end of an upstream that had a work, and nobody else in its fan-out where
     /// `alone`; returns what is known now of the names of the work that this changed.
-    pub fn end(&mut self, work: &Work, upstream: &UpstreamId, alone: bool, now: Instant) -> Vec<Suspect> {
+    pub fn record_end(
+        &mut self,
+        work: &Work,
+        upstream: &UpstreamId,
+        alone: bool,
+        now: Instant,
+    ) -> Vec<Suspect> {
         work.ids().filter_map(|id| self.change(id, now, |held| held.end(upstream, alone, now))).collect()
     }
 
     /// Takes that a work was answered; returns what is known now of the names of the work
     /// that this changed.
-    pub fn answer(&mut self, work: &Work, now: Instant) -> Vec<Suspect> {
+    pub fn record_answer(&mut self, work: &Work, now: Instant) -> Vec<Suspect> {
         for id in work.ids() {
             self.answered.note(id, now);
         }
@@ -97,7 +103,7 @@
     }
 
     /// Takes another daemon's word on a work.
-    pub fn hear(&mut self, suspect: &Suspect, now: Instant) -> Heard {
+    pub fn merge(&mut self, suspect: &Suspect, now: Instant) -> MergeOutcome {
         let mut cleared = false;
         let news = self.change(suspect.work, now, |held| {
             let news = held.join(&suspect.evidence);
@@ -107,23 +113,23 @@
         if cleared && let Some(held) = self.held.get_mut(&suspect.work) {
             held.times = 0;
         }
-        Heard { news: news.is_some(), cleared }
+        MergeOutcome { changed: news.is_some(), cleared }
     }
 
     /// Says whether a work may run.
     #[must_use]
-    pub fn standing(&self, work: &Work, now: Instant) -> Standing {
+    pub fn clearance(&self, work: &Work, now: Instant) -> Clearance {
         if self.held.is_empty() {
-            return Standing::Free;
+            return Clearance::Free;
         }
         let known = work.ids().filter_map(|id| self.held.get(&id));
         let lasting = known.filter(|held| !held.evidence.is_past(now));
-        lasting.map(|held| held.evidence.standing(now)).max().unwrap_or(Standing::Free)
+        lasting.map(|held| held.evidence.standing(now)).max().unwrap_or(Clearance::Free)
     }
 
     /// Returns what is known of a work, by its names.
     #[must_use]
-    pub fn known(&self, work: &Work) -> Vec<Suspect> {
+    pub fn suspects_for(&self, work: &Work) -> Vec<Suspect> {
         work.ids().filter_map(|id| self.suspect(id)).collect()
     }
 
@@ -156,8 +162,8 @@
 
     /// Returns what a daemon that has just started is told: what most speaks against.
     #[must_use]
-    pub fn gravest(&self, now: Instant) -> Vec<Suspect> {
-        let bound = self.held.iter().filter(|(_, held)| held.evidence.standing(now) != Standing::Free);
+    pub fn most_severe(&self, now: Instant) -> Vec<Suspect> {
+        let bound = self.held.iter().filter(|(_, held)| held.evidence.standing(now) != Clearance::Free);
         let mut order: Vec<_> = bound.map(|(id, held)| (held.evidence.weight(), *id)).collect();
         order.sort_unstable();
         order.into_iter().rev().take(MOST_TOLD_FIRST).filter_map(|(_, id)| self.suspect(id)).collect()
@@ -166,7 +172,7 @@
     /// Returns how many works are held, and how many of them do not run freely.
     #[must_use]
     pub fn counts(&self, now: Instant) -> (usize, usize) {
-        let bound = self.held.values().filter(|held| held.evidence.standing(now) != Standing::Free);
+        let bound = self.held.values().filter(|held| held.evidence.standing(now) != Clearance::Free);
         (self.held.len(), bound.count())
     }
 
--- a/crates/harefield/src/domain/suspects/evidence.rs
+++ b/crates/harefield/src/domain/suspects/evidence.rs
@@ -52,7 +52,7 @@
 
 /// Whether a work may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum Clearance {
     /// As any other.
     Free,
     /// On one upstream at a time, until one has answered; not before this time is over.
@@ -159,16 +159,16 @@
 
     /// Says whether the work may run.
     #[must_use]
-    pub fn standing(&self, now: Instant) -> Standing {
+    pub fn standing(&self, now: Instant) -> Clearance {
         let Some(last) = self.last.filter(|_| self.ends.len() >= ENOUGH_ENDS) else {
-            return Standing::Free;
+            return Clearance::Free;
         };
         let Some(trials) = self.alone.checked_sub(ENOUGH_ALONE) else {
-            return Standing::Alone((last + APART).saturating_duration_since(now));
+            return Clearance::Alone((last + APART).saturating_duration_since(now));
         };
         let pause = usize::try_from(trials).ok().and_then(|trials| PAUSES.get(trials));
         let left = (last + *pause.unwrap_or(&FORGET_AFTER)).saturating_duration_since(now);
-        if left.is_zero() { Standing::Alone(Duration::ZERO) } else { Standing::Withheld(left) }
+        if left.is_zero() { Clearance::Alone(Duration::ZERO) } else { Clearance::Withheld(left) }
     }
 
     /// Says whether nothing known of it matters any more.
--- a/crates/harefield/src/domain/suspects/mod.rs
+++ b/crates/harefield/src/domain/suspects/mod.rs
@@ -18,9 +18,9 @@
 mod evidence;
 mod report;
 
-pub use book::Heard;
+pub use book::MergeOutcome;
 pub use book::Suspect;
 pub use book::Suspects;
+pub use evidence::Clearance;
 pub use evidence::Evidence;
-pub use evidence::Standing;
 pub use report::SuspectReport;
--- a/crates/harefield/src/domain/suspects/report.rs
+++ b/crates/harefield/src/domain/suspects/report.rs
@@ -47,7 +47,7 @@
     /// Takes a report that was heard at `now`. What is older than this daemon's clock can
     /// tell is left out.
     #[must_use]
-    pub fn heard(&self, now: Instant) -> Suspect {
+    pub fn to_suspect(&self, now: Instant) -> Suspect {
         let at = |age: u64| now.checked_sub(Duration::from_millis(age));
         let ends = self
             .ends
--- a/crates/harefield/src/domain/view/mod.rs
+++ b/crates/harefield/src/domain/view/mod.rs
@@ -130,7 +130,7 @@
         let lookups = builder.lookups();
         let upstreams = builder.upstreams();
         let paths = Paths::new(&lookups);
-        let directory = if self.directory.is_of(sources.set, sources.keyed) {
+        let directory = if self.directory.matches(sources.set, sources.keyed) {
             Arc::clone(&self.directory)
         } else {
             Arc::new(Directory::new(sources.set, sources.keyed))
--- a/crates/harefield/src/engine/attempt.rs
+++ b/crates/harefield/src/engine/attempt.rs
@@ -15,7 +15,7 @@
 use super::job::Job;
 use super::message::ToControl;
 use super::worker::Worker;
-use crate::domain::admission::Crowd;
+use crate::domain::admission::Congestion;
 use crate::domain::event::Cause;
 use crate::domain::event::Drop;
 use crate::domain::event::Event;
@@ -35,7 +35,7 @@
 use crate::domain::routing::LEAST_SHARDS;
 use crate::domain::routing::Report;
 use crate::domain::routing::Verdict;
-use crate::domain::suspects::Standing;
+use crate::domain::suspects::Clearance;
 use crate::domain::view::Plan;
 use crate::domain::word::NamedWord;
 use crate::ports::Call;
@@ -115,7 +115,7 @@
 pub(super) struct FanoutEnd {
     pub finished: Finished,
     pub next: AttemptId,
-    pub crowd: Crowd,
+    pub crowd: Congestion,
 }
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
@@ -152,7 +152,7 @@
             let mut actions = Vec::new();
             let mut ready = next;
             while let Some(end) = ready {
-                if self.standing(&job.work) != Standing::Free {
+                if self.standing(&job.work) != Clearance::Free {
                     fanout.leave_trials();
                 }
                 let now = self.ports.clock.now();
@@ -278,7 +278,7 @@
         };
         let permit = || {
             let now = self.ports.clock.now();
-            let withheld = matches!(self.standing(&attempt.job.work), Standing::Withheld(_));
+            let withheld = matches!(self.standing(&attempt.job.work), Clearance::Withheld(_));
             let router = self.router.borrow();
             // One may have begun to leave, or its zone to be evacuated, while a connection
             // was opened.
--- a/crates/harefield/src/engine/caution.rs
+++ b/crates/harefield/src/engine/caution.rs
@@ -36,7 +36,7 @@
 use crate::domain::outcome::Gap;
 use crate::domain::outcome::Outcome;
 use crate::domain::query::Query;
-use crate::domain::suspects::Standing;
+use crate::domain::suspects::Clearance;
 use crate::domain::suspects::Suspect;
 use crate::domain::suspects::SuspectReport;
 use crate::domain::view::Plan;
@@ -84,7 +84,7 @@
         let now = self.ports.clock.now();
         for suspect in suspects {
             let mut held = self.suspects.borrow_mut();
-            let heard = held.hear(suspect, now);
+            let heard = held.merge(suspect, now);
             let own = held.suspect(suspect.work).filter(|_| heard.cleared);
             drop(held);
             self.tell_suspects(own);
@@ -94,20 +94,20 @@
     /// Takes what a daemon that hands a request on knows of its work.
     pub fn hear_reports(&self, reports: &[SuspectReport]) {
         let now = self.ports.clock.now();
-        let heard: Vec<Suspect> = reports.iter().map(|report| report.heard(now)).collect();
+        let heard: Vec<Suspect> = reports.iter().map(|report| report.to_suspect(now)).collect();
         self.hear_suspects(&heard);
     }
 
     /// Returns what is known here of a work, for a daemon that a request is handed to.
     pub(super) fn reports(&self, work: &Work) -> Vec<SuspectReport> {
         let now = self.ports.clock.now();
-        let known = self.suspects.borrow().known(work);
+        let known = self.suspects.borrow().suspects_for(work);
         known.iter().map(|suspect| SuspectReport::new(suspect, now)).collect()
     }
 
     /// Says whether a work may run.
-    pub(super) fn standing(&self, work: &Work) -> Standing {
-        self.suspects.borrow().standing(work, self.ports.clock.now())
+    pub(super) fn standing(&self, work: &Work) -> Clearance {
+        self.suspects.borrow().clearance(work, self.ports.clock.now())
     }
 
     fn tell_suspects(&self, changed: impl IntoIterator<Item = Suspect>) {
@@ -140,7 +140,7 @@
         if job.shown.answered.replace(true) {
             return;
         }
-        let changed = self.suspects.borrow_mut().answer(&job.work, self.ports.clock.now());
+        let changed = self.suspects.borrow_mut().record_answer(&job.work, self.ports.clock.now());
         self.tell_suspects(changed);
     }
 
@@ -191,9 +191,9 @@
     fn note_ended(&self, job: &Job, upstream: &UpstreamId, alone: bool) {
         let alone = alone && job.whole;
         let now = self.ports.clock.now();
-        let changed = self.suspects.borrow_mut().end(&job.work, upstream, alone, now);
+        let changed = self.suspects.borrow_mut().record_end(&job.work, upstream, alone, now);
         // A part of a request may lack an answer that others of its parts have.
-        if job.whole || self.standing(&job.work) != Standing::Free {
+        if job.whole || self.standing(&job.work) != Clearance::Free {
             self.tell_suspects(changed);
         }
         let event = Event::UpstreamEnded { work: job.work.exact, upstream: Arc::clone(upstream), alone };
@@ -209,11 +209,11 @@
         trace: &mut Trace<C>,
     ) -> Option<Answer> {
         match self.standing(&found.work) {
-            Standing::Free => None,
-            Standing::Withheld(wait) => Some(refuse(trace, Code::Withheld, wait)),
+            Clearance::Free => None,
+            Clearance::Withheld(wait) => Some(refuse(trace, Code::Withheld, wait)),
             // One that needs a ticket runs once, at the daemon that the ticket names.
-            Standing::Alone(_) if needs_ticket(request, found) => None,
-            Standing::Alone(_) => self.run_alone(request, found, trace).await,
+            Clearance::Alone(_) if needs_ticket(request, found) => None,
+            Clearance::Alone(_) => self.run_alone(request, found, trace).await,
         }
     }
 
@@ -235,12 +235,12 @@
         }
         self.await_turn(found).await;
         match self.standing(work) {
-            Standing::Free => return None,
-            Standing::Withheld(wait) => return Some(refuse(trace, Code::Withheld, wait)),
-            Standing::Alone(wait) if self.on_trial.borrow().contains(&work.exact) || !wait.is_zero() => {
+            Clearance::Free => return None,
+            Clearance::Withheld(wait) => return Some(refuse(trace, Code::Withheld, wait)),
+            Clearance::Alone(wait) if self.on_trial.borrow().contains(&work.exact) || !wait.is_zero() => {
                 return Some(refuse(trace, Code::Withheld, wait.max(COME_BACK)));
             }
-            Standing::Alone(_) => {}
+            Clearance::Alone(_) => {}
         }
         self.on_trial.borrow_mut().insert(work.exact);
         let _trial = Trial { under_way: &self.on_trial, work: work.exact };
@@ -279,7 +279,7 @@
     /// Waits until a work may be tried and no trial of it is under way here, or half of a
     /// request's time is over.
     async fn await_turn(&self, found: &Found) {
-        let too_soon = || matches!(self.standing(&found.work), Standing::Alone(wait) if !wait.is_zero());
+        let too_soon = || matches!(self.standing(&found.work), Clearance::Alone(wait) if !wait.is_zero());
         let on_trial = || self.on_trial.borrow().contains(&found.work.exact);
         while (on_trial() || too_soon()) && self.ports.clock.now() < found.halfway() {
             self.ports.clock.sleep(LOOK_EVERY).await;
--- a/crates/harefield/src/engine/find.rs
+++ b/crates/harefield/src/engine/find.rs
@@ -7,7 +7,7 @@
 use super::message::LookupRequest;
 use super::message::Terms;
 use super::worker::Worker;
-use crate::domain::accounts::Asker;
+use crate::domain::accounts::Requester;
 use crate::domain::admission::Arrival;
 use crate::domain::code::Code;
 use crate::domain::residency::Regions;
@@ -40,7 +40,7 @@
     /// Whether its objective had passed when it came.
     pub late: bool,
     /// Whose request it is.
-    pub asker: Asker,
+    pub asker: Requester,
     /// The only regions in which it may be served, by its lookup and its account; everywhere
     /// where empty.
     pub regions: Regions,
@@ -52,7 +52,7 @@
     /// # Errors
     ///
     /// Returns that its account and its lookup have no region in common.
-    pub fn asked_by(mut self, asker: &Asker, request: &LookupRequest) -> Result<Self, Code> {
+    pub fn asked_by(mut self, asker: &Requester, request: &LookupRequest) -> Result<Self, Code> {
         self.regions = regions_of(&self.plan, asker)?;
         self.work = Work::new(&request.lookup, asker.account.as_ref(), &request.query);
         self.asker = asker.clone();
@@ -64,7 +64,7 @@
         let Lookup { urgency, team, .. } = &*self.plan.lookup;
         Arrival {
             urgency: self.asker.urgency.unwrap_or(*urgency),
-            team: self.asker.share_of(team),
+            team: self.asker.share_owner(team),
             deadline: self.deadline,
             due: self.objective.filter(|_| !self.late),
             late: self.late,
@@ -199,7 +199,7 @@
 }
 
 /// Returns the regions in which an asker's requests for a lookup may be served.
-fn regions_of(plan: &LookupPlan, asker: &Asker) -> Result<Regions, Code> {
+fn regions_of(plan: &LookupPlan, asker: &Requester) -> Result<Regions, Code> {
     both(&plan.lookup.regions, &asker.regions).ok_or(Code::NoRegion)
 }
 
--- a/crates/harefield/src/engine/gate.rs
+++ b/crates/harefield/src/engine/gate.rs
@@ -9,10 +9,10 @@
 use futures_lite::FutureExt;
 
 use super::worker::Worker;
+use crate::domain::admission::Admission;
 use crate::domain::admission::Arrival;
-use crate::domain::admission::Called;
-use crate::domain::admission::Crowd;
-use crate::domain::admission::Entry;
+use crate::domain::admission::Congestion;
+use crate::domain::admission::Dequeued;
 use crate::domain::admission::Gate;
 use crate::domain::admission::WaiterId;
 use crate::domain::code::Code;
@@ -37,12 +37,12 @@
     /// the end, since few such requests run at a time.
     pub late: bool,
     /// How crowded the upstreams were; none until the request has run to its end.
-    crowd: Option<Crowd>,
+    crowd: Option<Congestion>,
 }
 
 impl<U: Upstreams, P: Peers, C: Clock> Permit<U, P, C> {
     /// Gives the permit back, with how crowded the upstreams were.
-    pub fn leave(mut self, crowd: Crowd) {
+    pub fn leave(mut self, crowd: Congestion) {
         self.crowd = Some(crowd);
     }
 }
@@ -61,7 +61,7 @@
     index: Arc<str>,
     team: Arc<str>,
     id: WaiterId,
-    calls: Receiver<Called>,
+    calls: Receiver<Dequeued>,
     settled: bool,
 }
 
@@ -73,11 +73,11 @@
         let worker = &self.worker;
         worker.waiters.borrow_mut().remove(&(Arc::clone(&self.index), self.id));
         let called = self.calls.try_recv().ok();
-        if matches!(called, Some(Called::Run(_))) {
+        if matches!(called, Some(Dequeued::Run(_))) {
             let now = worker.ports.clock.now();
             worker.leave_gate(&self.index, &self.team, Duration::ZERO, None, now);
         } else if let Some(gate) = worker.gates.borrow_mut().get_mut(&self.index) {
-            gate.forget(self.id);
+            gate.cancel(self.id);
         }
     }
 }
@@ -96,9 +96,9 @@
             gate.arrive(&arrival, now)
         };
         match entry {
-            Entry::Run => Ok(self.permit(index, &arrival)),
-            Entry::Refuse(code, wait) => Err(GateRefusal { code, wait }),
-            Entry::Wait(id) => self.wait_at_gate(index, &arrival, id).await,
+            Admission::Run => Ok(self.permit(index, &arrival)),
+            Admission::Refuse(code, wait) => Err(GateRefusal { code, wait }),
+            Admission::Wait(id) => self.wait_at_gate(index, &arrival, id).await,
         }
     }
 
@@ -129,18 +129,18 @@
             calls: calls.clone(),
             settled: false,
         };
-        let until = self.gates.borrow().get(index).map_or(arrival.deadline, |gate| gate.leaves_at(arrival));
+        let until = self.gates.borrow().get(index).map_or(arrival.deadline, |gate| gate.refuse_at(arrival));
         let expired = async {
             self.ports.clock.sleep_until(until).await;
             None
         };
         let called = async { calls.recv().await.ok() }.or(expired).await;
         match called {
-            Some(Called::Run(_)) => {
+            Some(Dequeued::Run(_)) => {
                 waiting.settled = true;
                 Ok(self.permit(index, arrival))
             }
-            Some(Called::Refuse(_, wait)) => {
+            Some(Dequeued::Refuse(_, wait)) => {
                 waiting.settled = true;
                 Err(GateRefusal { code: Code::TooLate, wait })
             }
@@ -150,7 +150,7 @@
 
     fn next_turn(&self, index: &Arc<str>) -> Duration {
         let now = self.ports.clock.now();
-        self.gates.borrow_mut().get_mut(index).map_or(Duration::ZERO, |gate| gate.turn(now))
+        self.gates.borrow_mut().get_mut(index).map_or(Duration::ZERO, |gate| gate.retry_after(now))
     }
 
     fn leave_gate(
@@ -158,16 +158,16 @@
         index: &Arc<str>,
         team: &Arc<str>,
         took: Duration,
-        crowd: Option<Crowd>,
+        crowd: Option<Congestion>,
         now: Instant,
     ) {
         let called = match (self.gates.borrow_mut().get_mut(index), crowd) {
-            (Some(gate), Some(crowd)) => gate.leave(team, took, crowd, now),
+            (Some(gate), Some(crowd)) => gate.complete(team, took, crowd, now),
             (Some(gate), None) => gate.abandon(team, now),
             (None, _) => Vec::new(),
         };
         for call in called {
-            let (Called::Run(id) | Called::Refuse(id, _)) = call;
+            let (Dequeued::Run(id) | Dequeued::Refuse(id, _)) = call;
             let waiter = self.waiters.borrow_mut().remove(&(Arc::clone(index), id));
             if let Some(sender) = waiter {
                 let _ = sender.try_send(call);
--- a/crates/harefield/src/engine/identity.rs
+++ b/crates/harefield/src/engine/identity.rs
@@ -14,10 +14,10 @@
 use super::run::turn_away;
 use super::run::wait_for;
 use super::worker::Worker;
-use crate::domain::accounts::Asker;
-use crate::domain::accounts::Asking;
 use crate::domain::accounts::Client;
 use crate::domain::accounts::Identity;
+use crate::domain::accounts::Requester;
+use crate::domain::accounts::UnknownKeyAction;
 use crate::domain::accounts::UnknownKeys;
 use crate::domain::code::Code;
 use crate::domain::event::Event;
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub(super) enum Whose {
     /// Anyone's, or of one that another daemon named.
-    Anyone(Asker),
+    Anyone(Requester),
     /// An account's.
     Account(Arc<Client>),
 }
@@ -106,9 +106,9 @@
         key: KeyDigest,
     ) -> Result<Whose, Refusal> {
         match self.unknown_keys.borrow_mut().begin(&key) {
-            Asking::Known => return Err(Refusal::for_good(Code::KeyUnknown)),
-            Asking::Crowded => return Err(UNCONFIRMED),
-            Asking::Begun => {}
+            UnknownKeyAction::Refuse => return Err(Refusal::for_good(Code::KeyUnknown)),
+            UnknownKeyAction::Busy => return Err(UNCONFIRMED),
+            UnknownKeyAction::Query => {}
         }
         let _asking = Ask { keys: &self.unknown_keys };
         let (sender, refreshed) = async_channel::bounded(1);
@@ -145,7 +145,7 @@
                 return self.answer_found(request, &found, trace).await;
             }
             Whose::Anyone(asker) => asker.clone(),
-            Whose::Account(client) => client.asker(),
+            Whose::Account(client) => client.requester(),
         };
         let query = request.query.without_claims();
         let request = LookupRequest { query, asker: asker.clone(), ..request.clone() };
@@ -187,7 +187,7 @@
         if let (Permit::Until(until), Some(reserve)) =
             (permit, self.reserves.borrow_mut().get_mut(&client.name))
         {
-            reserve.give_back(until);
+            reserve.release(until);
         }
     }
 }
--- a/crates/harefield/src/engine/job.rs
+++ b/crates/harefield/src/engine/job.rs
@@ -7,7 +7,7 @@
 
 use super::find::Found;
 use super::message::LookupRequest;
-use crate::domain::accounts::Asker;
+use crate::domain::accounts::Requester;
 use crate::domain::ids::RequestId;
 use crate::domain::query::Query;
 use crate::domain::residency::Regions;
@@ -32,7 +32,7 @@
     /// The only regions in which it may be served; everywhere where empty.
     pub regions: Regions,
     /// Whose request it is.
-    pub asker: Asker,
+    pub asker: Requester,
 }
 
 impl Job {
--- a/crates/harefield/src/engine/message.rs
+++ b/crates/harefield/src/engine/message.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::domain::accounts::Asker;
+use crate::domain::accounts::Requester;
 use crate::domain::feed::News;
 use crate::domain::hlc::Stamp;
 use crate::domain::ids::Edition;
@@ -79,7 +79,7 @@
     /// What it shows of who sends it, where it came from a caller.
     pub credential: Credential,
     /// Whose request it is, where it came from another daemon.
-    pub asker: Asker,
+    pub asker: Requester,
 }
 
 /// The daemons as the control duty sees them.
--- a/crates/harefield/src/engine/permits.rs
+++ b/crates/harefield/src/engine/permits.rs
@@ -14,7 +14,7 @@
 use super::worker::Worker;
 use crate::domain::accounts::Client;
 use crate::domain::accounts::FleetLimit;
-use crate::domain::accounts::GrantAnswer;
+use crate::domain::accounts::GrantResponse;
 use crate::domain::accounts::Grants;
 use crate::domain::accounts::Reserve;
 use crate::domain::code::Code;
@@ -65,12 +65,12 @@
         };
         let now = self.ports.clock.now();
         if let Some(until) = self.with_reserve(client, |reserve| {
-            reserve.count(now);
+            reserve.count_request(now);
             reserve.take(now)
         }) {
             return Ok(Permit::Until(until));
         }
-        let parts = limit.parts(self.holders.borrow().wanted());
+        let parts = limit.parts(self.holders.borrow().part_count());
         let until = found.objective.unwrap_or(found.deadline).min(found.halfway());
         let mut empty = false;
         for part in self.by_distance(parts) {
@@ -146,13 +146,13 @@
         // Permits hold from when they were asked for: the answer may have taken a while.
         match reply {
             PermitReply::Granted(permits) => {
-                self.with_reserve(client, |reserve| reserve.put(permits, now));
+                self.with_reserve(client, |reserve| reserve.add(permits, now));
                 Asked::Granted
             }
             PermitReply::Empty(wait) => {
                 let wait = Duration::from_millis(wait);
                 let now = self.ports.clock.now();
-                self.with_reserve(client, |reserve| reserve.note_empty(part, wait, now));
+                self.with_reserve(client, |reserve| reserve.record_empty(part, wait, now));
                 Asked::Empty
             }
             PermitReply::NotHeld => Asked::NoAnswer,
@@ -192,14 +192,14 @@
     /// Grants permits from a part that this daemon holds.
     fn grant_own(&self, ask: &PermitAsk, limit: &FleetLimit) -> PermitReply {
         let now = self.ports.clock.now();
-        let parts = limit.parts(self.holders.borrow().wanted());
+        let parts = limit.parts(self.holders.borrow().part_count());
         if ask.part >= parts || self.unsettled_for(now).is_some() {
             return PermitReply::NotHeld;
         }
         let slot = (Arc::clone(&ask.account), ask.part);
         match self.lock_grants().grant(&slot, limit.part(parts), ask.wanted, now) {
-            GrantAnswer::Granted(permits) => PermitReply::Granted(permits),
-            GrantAnswer::Empty(wait) => PermitReply::Empty(millis(wait).max(1)),
+            GrantResponse::Granted(permits) => PermitReply::Granted(permits),
+            GrantResponse::Empty(wait) => PermitReply::Empty(millis(wait).max(1)),
         }
     }
 
--- a/crates/harefield/src/engine/relay.rs
+++ b/crates/harefield/src/engine/relay.rs
@@ -22,7 +22,7 @@
 use crate::domain::query::Query;
 use crate::domain::ratio;
 use crate::domain::residency::Residency;
-use crate::domain::suspects::Standing;
+use crate::domain::suspects::Clearance;
 use crate::domain::time::micros;
 use crate::domain::view::Plan;
 use crate::domain::work::Work;
@@ -63,7 +63,7 @@
         if self.running() >= self.settings.gate.running {
             return self.declined();
         }
-        if matches!(self.standing(&work), Standing::Withheld(_)) {
+        if matches!(self.standing(&work), Clearance::Withheld(_)) {
             return self.withheld(group.shards.len());
         }
         let _progress = self.progress(None);
--- a/crates/harefield/src/engine/updates.rs
+++ b/crates/harefield/src/engine/updates.rs
@@ -50,7 +50,7 @@
         if self.settings.slack.is_some() {
             self.router.borrow_mut().share_with(self.known.get());
         }
-        self.holders.borrow_mut().see(&peers.rows, self.ports.clock.now());
+        self.holders.borrow_mut().update(&peers.rows, self.ports.clock.now());
         let met = peers.rows.iter().any(|row| row.host != self.settings.host);
         self.met.set(self.met.get() || met);
         let others = peers.rows.iter().filter(|row| row.host != self.settings.host);
--- a/crates/harefield/src/engine/worker.rs
+++ b/crates/harefield/src/engine/worker.rs
@@ -24,7 +24,7 @@
 use crate::domain::accounts::Overage;
 use crate::domain::accounts::Reserve;
 use crate::domain::accounts::UnknownKeys;
-use crate::domain::admission::Called;
+use crate::domain::admission::Dequeued;
 use crate::domain::admission::Gate;
 use crate::domain::admission::GateLimits;
 use crate::domain::admission::WaiterId;
@@ -139,7 +139,7 @@
     pub(super) view: RefCell<Arc<View>>,
     pub(super) peers: RefCell<Arc<PeerView>>,
     pub(super) gates: RefCell<HashMap<Arc<str>, Gate>>,
-    pub(super) waiters: RefCell<HashMap<WaiterKey, Sender<Called>>>,
+    pub(super) waiters: RefCell<HashMap<WaiterKey, Sender<Dequeued>>>,
     /// When the requests left that are handed to each daemon.
     pub(super) forwards: RefCell<HashMap<HostId, Vec<Instant>>>,
     pub(super) spare: RefCell<Budget>,
@@ -217,7 +217,7 @@
         control: Sender<ToControl>,
         telemetry: Telemetry,
     ) -> Rc<Self> {
-        let holders = Holders::over(settings.places.regions.keys(), &settings.zone);
+        let holders = Holders::new(settings.places.regions.keys(), &settings.zone);
         let budgets = match settings.slack {
             Some(slack) => Budgets::by_service(FleetSlack { share: settings.extra, slack }, settings.daemons),
             None => Budgets::one(settings.extra),
--- a/crates/harefield/src/platform/callers.rs
+++ b/crates/harefield/src/platform/callers.rs
@@ -19,7 +19,7 @@
 use crate::adapters::callers::head_bytes;
 use crate::adapters::callers::read_body;
 use crate::adapters::http;
-use crate::domain::accounts::Asker;
+use crate::domain::accounts::Requester;
 use crate::domain::code::Code;
 use crate::domain::merge::greatest;
 use crate::domain::outcome::Answer;
@@ -89,7 +89,7 @@
         limit,
         origin: Origin::Caller,
         credential: http::credential(&head.headers),
-        asker: Asker::default(),
+        asker: Requester::default(),
     })
 }
 
--- a/crates/harefield/src/ports/peers.rs
+++ b/crates/harefield/src/ports/peers.rs
@@ -10,7 +10,7 @@
 use super::formats::MarkFormat;
 use super::formats::PullFormat;
 use super::platform::Space;
-use crate::domain::accounts::Asker;
+use crate::domain::accounts::Requester;
 use crate::domain::carried::CarriedMark;
 use crate::domain::feed::News;
 use crate::domain::hlc::Stamp;
@@ -63,8 +63,8 @@
     #[serde(default)]
     pub suspects: Vec<SuspectReport>,
     /// Whose request it is.
-    #[serde(default, skip_serializing_if = "Asker::is_open")]
-    pub asker: Asker,
+    #[serde(default, skip_serializing_if = "Requester::is_open")]
+    pub asker: Requester,
 }
 
 /// A member's answer to a request that was handed on.
@@ -121,8 +121,8 @@
     #[serde(default)]
     pub regions: Regions,
     /// Whose request it is.
-    #[serde(default, skip_serializing_if = "Asker::is_open")]
-    pub asker: Asker,
+    #[serde(default, skip_serializing_if = "Requester::is_open")]
+    pub asker: Requester,
 }
 
 /// Asks the holder of a part of an account's limit for permits.
--- a/crates/harefield/src/ports/upstreams.rs
+++ b/crates/harefield/src/ports/upstreams.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::domain::accounts::Asker;
+use crate::domain::accounts::Requester;
 use crate::domain::fanout::AttemptEnd;
 use crate::domain::fanout::Echo;
 use crate::domain::ids::UpstreamId;
@@ -38,7 +38,7 @@
     /// The query.
     pub query: Query,
     /// Whose request it is.
-    pub asker: Asker,
+    pub asker: Requester,
 }
 
 /// How a call ended.
--- a/crates/harefield/src/telemetry/board.rs
+++ b/crates/harefield/src/telemetry/board.rs
@@ -22,7 +22,7 @@
 use crate::domain::ids::UpstreamId;
 use crate::domain::ids::Version;
 use crate::domain::membership::Row;
-use crate::domain::resources::Fault;
+use crate::domain::resources::ResourceError;
 use crate::domain::resources::ResourceSet;
 use crate::domain::revision::Revision;
 
@@ -40,7 +40,7 @@
     /// The refused revision, while none newer is in force.
     pub refused: Option<Revision>,
     /// Its faults.
-    pub faults: Vec<Fault>,
+    pub faults: Vec<ResourceError>,
     /// The revision of the host list.
     pub listed: Option<Revision>,
 }
--- a/crates/harefield/tests/decisions/accounts.rs
+++ b/crates/harefield/tests/decisions/accounts.rs
@@ -12,15 +12,15 @@
 use crate::support::items;
 use crate::support::row;
 use crate::support::values;
-use harefield::domain::accounts::Asking;
 use harefield::domain::accounts::Directory;
 use harefield::domain::accounts::FleetLimit;
-use harefield::domain::accounts::GrantAnswer;
+use harefield::domain::accounts::GrantResponse;
 use harefield::domain::accounts::Grants;
 use harefield::domain::accounts::Holders;
 use harefield::domain::accounts::Identity;
 use harefield::domain::accounts::Overage;
 use harefield::domain::accounts::Reserve;
+use harefield::domain::accounts::UnknownKeyAction;
 use harefield::domain::accounts::UnknownKeys;
 use harefield::domain::code::Code;
 use harefield::domain::feed::Change;
@@ -44,7 +44,7 @@
 }
 
 /// Returns a set with accounts of one key each.
-fn set(accounts: &[(&str, &str)]) -> Result<ResourceSet, Vec<harefield::domain::resources::Fault>> {
+fn set(accounts: &[(&str, &str)]) -> Result<ResourceSet, Vec<harefield::domain::resources::ResourceError>> {
     let mut all = values(1, 1, &[1]);
     for (name, key) in accounts {
         all.insert(format!("accounts/{name}"), json!({ "keys": [digest(key)] }));
@@ -115,16 +115,16 @@
 fn unknown_once() {
     let mut keys = UnknownKeys::default();
     let key = KeyDigest::of(b"x");
-    assert_eq!(keys.begin(&key), Asking::Begun);
+    assert_eq!(keys.begin(&key), UnknownKeyAction::Query);
     keys.end();
     keys.remember(key);
-    assert_eq!(keys.begin(&key), Asking::Known);
+    assert_eq!(keys.begin(&key), UnknownKeyAction::Refuse);
     keys.clear();
-    assert_eq!(keys.begin(&key), Asking::Begun);
+    assert_eq!(keys.begin(&key), UnknownKeyAction::Query);
     for number in 0..100_u32 {
         keys.begin(&KeyDigest::of(&number.to_le_bytes()));
     }
-    assert_eq!(keys.begin(&KeyDigest::of(b"y")), Asking::Crowded);
+    assert_eq!(keys.begin(&KeyDigest::of(b"y")), UnknownKeyAction::Busy);
 }
 
 #[test]
@@ -134,8 +134,8 @@
     let limit = FleetLimit::of(&account(10.0, 60.0), &OVERAGE).expect("it has a limit").part(6);
     let mut grants = Grants::new(start);
     let slot = ("apex".into(), 0);
-    assert!(matches!(grants.grant(&slot, limit, 1, start), GrantAnswer::Empty(_)));
-    assert_eq!(grants.grant(&slot, limit, 1, after(start, 700)), GrantAnswer::Granted(1));
+    assert!(matches!(grants.grant(&slot, limit, 1, start), GrantResponse::Empty(_)));
+    assert_eq!(grants.grant(&slot, limit, 1, after(start, 700)), GrantResponse::Granted(1));
 }
 
 #[test]
@@ -147,13 +147,13 @@
     let slot = ("apex".into(), 0);
     let waits: Vec<Duration> = (0..5)
         .filter_map(|_| match grants.grant(&slot, limit, 1, start) {
-            GrantAnswer::Empty(wait) => Some(wait),
-            GrantAnswer::Granted(_) => None,
+            GrantResponse::Empty(wait) => Some(wait),
+            GrantResponse::Granted(_) => None,
         })
         .collect();
     assert!(waits.len() == 5 && waits.windows(2).all(|pair| pair[1] >= pair[0] + Duration::from_millis(99)));
     // Whoever comes back at its turn is served.
-    assert_eq!(grants.grant(&slot, limit, 1, start + waits[0]), GrantAnswer::Granted(1));
+    assert_eq!(grants.grant(&slot, limit, 1, start + waits[0]), GrantResponse::Granted(1));
 }
 
 #[test]
@@ -164,7 +164,7 @@
     for number in 0..10_000_u32 {
         grants.grant(&(format!("a{number}").into(), 0), limit, 1, after(start, 30_000 + u64::from(number)));
     }
-    assert!(grants.kept() < 4000, "{}", grants.kept());
+    assert!(grants.bucket_count() < 4000, "{}", grants.bucket_count());
     let held = grants.grant(&("a1".into(), 0), limit, 100, after(start, 60_000));
     let fresh = Grants::new(start).grant(&("a1".into(), 0), limit, 100, after(start, 60_000));
     assert_eq!(held, fresh, "one that is made anew is as full");
@@ -174,13 +174,13 @@
 fn permits_expire() {
     let start = Instant::now();
     let mut reserve = Reserve::default();
-    reserve.put(3, start);
+    reserve.add(3, start);
     assert!(reserve.take(after(start, 199)).is_some());
     assert!(reserve.take(after(start, 200)).is_none());
     // One that is given back holds no longer than it did.
-    reserve.put(1, after(start, 1000));
+    reserve.add(1, after(start, 1000));
     let until = reserve.take(after(start, 1000)).expect("it was put");
-    reserve.give_back(until);
+    reserve.release(until);
     assert!(reserve.take(after(start, 1200)).is_none());
 }
 
@@ -189,17 +189,17 @@
     // One that hears of others of its zone all the time does not know them yet; who is seen how,
     // and who is new elsewhere, is no news.
     let start = Instant::now();
-    let mut holders = Holders::over(&["a", "b"].map(Arc::from), &"a".into());
+    let mut holders = Holders::new(&["a", "b"].map(Arc::from), &"a".into());
     assert!(holders.unsettled_for(start).is_some(), "it knows nobody");
     for number in 0..4 {
         let rows: Vec<_> = (0..=number).map(|n| row(n, "a")).collect();
-        holders.see(&rows, after(start, 500 * number as u64));
+        holders.update(&rows, after(start, 500 * number as u64));
     }
     assert_eq!(holders.unsettled_for(after(start, 1600)), Some(Duration::from_millis(1100)));
     let mut rows: Vec<_> = (0..4).map(|n| row(n, "a")).collect();
     rows[2].state = PeerState::Suspect;
     rows.push(row(9, "b"));
-    holders.see(&rows, after(start, 2600));
+    holders.update(&rows, after(start, 2600));
     assert_eq!(holders.unsettled_for(after(start, 2700)), None);
 }
 
@@ -209,15 +209,15 @@
     let start = Instant::now();
     let zones: Vec<Arc<str>> = vec!["a".into(), "b".into(), "c".into()];
     let rows: Vec<_> = (0..30).map(|n| row(n, &zones[n % 3])).collect();
-    let mut holders = Holders::over(&zones, &zones[0]);
-    holders.see(&rows, start);
+    let mut holders = Holders::new(&zones, &zones[0]);
+    holders.update(&rows, start);
     let slots: Vec<_> = (0..40).map(|n| (format!("account-{n}").into(), n % 6)).collect();
     let held =
         |holders: &Holders, now| -> Vec<_> { slots.iter().map(|slot| holders.holder(slot, now)).collect() };
     let before = held(&holders, start);
     let mut cut = rows.clone();
     cut.iter_mut().skip(1).for_each(|row| row.state = PeerState::Suspect);
-    holders.see(&cut, start);
+    holders.update(&cut, start);
     assert_eq!(held(&holders, after(start, 100_000)), before);
     // A zone that is gone for good, but for this one, is replaced at last.
     assert_ne!(held(&holders, after(start, 121_000)), before);
@@ -225,11 +225,11 @@
     let mut one = rows.clone();
     let gone = before[0].clone().expect("somebody holds it");
     one.iter_mut().filter(|row| row.host == gone).for_each(|row| row.state = PeerState::Suspect);
-    holders.see(&rows, after(start, 130_000));
-    holders.see(&one, after(start, 130_000));
+    holders.update(&rows, after(start, 130_000));
+    holders.update(&one, after(start, 130_000));
     assert_eq!(held(&holders, after(start, 144_000)), before);
     assert_ne!(held(&holders, after(start, 146_000))[0], before[0]);
-    holders.see(&rows, after(start, 150_000));
+    holders.update(&rows, after(start, 150_000));
     assert_eq!(held(&holders, after(start, 150_000)), before);
 }
 
--- a/crates/harefield/tests/decisions/admission.rs
+++ b/crates/harefield/tests/decisions/admission.rs
@@ -9,10 +9,10 @@
 
 use crate::support::at;
 use crate::support::cases;
+use harefield::domain::admission::Admission;
 use harefield::domain::admission::Arrival;
-use harefield::domain::admission::Called;
-use harefield::domain::admission::Crowd;
-use harefield::domain::admission::Entry;
+use harefield::domain::admission::Congestion;
+use harefield::domain::admission::Dequeued;
 use harefield::domain::admission::Gate;
 use harefield::domain::admission::GateLimits;
 use harefield::domain::admission::WaiterId;
@@ -32,18 +32,18 @@
     loop {
         let next = arrival(Urgency::Ordinary, "t", at(now, 10_000));
         match gate.arrive(&next, now) {
-            Entry::Run => running += 1,
-            Entry::Wait(id) => {
-                gate.forget(id);
+            Admission::Run => running += 1,
+            Admission::Wait(id) => {
+                gate.cancel(id);
                 return (gate, running);
             }
-            Entry::Refuse(code, _) => panic!("{code}"),
+            Admission::Refuse(code, _) => panic!("{code}"),
         }
     }
 }
 
-fn end_one(gate: &mut Gate, now: Instant) -> Vec<Called> {
-    gate.leave(&"t".into(), Duration::from_millis(10), Crowd::default(), now)
+fn end_one(gate: &mut Gate, now: Instant) -> Vec<Dequeued> {
+    gate.complete(&"t".into(), Duration::from_millis(10), Congestion::default(), now)
 }
 
 #[test]
@@ -58,8 +58,10 @@
     assert!((gate.limit() - before).abs() < f64::EPSILON, "{} {before}", gate.limit());
     assert_eq!(gate.running(), 1);
     let (mut gate, _) = full_gate(now);
-    let Entry::Wait(id) = gate.arrive(&arrival(Urgency::Urgent, "t", at(now, 10_000)), now) else { panic!() };
-    assert_eq!(gate.abandon(&"t".into(), now), [Called::Run(id)], "its place is given on");
+    let Admission::Wait(id) = gate.arrive(&arrival(Urgency::Urgent, "t", at(now, 10_000)), now) else {
+        panic!()
+    };
+    assert_eq!(gate.abandon(&"t".into(), now), [Dequeued::Run(id)], "its place is given on");
 }
 
 #[test]
@@ -69,12 +71,12 @@
     let mut gate = Gate::new(LIMITS);
     let late = Arrival { late: true, ..arrival(Urgency::Urgent, "t", at(now, 10_000)) };
     let fresh = arrival(Urgency::Bulk, "t", at(now, 10_000));
-    assert_eq!(gate.arrive(&late, now), Entry::Run, "nobody else is here");
-    assert_eq!(gate.arrive(&fresh, now), Entry::Run);
-    let Entry::Wait(waits) = gate.arrive(&late, now) else { panic!("two run") };
-    assert_eq!(gate.arrive(&fresh, now), Entry::Run, "it does not stand behind the late one");
+    assert_eq!(gate.arrive(&late, now), Admission::Run, "nobody else is here");
+    assert_eq!(gate.arrive(&fresh, now), Admission::Run);
+    let Admission::Wait(waits) = gate.arrive(&late, now) else { panic!("two run") };
+    assert_eq!(gate.arrive(&fresh, now), Admission::Run, "it does not stand behind the late one");
     assert_eq!(end_one(&mut gate, now), [], "two run still");
-    assert_eq!(end_one(&mut gate, now), [Called::Run(waits)]);
+    assert_eq!(end_one(&mut gate, now), [Dequeued::Run(waits)]);
 }
 
 #[test]
@@ -83,17 +85,17 @@
     let now = Instant::now();
     let (mut gate, _) = full_gate(now);
     let late = Arrival { late: true, ..arrival(Urgency::Ordinary, "t", at(now, 10_000)) };
-    let Entry::Wait(waits) = gate.arrive(&late, now) else { panic!("it is full") };
+    let Admission::Wait(waits) = gate.arrive(&late, now) else { panic!("it is full") };
     let mut ends = 0;
     loop {
         let called = end_one(&mut gate, now);
         ends += 1;
-        if called == [Called::Run(waits)] {
+        if called == [Dequeued::Run(waits)] {
             break;
         }
         assert!(ends < 100, "it is never called");
         let next = arrival(Urgency::Ordinary, "t", at(now, 10_000));
-        assert_eq!(gate.arrive(&next, now), Entry::Run, "another one takes the room");
+        assert_eq!(gate.arrive(&next, now), Admission::Run, "another one takes the room");
     }
     assert!(gate.running() > 2, "others run beside it");
 }
@@ -103,10 +105,10 @@
     let now = Instant::now();
     let (mut gate, _) = full_gate(now);
     let later = at(now, 10_000);
-    let Entry::Wait(_) = gate.arrive(&arrival(Urgency::Ordinary, "t", later), now) else { panic!() };
-    let Entry::Wait(urgent) = gate.arrive(&arrival(Urgency::Urgent, "t", later), now) else { panic!() };
+    let Admission::Wait(_) = gate.arrive(&arrival(Urgency::Ordinary, "t", later), now) else { panic!() };
+    let Admission::Wait(urgent) = gate.arrive(&arrival(Urgency::Urgent, "t", later), now) else { panic!() };
     let called = end_one(&mut gate, now);
-    assert_eq!(called.first(), Some(&Called::Run(urgent)));
+    assert_eq!(called.first(), Some(&Dequeued::Run(urgent)));
 }
 
 #[test]
@@ -116,15 +118,15 @@
     let later = at(now, 100_000);
     let mut ordinary = Vec::new();
     for _ in 0..4 {
-        if let Entry::Wait(id) = gate.arrive(&arrival(Urgency::Ordinary, "t", later), now) {
+        if let Admission::Wait(id) = gate.arrive(&arrival(Urgency::Ordinary, "t", later), now) {
             ordinary.push(id);
         }
     }
     let mut ran = 0;
     for _ in 0..12 {
-        while let Entry::Wait(_) = gate.arrive(&arrival(Urgency::Urgent, "t", later), now) {}
+        while let Admission::Wait(_) = gate.arrive(&arrival(Urgency::Urgent, "t", later), now) {}
         let called = end_one(&mut gate, now);
-        ran += called.iter().filter(|c| matches!(c, Called::Run(id) if ordinary.contains(id))).count();
+        ran += called.iter().filter(|c| matches!(c, Dequeued::Run(id) if ordinary.contains(id))).count();
     }
     assert!(ran >= 2, "{ran} ordinary ones ran under a full urgent queue");
 }
@@ -134,7 +136,7 @@
     let now = Instant::now();
     let (mut gate, _) = full_gate(now);
     let refused = gate.arrive(&arrival(Urgency::Urgent, "t", at(now, 1)), now);
-    assert!(matches!(refused, Entry::Refuse(Code::TooLate, _)), "{refused:?}");
+    assert!(matches!(refused, Admission::Refuse(Code::TooLate, _)), "{refused:?}");
 }
 
 #[test]
@@ -145,12 +147,12 @@
     let mut waiting = 0;
     let code = loop {
         match gate.arrive(&next, now) {
-            Entry::Wait(_) => waiting += 1,
-            Entry::Refuse(code, wait) => {
+            Admission::Wait(_) => waiting += 1,
+            Admission::Refuse(code, wait) => {
                 assert!(wait > Duration::ZERO, "the caller is told when to come back");
                 break code;
             }
-            Entry::Run => panic!("the gate is full"),
+            Admission::Run => panic!("the gate is full"),
         }
     };
     assert_eq!(waiting, LIMITS.waiting);
@@ -163,12 +165,12 @@
     let (mut gate, _) = full_gate(now);
     let greedy = arrival(Urgency::Urgent, "greedy", at(now, 100_000));
     let mut held = 0;
-    while let Entry::Wait(_) = gate.arrive(&greedy, now) {
+    while let Admission::Wait(_) = gate.arrive(&greedy, now) {
         held += 1;
     }
     assert_eq!(held, LIMITS.waiting / 2, "another team runs, so half the queue is left to it");
     let other = gate.arrive(&arrival(Urgency::Urgent, "t", at(now, 100_000)), now);
-    assert!(matches!(other, Entry::Wait(_)));
+    assert!(matches!(other, Admission::Wait(_)));
 }
 
 #[test]
@@ -176,14 +178,14 @@
     let now = Instant::now();
     let mut gate = Gate::new(LIMITS);
     let later = at(now, 10_000);
-    assert_eq!(gate.arrive(&arrival(Urgency::Urgent, "t", later), now), Entry::Run);
+    assert_eq!(gate.arrive(&arrival(Urgency::Urgent, "t", later), now), Admission::Run);
     let mut ordinary = 0;
-    while gate.arrive(&arrival(Urgency::Ordinary, "t", later), now) == Entry::Run {
+    while gate.arrive(&arrival(Urgency::Ordinary, "t", later), now) == Admission::Run {
         ordinary += 1;
     }
     assert!(ordinary < 16, "{ordinary}: room is kept while urgent ones come");
     let urgent = gate.arrive(&arrival(Urgency::Urgent, "t", later), now);
-    assert_eq!(urgent, Entry::Run, "the room is for urgent ones, at once");
+    assert_eq!(urgent, Admission::Run, "the room is for urgent ones, at once");
 }
 
 #[test]
@@ -191,11 +193,11 @@
     let now = Instant::now();
     let (mut gate, _) = full_gate(now);
     let soon = |now| arrival(Urgency::Urgent, "t", at(now, 250));
-    let Entry::Wait(_) = gate.arrive(&soon(now), now) else { panic!("it waits") };
+    let Admission::Wait(_) = gate.arrive(&soon(now), now) else { panic!("it waits") };
     let later = at(now, 200);
     end_one(&mut gate, later);
     let entry = gate.arrive(&soon(later), later);
-    assert!(matches!(entry, Entry::Wait(_)), "a long wait once does not refuse for ever: {entry:?}");
+    assert!(matches!(entry, Admission::Wait(_)), "a long wait once does not refuse for ever: {entry:?}");
 }
 
 #[test]
@@ -205,7 +207,7 @@
     let (mut gate, _) = full_gate(now);
     let hopeless = arrival(Urgency::Ordinary, "t", at(now, 1));
     let refused = |gate: &mut Gate, now: Instant| match gate.arrive(&hopeless, now) {
-        Entry::Refuse(_, wait) => wait,
+        Admission::Refuse(_, wait) => wait,
         other => panic!("{other:?}"),
     };
     let waits: Vec<Duration> = (0..50).map(|_| refused(&mut gate, now)).collect();
@@ -222,10 +224,10 @@
     let now = Instant::now();
     let (mut gate, running) = full_gate(now);
     let before = gate.limit();
-    let crowd = Crowd { waited: 0, shards: 20, objective: true, progress: None };
+    let crowd = Congestion { waited: 0, shards: 20, objective: true, progress: None };
     for number in 0..running {
         let took = Duration::from_millis(if number == 0 { 10 } else { 190 });
-        gate.leave(&"t".into(), took, crowd, at(now, 200));
+        gate.complete(&"t".into(), took, crowd, at(now, 200));
     }
     assert!(gate.limit() >= before, "{} {before}", gate.limit());
 }
@@ -235,8 +237,8 @@
     let now = Instant::now();
     let (mut gate, _) = full_gate(now);
     let before = gate.limit();
-    let crowd = Crowd { waited: 5, shards: 20, objective: false, progress: None };
-    gate.leave(&"t".into(), Duration::from_millis(10), crowd, now);
+    let crowd = Congestion { waited: 5, shards: 20, objective: false, progress: None };
+    gate.complete(&"t".into(), Duration::from_millis(10), crowd, now);
     assert!(gate.limit() < before);
     let shrunk = gate.limit();
     for _ in 0..20 {
@@ -284,18 +286,18 @@
                     let team: Arc<str> = team.to_string().into();
                     let next = arrival(urgency(class), &team, at(now, deadline));
                     match gate.arrive(&next, now) {
-                        Entry::Run => running.push(team),
-                        Entry::Wait(id) => prop_assert!(waiting.insert(id, team).is_none()),
-                        Entry::Refuse(code, _) => prop_assert!((2000..3000).contains(&code.number())),
+                        Admission::Run => running.push(team),
+                        Admission::Wait(id) => prop_assert!(waiting.insert(id, team).is_none()),
+                        Admission::Refuse(code, _) => prop_assert!((2000..3000).contains(&code.number())),
                     }
                 }
                 Step::Leave(n, waited) if !running.is_empty() => {
                     let team = running.swap_remove(n % running.len());
-                    let crowd = Crowd { waited, shards: 20, objective: false, progress: None };
-                    for called in gate.leave(&team, Duration::from_millis(20), crowd, now) {
-                        let (Called::Run(id) | Called::Refuse(id, _)) = called;
+                    let crowd = Congestion { waited, shards: 20, objective: false, progress: None };
+                    for called in gate.complete(&team, Duration::from_millis(20), crowd, now) {
+                        let (Dequeued::Run(id) | Dequeued::Refuse(id, _)) = called;
                         let team = waiting.remove(&id).expect("it was waiting");
-                        if matches!(called, Called::Run(_)) {
+                        if matches!(called, Dequeued::Run(_)) {
                             running.push(team);
                         }
                     }
--- a/crates/harefield/tests/decisions/fair_shares.rs
+++ b/crates/harefield/tests/decisions/fair_shares.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use harefield::domain::admission::Admission;
 use harefield::domain::admission::Arrival;
-use harefield::domain::admission::Called;
-use harefield::domain::admission::Crowd;
-use harefield::domain::admission::Entry;
+use harefield::domain::admission::Congestion;
+use harefield::domain::admission::Dequeued;
 use harefield::domain::admission::Gate;
 use harefield::domain::admission::GateLimits;
 use harefield::domain::admission::WaiterId;
@@ -64,9 +64,9 @@
             late: false,
         };
         match self.gate.arrive(&arrival, now) {
-            Entry::Run => self.run(account, now, now),
-            Entry::Wait(id) => drop(self.waiting.insert(id, (Arc::clone(account), now))),
-            Entry::Refuse(..) => {}
+            Admission::Run => self.run(account, now, now),
+            Admission::Wait(id) => drop(self.waiting.insert(id, (Arc::clone(account), now))),
+            Admission::Refuse(..) => {}
         }
     }
 
@@ -80,10 +80,10 @@
     fn end_due(&mut self, now: Instant) {
         while let Some(at) = self.running.iter().position(|(until, _)| *until <= now) {
             let (_, account) = self.running.swap_remove(at);
-            for call in self.gate.leave(&account, RUNS, Crowd::default(), now) {
-                let (Called::Run(id) | Called::Refuse(id, _)) = call;
+            for call in self.gate.complete(&account, RUNS, Congestion::default(), now) {
+                let (Dequeued::Run(id) | Dequeued::Refuse(id, _)) = call;
                 let Some((account, arrived)) = self.waiting.remove(&id) else { continue };
-                if matches!(call, Called::Run(_)) {
+                if matches!(call, Dequeued::Run(_)) {
                     self.run(&account, arrived, now);
                 }
             }
--- a/crates/harefield/tests/decisions/limits_model.rs
+++ b/crates/harefield/tests/decisions/limits_model.rs
@@ -13,7 +13,7 @@
 
 use crate::support::row;
 use harefield::domain::accounts::FleetLimit;
-use harefield::domain::accounts::GrantAnswer;
+use harefield::domain::accounts::GrantResponse;
 use harefield::domain::accounts::Grants;
 use harefield::domain::accounts::Holders;
 use harefield::domain::accounts::Overage;
@@ -80,8 +80,8 @@
         let zones: Vec<Arc<str>> = (0..6).map(|number| format!("z{number}").into()).collect();
         let rows: Vec<Row> = (0..daemons).map(|number| row(number, &zones[number % 6])).collect();
         let start = Instant::now();
-        let mut seen = Holders::over(&zones, &zones[0]);
-        seen.see(&rows, start);
+        let mut seen = Holders::new(&zones, &zones[0]);
+        seen.update(&rows, start);
         let grants = rows.iter().map(|row| (Arc::clone(&row.host), Grants::new(start))).collect();
         let limit = FleetLimit::of(account, &OVERAGE).expect("it has a limit");
         Self { rows, zones, grants, seen, seen_cut: BTreeMap::new(), start, limit, division }
@@ -96,18 +96,18 @@
             // Views cost much at this size, and one that sees nobody is like another.
             if self.seen_cut.len() < 60 {
                 let mut holders = self.seen.clone();
-                holders.see(&alone, now);
+                holders.update(&alone, now);
                 self.seen_cut.insert(number, holders);
             }
         }
         let mut rows = self.rows.clone();
         rows.iter_mut().enumerate().filter(|(number, _)| is_cut(*number)).for_each(|(_, row)| suspect(row));
-        self.seen.see(&rows, now);
+        self.seen.update(&rows, now);
     }
 
     fn mend(&mut self, now: Instant) {
         self.seen_cut.clear();
-        self.seen.see(&self.rows, now);
+        self.seen.update(&self.rows, now);
     }
 
     /// Asks for a permit at a daemon.
@@ -117,7 +117,7 @@
             let part = self.limit.part(daemons);
             return self.grant(&Arc::clone(&self.rows[number].host), 0, part, now);
         }
-        let parts = self.limit.parts(self.seen.wanted());
+        let parts = self.limit.parts(self.seen.part_count());
         let own = self.rows[number].clone();
         let alone = self.seen_cut.contains_key(&number);
         let mut order: Vec<u32> = (0..parts).collect();
@@ -133,7 +133,7 @@
 
     fn grant(&mut self, host: &HostId, part: u32, limit: PartLimit, now: Instant) -> bool {
         let grants = self.grants.get_mut(host).expect("it is a daemon");
-        matches!(grants.grant(&(ACCOUNT.into(), part), limit, 1, now), GrantAnswer::Granted(_))
+        matches!(grants.grant(&(ACCOUNT.into(), part), limit, 1, now), GrantResponse::Granted(_))
     }
 }
 
--- a/crates/harefield/tests/decisions/overload.rs
+++ b/crates/harefield/tests/decisions/overload.rs
@@ -11,10 +11,10 @@
 use std::time::Instant;
 
 use crate::support::at;
+use harefield::domain::admission::Admission;
 use harefield::domain::admission::Arrival;
-use harefield::domain::admission::Called;
-use harefield::domain::admission::Crowd;
-use harefield::domain::admission::Entry;
+use harefield::domain::admission::Congestion;
+use harefield::domain::admission::Dequeued;
 use harefield::domain::admission::Gate;
 use harefield::domain::admission::GateLimits;
 use harefield::domain::admission::Progress;
@@ -118,9 +118,9 @@
         let daemon = usize::try_from(self.draw.below(DAEMONS as u64)).expect("it is small");
         let arrival = arrival_of(&caller, self.start);
         match self.gates[daemon].arrive(&arrival, at(self.start, now)) {
-            Entry::Run => self.run(daemon, caller, now),
-            Entry::Wait(id) => self.waiting[daemon].push((id, caller)),
-            Entry::Refuse(_, wait) => self.refuse(caller, wait, now),
+            Admission::Run => self.run(daemon, caller, now),
+            Admission::Wait(id) => self.waiting[daemon].push((id, caller)),
+            Admission::Refuse(_, wait) => self.refuse(caller, wait, now),
         }
     }
 
@@ -150,14 +150,14 @@
         self.running.push(Running { caller, daemon, begun: now, due, waited, in_at, left: false });
     }
 
-    fn take(&mut self, daemon: usize, calls: Vec<Called>, now: u64) {
+    fn take(&mut self, daemon: usize, calls: Vec<Dequeued>, now: u64) {
         for call in calls {
-            let (Called::Run(id) | Called::Refuse(id, _)) = call;
+            let (Dequeued::Run(id) | Dequeued::Refuse(id, _)) = call;
             let place = self.waiting[daemon].iter().position(|(held, _)| *held == id).expect("it waits");
             let (_, caller) = self.waiting[daemon].swap_remove(place);
             match call {
-                Called::Run(_) => self.run(daemon, caller, now),
-                Called::Refuse(_, wait) => self.refuse(caller, wait, now),
+                Dequeued::Run(_) => self.run(daemon, caller, now),
+                Dequeued::Refuse(_, wait) => self.refuse(caller, wait, now),
             }
         }
     }
@@ -181,7 +181,7 @@
         self.running.retain(|running| !running.left);
         for (daemon, took, crowd) in ended {
             let took = Duration::from_millis(took);
-            let called = self.gates[daemon].leave(&"t".into(), took, crowd, at(self.start, now));
+            let called = self.gates[daemon].complete(&"t".into(), took, crowd, at(self.start, now));
             self.take(daemon, called, now);
         }
     }
@@ -189,7 +189,7 @@
     fn step(&mut self, now: u64) {
         self.answer(now);
         for daemon in 0..DAEMONS {
-            let called = self.gates[daemon].call(at(self.start, now));
+            let called = self.gates[daemon].dequeue(at(self.start, now));
             self.take(daemon, called, now);
         }
         let due: Vec<Caller> =
@@ -212,11 +212,11 @@
     }
 }
 
-fn crowd_of(running: &Running) -> Crowd {
+fn crowd_of(running: &Running) -> Congestion {
     let after = |count: usize| Duration::from_millis(running.in_at[count - 1] - running.begun);
     let allowed = Duration::from_millis(OBJECTIVE_MS - MARGIN_MS);
     let progress = Progress { half: after(SHARDS / 2), enough: after(ENOUGH), allowed };
-    Crowd { waited: running.waited, shards: SHARDS, objective: true, progress: Some(progress) }
+    Congestion { waited: running.waited, shards: SHARDS, objective: true, progress: Some(progress) }
 }
 
 /// Returns how many a second are answered in time at `per_s`.
--- a/crates/harefield/tests/decisions/suspects.rs
+++ b/crates/harefield/tests/decisions/suspects.rs
@@ -11,7 +11,7 @@
 use crate::support::at;
 use crate::support::cases;
 use harefield::domain::ids::UpstreamId;
-use harefield::domain::suspects::Standing;
+use harefield::domain::suspects::Clearance;
 use harefield::domain::suspects::Suspect;
 use harefield::domain::suspects::SuspectReport;
 use harefield::domain::suspects::Suspects;
@@ -23,7 +23,7 @@
 /// How long after the last end a work may be run alone.
 const APART: Duration = Duration::from_millis(250);
 
-const ALONE: Standing = Standing::Alone(Duration::ZERO);
+const ALONE: Clearance = Clearance::Alone(Duration::ZERO);
 
 fn work(number: u64) -> Work {
     Work { exact: number, path: number }
@@ -36,14 +36,14 @@
 /// Ends the upstreams of a wide fan-out, as a request does that ends all of them.
 fn end_many(suspects: &mut Suspects, work: &Work, count: usize, now: Instant) {
     for number in 0..count {
-        suspects.end(work, &upstream(number), false, at(now, 60 + number as u64));
+        suspects.record_end(work, &upstream(number), false, at(now, 60 + number as u64));
     }
 }
 
 /// Tells one daemon all that another knows.
 fn tell(from: &mut Suspects, to: &mut Suspects, now: Instant) {
     for suspect in from.digest(now) {
-        to.hear(&SuspectReport::new(&suspect, now).heard(now), now);
+        to.merge(&SuspectReport::new(&suspect, now).to_suspect(now), now);
     }
 }
 
@@ -51,27 +51,27 @@
 fn alone_then_withheld() {
     let (start, mut suspects) = (Instant::now(), Suspects::default());
     let work = work(1);
-    suspects.end(&work, &upstream(1), false, start);
-    suspects.end(&work, &upstream(2), true, start);
-    assert_eq!(suspects.standing(&work, start), Standing::Free, "two tell nothing");
-    suspects.end(&work, &upstream(3), false, start);
-    assert_eq!(suspects.standing(&work, start), Standing::Alone(APART));
-    suspects.end(&work, &upstream(4), true, at(start, 100));
-    suspects.end(&work, &upstream(5), true, at(start, 400));
-    assert_eq!(suspects.standing(&work, at(start, 650)), ALONE, "one may be a coincidence");
+    suspects.record_end(&work, &upstream(1), false, start);
+    suspects.record_end(&work, &upstream(2), true, start);
+    assert_eq!(suspects.clearance(&work, start), Clearance::Free, "two tell nothing");
+    suspects.record_end(&work, &upstream(3), false, start);
+    assert_eq!(suspects.clearance(&work, start), Clearance::Alone(APART));
+    suspects.record_end(&work, &upstream(4), true, at(start, 100));
+    suspects.record_end(&work, &upstream(5), true, at(start, 400));
+    assert_eq!(suspects.clearance(&work, at(start, 650)), ALONE, "one may be a coincidence");
     let mut last = at(start, 700);
-    suspects.end(&work, &upstream(6), true, last);
+    suspects.record_end(&work, &upstream(6), true, last);
     for (trial, pause) in PAUSES.into_iter().enumerate() {
         let pause = Duration::from_secs(pause);
-        assert_eq!(suspects.standing(&work, last), Standing::Withheld(pause));
+        assert_eq!(suspects.clearance(&work, last), Clearance::Withheld(pause));
         last += pause;
-        assert_eq!(suspects.standing(&work, last), ALONE, "it is tried once more");
-        suspects.end(&work, &upstream(10 + trial), true, last);
+        assert_eq!(suspects.clearance(&work, last), ALONE, "it is tried once more");
+        suspects.record_end(&work, &upstream(10 + trial), true, last);
     }
     let hour = Duration::from_secs(3600);
-    assert_eq!(suspects.standing(&work, last), Standing::Withheld(hour), "until it is forgotten");
+    assert_eq!(suspects.clearance(&work, last), Clearance::Withheld(hour), "until it is forgotten");
     assert!(suspects.digest(last + hour).is_empty(), "it is");
-    assert_eq!(suspects.standing(&work, last + hour), Standing::Free);
+    assert_eq!(suspects.clearance(&work, last + hour), Clearance::Free);
 }
 
 #[test]
@@ -79,16 +79,16 @@
     let (start, mut suspects) = (Instant::now(), Suspects::default());
     let work = work(1);
     end_many(&mut suspects, &work, 20, start);
-    suspects.end(&work, &upstream(30), true, at(start, 400));
-    suspects.end(&work, &upstream(31), true, at(start, 700));
-    assert!(matches!(suspects.standing(&work, at(start, 800)), Standing::Withheld(_)));
-    assert_eq!(suspects.answer(&work, at(start, 31_000)).len(), 1);
-    assert_eq!(suspects.standing(&work, at(start, 31_000)), Standing::Free);
+    suspects.record_end(&work, &upstream(30), true, at(start, 400));
+    suspects.record_end(&work, &upstream(31), true, at(start, 700));
+    assert!(matches!(suspects.clearance(&work, at(start, 800)), Clearance::Withheld(_)));
+    assert_eq!(suspects.record_answer(&work, at(start, 31_000)).len(), 1);
+    assert_eq!(suspects.clearance(&work, at(start, 31_000)), Clearance::Free);
     // What ends around it ends for another reason; what ends later counts anew.
     end_many(&mut suspects, &work, 20, at(start, 32_000));
-    assert_eq!(suspects.standing(&work, at(start, 33_000)), Standing::Free);
+    assert_eq!(suspects.clearance(&work, at(start, 33_000)), Clearance::Free);
     end_many(&mut suspects, &work, 20, at(start, 40_000));
-    assert_eq!(suspects.standing(&work, at(start, 41_000)), ALONE);
+    assert_eq!(suspects.clearance(&work, at(start, 41_000)), ALONE);
 }
 
 #[test]
@@ -96,12 +96,12 @@
     let (start, mut suspects) = (Instant::now(), Suspects::default());
     let work = work(1);
     for millis in [0, 10, 400] {
-        suspects.end(&work, &upstream(1), false, at(start, millis));
+        suspects.record_end(&work, &upstream(1), false, at(start, millis));
     }
-    assert_eq!(suspects.standing(&work, at(start, 500)), Standing::Free, "one upstream, once");
-    suspects.end(&work, &upstream(1), false, at(start, 3000));
-    suspects.end(&work, &upstream(1), false, at(start, 6000));
-    assert_eq!(suspects.standing(&work, at(start, 6250)), ALONE, "it is back, and ends again");
+    assert_eq!(suspects.clearance(&work, at(start, 500)), Clearance::Free, "one upstream, once");
+    suspects.record_end(&work, &upstream(1), false, at(start, 3000));
+    suspects.record_end(&work, &upstream(1), false, at(start, 6000));
+    assert_eq!(suspects.clearance(&work, at(start, 6250)), ALONE, "it is back, and ends again");
 }
 
 #[test]
@@ -111,17 +111,17 @@
     let (start, mut suspects) = (Instant::now(), Suspects::default());
     let search = |exact| Work { exact, path: 100 };
     for number in 0..3 {
-        suspects.end(&search(number), &upstream(1), false, at(start, number * 2000));
+        suspects.record_end(&search(number), &upstream(1), false, at(start, number * 2000));
     }
-    assert_eq!(suspects.standing(&search(7), at(start, 6000)), ALONE);
-    suspects.answer(&search(8), at(start, 6000));
-    assert_eq!(suspects.standing(&search(7), at(start, 6000)), Standing::Free);
+    assert_eq!(suspects.clearance(&search(7), at(start, 6000)), ALONE);
+    suspects.record_answer(&search(8), at(start, 6000));
+    assert_eq!(suspects.clearance(&search(7), at(start, 6000)), Clearance::Free);
     for number in 0..3 {
-        suspects.end(&search(9), &upstream(2), false, at(start, 20_000 + number * 2000));
-        suspects.answer(&search(10 + number), at(start, 20_001 + number * 2000));
+        suspects.record_end(&search(9), &upstream(2), false, at(start, 20_000 + number * 2000));
+        suspects.record_answer(&search(10 + number), at(start, 20_001 + number * 2000));
     }
-    assert_eq!(suspects.standing(&search(9), at(start, 25_000)), ALONE, "itself is known");
-    assert_eq!(suspects.standing(&search(8), at(start, 25_000)), Standing::Free, "others are not");
+    assert_eq!(suspects.clearance(&search(9), at(start, 25_000)), ALONE, "itself is known");
+    assert_eq!(suspects.clearance(&search(8), at(start, 25_000)), Clearance::Free, "others are not");
 }
 
 #[test]
@@ -130,21 +130,21 @@
     let start = Instant::now();
     let work = work(1);
     let mut answers = Suspects::default();
-    answers.answer(&work, start);
+    answers.record_answer(&work, start);
     let mut others = [Suspects::default(), Suspects::default(), Suspects::default()];
     for (number, other) in others.iter_mut().enumerate() {
-        other.end(&work, &upstream(number), false, at(start, 1000));
+        other.record_end(&work, &upstream(number), false, at(start, 1000));
     }
     let [mut first, mut second, mut third] = others;
     let now = at(start, 1010);
     tell(&mut second, &mut first, now);
     tell(&mut third, &mut first, now);
-    assert!(matches!(first.standing(&work, now), Standing::Alone(_)));
+    assert!(matches!(first.clearance(&work, now), Clearance::Alone(_)));
     let told: Vec<Suspect> = first.digest(now);
-    let heard = answers.hear(&told[0], now);
+    let heard = answers.merge(&told[0], now);
     assert!(heard.cleared, "it can tell");
     tell(&mut answers, &mut first, now);
-    assert_eq!(first.standing(&work, now), Standing::Free);
+    assert_eq!(first.clearance(&work, now), Clearance::Free);
 }
 
 #[test]
@@ -153,14 +153,14 @@
     // one that is withheld nor more memory and bytes than are meant for it.
     let (start, mut suspects) = (Instant::now(), Suspects::default());
     end_many(&mut suspects, &work(0), 20, start);
-    suspects.end(&work(0), &upstream(30), true, at(start, 400));
-    suspects.end(&work(0), &upstream(31), true, at(start, 700));
+    suspects.record_end(&work(0), &upstream(30), true, at(start, 400));
+    suspects.record_end(&work(0), &upstream(31), true, at(start, 700));
     for number in 1..5000 {
         end_many(&mut suspects, &work(number), 6, at(start, 800 + number));
     }
     let now = at(start, 6000);
     assert_eq!(suspects.counts(now), (1024, 1024));
-    assert!(matches!(suspects.standing(&work(0), now), Standing::Withheld(_)));
+    assert!(matches!(suspects.clearance(&work(0), now), Clearance::Withheld(_)));
     let held = suspects.suspect(4999).expect("the last is held");
     assert!(held.evidence.ends().len() <= 4);
     let mut told = std::collections::BTreeSet::new();
@@ -180,8 +180,8 @@
     assert_eq!(messages, 1024 * 6 / 16, "and a few times");
     assert_eq!(suspects.digest(at(now, 29_000)).len(), 0);
     assert_eq!(suspects.digest(at(now, 30_000)).len(), 16, "and again later, for who was away");
-    assert_eq!(suspects.gravest(now).len(), 64);
-    assert_eq!(suspects.gravest(now)[0].work, 0);
+    assert_eq!(suspects.most_severe(now).len(), 64);
+    assert_eq!(suspects.most_severe(now)[0].work, 0);
     let untried = Duration::from_secs(11 * 60);
     suspects.digest(now + untried);
     assert_eq!(suspects.counts(now + untried), (1, 1), "what was never run alone is forgotten");
@@ -204,9 +204,9 @@
             // An upstream that ended is back after seconds.
             let millis = life * 2500 + number as u64 * 100;
             if number == 7 {
-                all[place].answer(&work(1), at(start, millis));
+                all[place].record_answer(&work(1), at(start, millis));
             } else {
-                all[place].end(&work(1), &upstream(number), alone, at(start, millis));
+                all[place].record_end(&work(1), &upstream(number), alone, at(start, millis));
             }
         }
         let now = at(start, 9000);
@@ -215,11 +215,11 @@
             if from != to {
                 let told = all[from].digest(now);
                 for suspect in told {
-                    all[to].hear(&suspect, now);
+                    all[to].merge(&suspect, now);
                 }
             }
         }
-        let standings = all.each_ref().map(|suspects| suspects.standing(&work(1), now));
+        let standings = all.each_ref().map(|suspects| suspects.clearance(&work(1), now));
         prop_assert_eq!(standings[0], standings[1]);
         prop_assert_eq!(standings[1], standings[2]);
     }
@@ -235,18 +235,18 @@
         let (mut now, mut ended) = (Instant::now(), 0);
         for (number, place) in comings.into_iter().enumerate() {
             now = at(now, 400);
-            let alone = match all[place].standing(&work(1), now) {
-                Standing::Free => false,
-                Standing::Alone(_) => true,
-                Standing::Withheld(_) => continue,
+            let alone = match all[place].clearance(&work(1), now) {
+                Clearance::Free => false,
+                Clearance::Alone(_) => true,
+                Clearance::Withheld(_) => continue,
             };
             ended += 1;
-            all[place].end(&work(1), &upstream(ended), alone, now);
+            all[place].record_end(&work(1), &upstream(ended), alone, now);
             let told = all[place].digest(now);
             for (other, suspects) in all.iter_mut().enumerate() {
                 if heard[number * 5 + other] {
                     for suspect in &told {
-                        suspects.hear(suspect, now);
+                        suspects.merge(suspect, now);
                     }
                 }
             }
@@ -277,10 +277,10 @@
             let sent = request * 100;
             let crash = [1000, 4000, 7000].into_iter().find(|at| (*at..*at + 60).contains(&(sent + 60)));
             asked += 1;
-            match suspects.standing(&work, at(start, sent)) {
-                Standing::Withheld(_) => held += 1,
-                Standing::Alone(_) => alone += 1,
-                Standing::Free => {}
+            match suspects.clearance(&work, at(start, sent)) {
+                Clearance::Withheld(_) => held += 1,
+                Clearance::Alone(_) => alone += 1,
+                Clearance::Free => {}
             }
             let mut answered = false;
             let mut lost = Vec::new();
@@ -293,16 +293,16 @@
             }
             // Its fan-out has an answer, or asks what was lost again, alone, of those left.
             if answered {
-                suspects.answer(&work, at(start, sent + random.random_range(10..60)));
+                suspects.record_answer(&work, at(start, sent + random.random_range(10..60)));
                 continue;
             }
             for shard in lost {
-                suspects.end(&work, &upstream(shard), false, at(start, sent + 60));
+                suspects.record_end(&work, &upstream(shard), false, at(start, sent + 60));
             }
             if random.random_bool(13.0 / 40.0) {
-                suspects.end(&work, &upstream(30), true, at(start, sent + 80));
+                suspects.record_end(&work, &upstream(30), true, at(start, sent + 80));
             } else {
-                suspects.answer(&work, at(start, sent + 100));
+                suspects.record_answer(&work, at(start, sent + 100));
             }
         }
     }
@@ -314,11 +314,11 @@
         let (start, mut suspects) = (Instant::now(), Suspects::default());
         for coming in 0..3_u64 {
             let now = at(start, coming * 4000);
-            if suspects.standing(&work(1), now) == Standing::Free {
+            if suspects.clearance(&work(1), now) == Clearance::Free {
                 end_many(&mut suspects, &work(1), random.random_range(1..21), now);
             }
         }
-        free += usize::from(suspects.standing(&work(1), at(start, 12_000)) == Standing::Free);
+        free += usize::from(suspects.clearance(&work(1), at(start, 12_000)) == Clearance::Free);
     }
     assert!(free <= 1, "{free} harmful requests free after three comings, of 200");
 }
@@ -329,9 +329,9 @@
     // was sent from each to the next, do not show that it ends them.
     let (start, mut suspects) = (Instant::now(), Suspects::default());
     for number in 0..20 {
-        suspects.end(&work(1), &upstream(number), true, at(start, number as u64 * 100));
+        suspects.record_end(&work(1), &upstream(number), true, at(start, number as u64 * 100));
     }
-    assert_eq!(suspects.standing(&work(1), at(start, 3000)), ALONE);
+    assert_eq!(suspects.clearance(&work(1), at(start, 3000)), ALONE);
 }
 
 #[test]
@@ -340,13 +340,13 @@
     let (start, later) = (Instant::now(), Duration::from_hours(2));
     let mut suspects = Suspects::default();
     for number in 0..3 {
-        suspects.end(&work(1), &upstream(number), true, at(start, number as u64 * 5000));
+        suspects.record_end(&work(1), &upstream(number), true, at(start, number as u64 * 5000));
     }
-    assert_ne!(suspects.standing(&work(1), at(start, 11_000)), Standing::Free);
-    assert_eq!(suspects.standing(&work(1), start + later), Standing::Free);
-    suspects.end(&work(1), &upstream(9), true, start + later);
+    assert_ne!(suspects.clearance(&work(1), at(start, 11_000)), Clearance::Free);
+    assert_eq!(suspects.clearance(&work(1), start + later), Clearance::Free);
+    suspects.record_end(&work(1), &upstream(9), true, start + later);
     let mut fresh = Suspects::default();
-    fresh.end(&work(1), &upstream(9), true, start + later);
+    fresh.record_end(&work(1), &upstream(9), true, start + later);
     let now = start + later + Duration::from_millis(10);
-    assert_eq!(suspects.standing(&work(1), now), fresh.standing(&work(1), now));
+    assert_eq!(suspects.clearance(&work(1), now), fresh.clearance(&work(1), now));
 }
--- a/crates/harefield/tests/processes/silent_connections.rs
+++ b/crates/harefield/tests/processes/silent_connections.rs
@@ -17,7 +17,7 @@
 use harefield::adapters::peers::HttpPeers;
 use harefield::adapters::upstreams::HttpUpstreams;
 use harefield::adapters::upstreams::OwnProtocol;
-use harefield::domain::accounts::Asker;
+use harefield::domain::accounts::Requester;
 use harefield::domain::fanout::Echo;
 use harefield::domain::hlc::Stamp;
 use harefield::domain::query::ByteQuery;
@@ -103,7 +103,7 @@
         possible: None,
         suspects: Vec::new(),
         regions: Regions::default(),
-        asker: Asker::default(),
+        asker: Requester::default(),
     }
 }
 
@@ -156,7 +156,7 @@
         drain: Duration::ZERO,
         once: false,
         query: Query::Json(b"{}".to_vec().into()),
-        asker: Asker::default(),
+        asker: Requester::default(),
     }
 }
 
--- a/crates/harefield/tests/processes/site.rs
+++ b/crates/harefield/tests/processes/site.rs
@@ -19,7 +19,7 @@
 use crate::support::await_true;
 use harefield::adapters::http::Traffic;
 use harefield::adapters::peers::HttpPeers;
-use harefield::domain::accounts::Asker;
+use harefield::domain::accounts::Requester;
 use harefield::domain::event::Event;
 use harefield::domain::event::Record;
 use harefield::domain::hlc::Stamp;
@@ -252,7 +252,7 @@
         possible: None,
         suspects: Vec::new(),
         regions: Regions::default(),
-        asker: Asker::default(),
+        asker: Requester::default(),
     }
 }
 
--- a/crates/harefield/tests/processes/site_cells.rs
+++ b/crates/harefield/tests/processes/site_cells.rs
@@ -16,7 +16,7 @@
 use crate::support::await_true;
 use harefield::adapters::http::Traffic;
 use harefield::adapters::peers::HttpPeers;
-use harefield::domain::accounts::Asker;
+use harefield::domain::accounts::Requester;
 use harefield::domain::code::Code;
 use harefield::domain::hlc::Stamp;
 use harefield::domain::outcome::Answer;
@@ -142,7 +142,7 @@
         late: false,
         suspects: Vec::new(),
         again: false,
-        asker: Asker::default(),
+        asker: Requester::default(),
     }
 }
 
