--- a/crates/harefield/src/domain/accounts/directory.rs
+++ b/crates/harefield/src/domain/accounts/directory.rs
@@ -1,26 +1,26 @@
-//! Which account a key is of, in one configuration.
+//! The mapping from API keys to client accounts in one configuration.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use super::asker::Requester;
+use super::requester::Requester;
 use crate::domain::ids::AccountId;
 use crate::domain::key::Credential;
 use crate::domain::key::KeyDigest;
 use crate::domain::resources::Account;
 use crate::domain::resources::ResourceSet;
 
-/// An account with its name.
+/// A client account with its name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Client {
-    /// Its name.
+    /// The name of the account.
     pub name: AccountId,
-    /// The resource.
+    /// The account as published.
     pub account: Arc<Account>,
 }
 
 impl Client {
-    /// Returns what other daemons are told of its requests.
+    /// Returns what is sent to other daemons with its requests.
     #[must_use]
     pub fn requester(&self) -> Requester {
         Requester {
@@ -32,74 +32,76 @@
     }
 }
 
-/// Who sends a request.
+/// The result of identifying the sender of a request.
 #[derive(Clone, Debug)]
 pub enum Identity {
-    /// Anyone: no accounts are in force, or the lookup is public and no key was shown.
+    /// Anyone: no accounts are in force, or the lookup is public and no key was sent.
     Anyone(Requester),
-    /// An account.
+    /// A known account.
     Known(Arc<Client>),
-    /// Nobody that may ask: there is no key, or nothing that is one.
+    /// A key is required, and none was sent or it is malformed.
     Missing,
-    /// A key that no account has.
+    /// A well-formed key that no account lists.
     Unknown(KeyDigest),
 }
 
-/// The accounts of one configuration, by their keys.
+/// The accounts of one configuration, by key and by name.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
-    /// Whether lookups that are not public ask for a key.
+    /// Whether lookups that are not public require a key.
     required: bool,
-    clients: HashMap<KeyDigest, Arc<Client>>,
-    names: HashMap<AccountId, Arc<Client>>,
+    by_key: HashMap<KeyDigest, Arc<Client>>,
+    by_name: HashMap<AccountId, Arc<Client>>,
 }
 
 impl Directory {
-    /// Creates the directory of a set; `required` asks for keys also where it has no accounts.
+    /// Creates the directory of a resource set; `required` makes keys mandatory even where the set
+    /// has no accounts.
     #[must_use]
     pub fn new(set: &ResourceSet, required: bool) -> Self {
         let mut directory = Self { required: required || set.has_accounts(), ..Self::default() };
         for (name, account) in &set.accounts {
             let client = Arc::new(Client { name: Arc::clone(name), account: Arc::clone(account) });
             for key in &account.keys {
-                directory.clients.insert(*key, Arc::clone(&client));
+                directory.by_key.insert(*key, Arc::clone(&client));
             }
-            directory.names.insert(Arc::clone(name), client);
+            directory.by_name.insert(Arc::clone(name), client);
         }
         directory
     }
 
-    /// Returns whether it says the same as a set.
+    /// Returns whether it was built from the same accounts, by pointer, and the same requirement.
     #[must_use]
     pub fn matches(&self, set: &ResourceSet, required: bool) -> bool {
         let held = |(name, account): (&AccountId, &Arc<Account>)| {
-            self.names.get(name).is_some_and(|client| Arc::ptr_eq(&client.account, account))
+            self.by_name.get(name).is_some_and(|client| Arc::ptr_eq(&client.account, account))
         };
         self.required == (required || set.has_accounts())
-            && self.names.len() == set.accounts.len()
+            && self.by_name.len() == set.accounts.len()
             && set.accounts.iter().all(held)
     }
 
-    /// Returns whether lookups that are not public ask for a key.
+    /// Returns whether lookups that are not public require a key.
     #[must_use]
     pub fn is_required(&self) -> bool {
         self.required
     }
 
-    /// Returns an account by its name.
+    /// Returns the account of a name.
     #[must_use]
     pub fn client(&self, name: &str) -> Option<&Arc<Client>> {
-        self.names.get(name)
+        self.by_name.get(name)
     }
 
-    /// Says who sends a request for a lookup that is `public` or not.
+    /// Identifies the sender of a request by its credential. `public` tells whether the lookup may
+    /// be used without a key.
     #[must_use]
     pub fn identify(&self, credential: Credential, public: bool) -> Identity {
         if !self.required {
             return Identity::Anyone(Requester::default());
         }
         match credential {
-            Credential::Key(key) => match self.clients.get(&key) {
+            Credential::Key(key) => match self.by_key.get(&key) {
                 Some(client) => Identity::Known(Arc::clone(client)),
                 None => Identity::Unknown(key),
             },
--- a/crates/harefield/src/domain/accounts/grants.rs
+++ b/crates/harefield/src/domain/accounts/grants.rs
@@ -1,4 +1,4 @@
-//! The parts of accounts' limits that this daemon holds.
+//! The parts of accounts' rate limits that this daemon holds, as token buckets.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,86 +7,88 @@
 use super::holders::SlotId;
 use super::limit::PartLimit;
 
-/// Turns to come back are given out so far ahead at most.
-const HORIZON: Duration = Duration::from_secs(2);
+/// The longest time after which a rejected caller is asked to retry.
+const RETRY_HORIZON: Duration = Duration::from_secs(2);
 
-/// How often the parts that are full are dropped: one that is made anew is full as well.
-const SWEEP_EVERY: Duration = Duration::from_secs(1);
+/// How often full buckets are dropped. A bucket created later has refilled since the daemon
+/// started, so it is full as well.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The time in which a part that gives out next to nothing is taken to fill.
-const LONGEST: Duration = Duration::from_secs(86_400);
+/// The upper bound of refill times, for parts whose rate is close to zero.
+const MAX_REFILL_TIME: Duration = Duration::from_secs(86_400);
 
-/// What a holder says to who wants permits.
+/// A holder's response to a request for permits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantResponse {
-    /// So many permits, one at least.
+    /// The number of permits granted, at least one.
     Granted(u32),
-    /// None; one is free for who comes back after this time.
+    /// No permit is available; one will be for a caller that retries after this time.
     Empty(Duration),
 }
 
-/// One part, as a token bucket.
+/// The token bucket of one part.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     tokens: f64,
-    at: Instant,
-    /// When it is full if nothing more is drawn.
-    full: Instant,
-    /// The last turn that was given out.
-    turn: Instant,
+    /// When the tokens were last updated.
+    updated: Instant,
+    /// When the bucket will be full if no more tokens are taken.
+    full_at: Instant,
+    /// The last retry time that was assigned to a rejected caller.
+    last_retry: Instant,
 }
 
-/// The parts that this daemon holds; those that are full are not kept.
+/// The buckets of the parts that this daemon holds; full ones are dropped.
 #[derive(Debug)]
 pub struct Grants {
     start: Instant,
-    swept: Instant,
+    last_sweep: Instant,
     buckets: HashMap<SlotId, Bucket>,
 }
 
 impl Grants {
-    /// Creates the parts of a daemon that starts: all of them are empty, since what a former
-    /// process of it granted is not known.
+    /// Creates the parts of a daemon that starts. All buckets start empty, since the permits
+    /// granted by the daemon's previous process are unknown.
     #[must_use]
     pub fn new(start: Instant) -> Self {
-        Self { start, swept: start, buckets: HashMap::new() }
+        Self { start, last_sweep: start, buckets: HashMap::new() }
     }
 
-    /// Grants up to `wanted` permits of a part.
+    /// Grants up to `wanted` permits from a part, at least one if there is one.
     pub fn grant(&mut self, slot: &SlotId, limit: PartLimit, wanted: u32, now: Instant) -> GrantResponse {
-        if now.saturating_duration_since(self.swept) >= SWEEP_EVERY {
-            self.swept = now;
-            self.buckets.retain(|_, bucket| bucket.full > now);
+        if now.saturating_duration_since(self.last_sweep) >= SWEEP_INTERVAL {
+            self.last_sweep = now;
+            self.buckets.retain(|_, bucket| bucket.full_at > now);
         }
         let start = self.start;
         let bucket = self.buckets.entry(slot.clone()).or_insert_with(|| Bucket::since(start));
         bucket.fill(limit, now);
-        let answer = bucket.take(limit, wanted, now);
-        bucket.full = now + time_for(limit.burst - bucket.tokens, limit.rate);
-        answer
+        let response = bucket.take(limit, wanted, now);
+        bucket.full_at = now + refill_time(limit.burst - bucket.tokens, limit.rate);
+        response
     }
 
-    /// Returns how many parts are kept.
+    /// Returns the number of buckets that are kept.
     #[must_use]
     pub fn bucket_count(&self) -> usize {
         self.buckets.len()
     }
 }
 
-/// Returns how long a part takes to gather some permits.
-fn time_for(permits: f64, rate: f64) -> Duration {
-    Duration::try_from_secs_f64(permits.max(0.0) / rate).unwrap_or(LONGEST).min(LONGEST)
+/// Returns how long a bucket takes to gain a number of permits.
+fn refill_time(permits: f64, rate: f64) -> Duration {
+    Duration::try_from_secs_f64(permits.max(0.0) / rate).unwrap_or(MAX_REFILL_TIME).min(MAX_REFILL_TIME)
 }
 
 impl Bucket {
     fn since(start: Instant) -> Self {
-        Self { tokens: 0.0, at: start, full: start, turn: start }
+        Self { tokens: 0.0, updated: start, full_at: start, last_retry: start }
     }
 
     fn fill(&mut self, limit: PartLimit, now: Instant) {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
+        let passed = now.saturating_duration_since(self.updated).as_secs_f64();
         self.tokens = (self.tokens + passed * limit.rate).min(limit.burst);
-        self.at = self.at.max(now);
+        self.updated = self.updated.max(now);
     }
 
     fn take(&mut self, limit: PartLimit, wanted: u32, now: Instant) -> GrantResponse {
@@ -97,9 +99,9 @@
             self.tokens -= f64::from(granted);
             return GrantResponse::Granted(granted);
         }
-        let first = now + time_for(1.0 - self.tokens, limit.rate);
-        let turn = first.max(self.turn + time_for(1.0, limit.rate)).min(now + HORIZON);
-        self.turn = turn;
-        GrantResponse::Empty(turn.saturating_duration_since(now))
+        let first = now + refill_time(1.0 - self.tokens, limit.rate);
+        let retry = first.max(self.last_retry + refill_time(1.0, limit.rate)).min(now + RETRY_HORIZON);
+        self.last_retry = retry;
+        GrantResponse::Empty(retry.saturating_duration_since(now))
     }
 }
--- a/crates/harefield/src/domain/accounts/holders.rs
+++ b/crates/harefield/src/domain/accounts/holders.rs
@@ -1,9 +1,10 @@
-//! Which daemon holds each part of an account's limit.
+//! The assignment of the parts of accounts' limits to daemons.
 //!
-//! The parts are spread evenly over the availability zones, which all daemons know by their
-//! settings, and within a zone go to the daemon of the highest rendezvous weight. One that
-//! is cut off ranks the others as before: seen not to answer, they keep their rank, for longer
-//! where most of the zone does not, and so it does not take itself for the holder of everything.
+//! Parts are spread evenly over the availability zones, which all daemons know from their
+//! settings. Within a zone, rendezvous hashing picks the daemon. A daemon that does not answer
+//! keeps its parts for a while, and for longer where most of its zone does not answer. So a daemon
+//! that is partitioned off still assigns parts to the others, and does not consider itself the
+//! holder of all.
 
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -21,139 +22,139 @@
 use crate::domain::membership::PeerState;
 use crate::domain::membership::Row;
 
-/// Names one part of an account's limit.
+/// Identifies one part of an account's limit: the account, and the number of the part.
 pub type SlotId = (AccountId, u32);
 
-/// A daemon that has not answered for so long is replaced by the next one of its zone:
-/// longer than a restart, so that a restart moves nothing.
-const REPLACED_AFTER: Duration = Duration::from_secs(15);
+/// A daemon that has not answered for this long is replaced by the next one of its zone. It is
+/// longer than a restart, so that a restart moves no parts.
+const REPLACE_AFTER: Duration = Duration::from_secs(15);
 
-/// The same where less than half of the zone answers: it is lost for good then, or this daemon
-/// is cut off from it, and each that is would take the others' parts.
+/// The same where less than half of the zone answers. Either the zone is lost, or this daemon is
+/// partitioned off from it; in that case each such daemon would take over the others' parts.
 const LOST_AFTER: Duration = Duration::from_secs(120);
 
-/// A daemon that heard of no new one for so long knows the others: they speak to each other
-/// once a second, and tell of news at once.
-const SETTLE: Duration = Duration::from_millis(1200);
+/// A daemon that has learned of no new daemon for this long knows the others: daemons gossip once
+/// a second, and send updates immediately.
+const SETTLE_TIME: Duration = Duration::from_millis(1200);
 
-/// How many parts a limit is divided into at least, where it is large enough: the loss of
-/// one daemon then costs a sixth.
-const LEAST_PARTS: usize = 6;
+/// The least number of parts of a limit that is large enough. The loss of one daemon then costs a
+/// sixth of the limit.
+const MIN_PARTS: usize = 6;
 
-/// The most holders that are remembered.
-const MOST_RANKED: usize = 4096;
+/// The most holders that are cached.
+const MAX_CACHED: usize = 4096;
 
-/// The holders that were worked out since daemons were last seen.
+/// The holders computed since the last update of the daemons.
 #[derive(Clone, Debug, Default)]
-struct Ranked {
-    /// When one that does not answer will have been silent for long enough to be replaced.
+struct Ranking {
+    /// When the cache expires, as a daemon that does not answer may then be replaced.
     until: Option<Instant>,
     holders: HashMap<SlotId, Option<HostId>>,
 }
 
-/// The daemons by availability zone, as candidates for parts.
+/// The daemons by availability zone, as candidates for holding parts.
 #[derive(Clone, Debug, Default)]
 pub struct Holders {
     zones: Vec<Arc<str>>,
     hosts: BTreeMap<Arc<str>, BTreeSet<HostId>>,
-    /// Since when daemons have not answered.
+    /// The daemons that do not answer, and since when.
     absent: BTreeMap<HostId, Instant>,
-    /// When a daemon of the own zone was last heard of for the first time.
-    grown: Option<Instant>,
-    own: Arc<str>,
-    ranked: RefCell<Ranked>,
+    /// When a new daemon last appeared in this daemon's own zone.
+    last_new: Option<Instant>,
+    own_zone: Arc<str>,
+    ranking: RefCell<Ranking>,
 }
 
 impl Holders {
-    /// Creates the candidates over the availability zones that all daemons know of, as a
-    /// daemon of the zone `own` sees them; one zone for all where there are none.
+    /// Creates an empty set of candidates over the configured availability zones, for a daemon in
+    /// the zone `own`. Without zones, all daemons count as one zone.
     #[must_use]
     pub fn new<'a>(zones: impl IntoIterator<Item = &'a Arc<str>>, own: &Arc<str>) -> Self {
         let mut zones: Vec<Arc<str>> = zones.into_iter().map(Arc::clone).collect();
         zones.sort_unstable();
         let empty = Self { zones, ..Self::default() };
-        Self { own: empty.place(own), ..empty }
+        Self { own_zone: empty.zone_key(own), ..empty }
     }
 
-    /// Takes the daemons as they are seen now.
+    /// Replaces the daemons by their current membership rows.
     pub fn update<'a>(&mut self, rows: impl IntoIterator<Item = &'a Row>, now: Instant) {
         let mut hosts: BTreeMap<Arc<str>, BTreeSet<HostId>> = BTreeMap::new();
         let mut absent = BTreeMap::new();
         for row in rows {
-            hosts.entry(self.place(&row.zone)).or_default().insert(Arc::clone(&row.host));
+            hosts.entry(self.zone_key(&row.zone)).or_default().insert(Arc::clone(&row.host));
             if row.state != PeerState::Live {
                 let since = self.absent.get(&row.host).copied().unwrap_or(now);
                 absent.insert(Arc::clone(&row.host), since);
             }
         }
-        let (held, heard) = (self.hosts.get(&self.own), hosts.get(&self.own));
+        let (held, seen) = (self.hosts.get(&self.own_zone), hosts.get(&self.own_zone));
         let is_new = |host: &HostId| held.is_none_or(|held| !held.contains(host));
-        if heard.is_some_and(|heard| heard.iter().any(is_new)) {
-            self.grown = Some(now);
+        if seen.is_some_and(|seen| seen.iter().any(is_new)) {
+            self.last_new = Some(now);
         }
         self.hosts = hosts;
         self.absent = absent;
-        *self.ranked.borrow_mut() = Ranked::default();
+        *self.ranking.borrow_mut() = Ranking::default();
     }
 
-    /// Returns for how much longer this daemon may not know the others of its zone well enough
-    /// to hold parts; none where it does. A daemon that starts hears of them within some
-    /// exchanges, and one of a fleet that starts whole hears of new ones all the time.
+    /// Returns for how much longer this daemon may not know the others of its zone well enough to
+    /// hold parts; none where it does. A daemon that starts learns of them within a few exchanges.
+    /// While a whole fleet starts, new daemons appear all the time.
     #[must_use]
     pub fn unsettled_for(&self, now: Instant) -> Option<Duration> {
-        let settled = self.grown.map_or(now + SETTLE, |grown| grown + SETTLE);
+        let settled = self.last_new.map_or(now + SETTLE_TIME, |at| at + SETTLE_TIME);
         Some(settled.saturating_duration_since(now)).filter(|wait| !wait.is_zero())
     }
 
-    /// Returns where the parts of a zone's daemons are counted.
-    fn place(&self, zone: &Arc<str>) -> Arc<str> {
+    /// Returns the key of a zone in `hosts`: empty where no zones are configured.
+    fn zone_key(&self, zone: &Arc<str>) -> Arc<str> {
         if self.zones.is_empty() { Arc::default() } else { Arc::clone(zone) }
     }
 
-    /// Returns how many parts a limit is to have.
+    /// Returns the number of parts into which a large enough limit is divided.
     #[must_use]
     pub fn part_count(&self) -> u32 {
         let zones = self.zones.len().max(1);
-        let parts = zones * LEAST_PARTS.div_ceil(zones);
+        let parts = zones * MIN_PARTS.div_ceil(zones);
         u32::try_from(parts).unwrap_or(u32::MAX)
     }
 
-    /// Returns the availability zone of a part; none where there are no zones.
+    /// Returns the availability zone of a part; none where no zones are configured.
     #[must_use]
     pub fn zone_of(&self, part: u32) -> Option<&Arc<str>> {
         let zones = u32::try_from(self.zones.len()).ok().filter(|zones| *zones > 0)?;
         self.zones.get(usize::try_from(part % zones).ok()?)
     }
 
-    /// Returns who holds a part; none where its zone has no daemon.
+    /// Returns the daemon that holds a part; none where its zone has no candidate.
     #[must_use]
     pub fn holder(&self, slot: &SlotId, now: Instant) -> Option<HostId> {
-        let mut ranked = self.ranked.borrow_mut();
-        let over = ranked.until.is_none_or(|until| now >= until);
-        if over || ranked.holders.len() >= MOST_RANKED {
-            *ranked = Ranked { until: Some(self.next_change(now)), ..Ranked::default() };
+        let mut ranking = self.ranking.borrow_mut();
+        let over = ranking.until.is_none_or(|until| now >= until);
+        if over || ranking.holders.len() >= MAX_CACHED {
+            *ranking = Ranking { until: Some(self.next_change(now)), ..Ranking::default() };
         }
-        if let Some(holder) = ranked.holders.get(slot) {
+        if let Some(holder) = ranking.holders.get(slot) {
             return holder.clone();
         }
         let holder = self.rank(slot, now).map(Arc::clone);
-        ranked.holders.insert(slot.clone(), holder.clone());
+        ranking.holders.insert(slot.clone(), holder.clone());
         holder
     }
 
-    /// Returns when one that does not answer may be replaced next.
+    /// Returns when a daemon that does not answer may next be replaced.
     fn next_change(&self, now: Instant) -> Instant {
         let ends =
-            self.absent.values().flat_map(|since| [REPLACED_AFTER, LOST_AFTER].map(|time| *since + time));
+            self.absent.values().flat_map(|since| [REPLACE_AFTER, LOST_AFTER].map(|time| *since + time));
         ends.filter(|end| *end > now).min().unwrap_or(now + LOST_AFTER)
     }
 
     fn rank(&self, (account, part): &SlotId, now: Instant) -> Option<&HostId> {
-        let place = self.zone_of(*part).cloned().unwrap_or_default();
+        let zone = self.zone_of(*part).cloned().unwrap_or_default();
         let seed = xxh3_64_with_seed(account.as_bytes(), u64::from(*part));
-        let hosts = self.hosts.get(&place)?;
+        let hosts = self.hosts.get(&zone)?;
         let present = hosts.iter().filter(|host| self.is_present(host)).count();
-        let patience = if present * 2 >= hosts.len() { REPLACED_AFTER } else { LOST_AFTER };
+        let patience = if present * 2 >= hosts.len() { REPLACE_AFTER } else { LOST_AFTER };
         let stays = |host: &&HostId| !self.is_absent_for(host, patience, now);
         hosts
             .iter()
@@ -161,7 +162,7 @@
             .max_by_key(|host| (xxh3_64_with_seed(host.as_bytes(), seed), Reverse(*host)))
     }
 
-    /// Returns whether a daemon is known to answer, or not known not to.
+    /// Returns whether a daemon is not known to be unresponsive; unknown daemons count as present.
     #[must_use]
     pub fn is_present(&self, host: &HostId) -> bool {
         !self.absent.contains_key(host)
--- a/crates/harefield/src/domain/accounts/mod.rs
+++ b/crates/harefield/src/domain/accounts/mod.rs
@@ -1,20 +1,19 @@
-//! Client accounts: who asks, what an account may ask over the whole fleet, and which
-//! daemons hold its limit.
+//! Client accounts: identifying the sender of a request, and rate limits over the whole fleet.
 //!
-//! A request shows a [`Credential`](super::key::Credential); the [`Directory`] of the configuration in force says
-//! whose it is. What an account may ask is divided into parts ([`FleetLimit`]), each held by
-//! one daemon ([`Holders`]) that grants permits from it ([`Grants`]); who is asked by a
-//! caller keeps granted permits for a moment ([`Reserve`]).
+//! A request carries a [`Credential`](super::key::Credential); the [`Directory`] of the active
+//! configuration maps it to an account. An account's limit is divided into parts
+//! ([`FleetLimit`]). Each part is held by one daemon ([`Holders`]), which grants permits from it
+//! ([`Grants`]). The daemon that a caller sent its request to keeps granted permits for a short
+//! time ([`Reserve`]).
 
-mod asker;
 mod directory;
 mod grants;
 mod holders;
 mod limit;
+mod requester;
 mod reserve;
 mod unknown;
 
-pub use asker::Requester;
 pub use directory::Client;
 pub use directory::Directory;
 pub use directory::Identity;
@@ -25,6 +24,7 @@
 pub use limit::FleetLimit;
 pub use limit::Overage;
 pub use limit::PartLimit;
+pub use requester::Requester;
 pub use reserve::Reserve;
 pub use unknown::UnknownKeyAction;
 pub use unknown::UnknownKeys;
--- a/crates/harefield/src/domain/accounts/unknown.rs
+++ b/crates/harefield/src/domain/accounts/unknown.rs
@@ -1,67 +1,68 @@
-//! Keys that were found unknown after asking for what is newer.
+//! Keys that no account lists, even after checking for newer configuration.
 
 use std::collections::VecDeque;
 
 use crate::domain::key::KeyDigest;
 
-/// The most keys that are remembered.
-const MOST_KEPT: usize = 1024;
+/// The most keys that are remembered; the oldest is dropped first.
+const MAX_KEYS: usize = 1024;
 
-/// Keys that were found unknown under the accounts in force.
+/// Keys that are known to be invalid under the accounts in force.
 ///
-/// A key may be newer than what this daemon has read, so it asks before it refuses one; once
-/// for each key, so that a caller who goes on with a key that was taken away costs nothing.
+/// A key may be newer than the configuration that this daemon has read, so the daemon checks for
+/// updates before it rejects one. It checks once per key, so that a caller who goes on using a
+/// revoked key costs nothing.
 #[derive(Debug, Default)]
 pub struct UnknownKeys {
     keys: VecDeque<KeyDigest>,
-    /// How many keys are being asked for.
-    asking: usize,
+    /// The number of checks in progress.
+    pending: usize,
 }
 
-/// The most requests that wait for that at once.
-const MOST_ASKING: usize = 64;
+/// The most requests that wait for such a check at once.
+const MAX_PENDING: usize = 64;
 
-/// What to do about a key that is not known.
+/// What to do with a request whose key is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnknownKeyAction {
-    /// It was asked for and stayed unknown under the accounts in force.
+    /// Reject it: the key was checked and is invalid under the accounts in force.
     Refuse,
-    /// Too many requests ask already.
+    /// Too many checks are in progress.
     Busy,
-    /// Ask, and say how that ended.
+    /// Check for newer configuration, and call [`UnknownKeys::end`] afterwards.
     Query,
 }
 
 impl UnknownKeys {
-    /// Begins to ask for what is newer, since a key is not known.
+    /// Decides whether to check for newer configuration because of an unknown key.
     pub fn begin(&mut self, key: &KeyDigest) -> UnknownKeyAction {
         if self.keys.contains(key) {
             return UnknownKeyAction::Refuse;
         }
-        if self.asking >= MOST_ASKING {
+        if self.pending >= MAX_PENDING {
             return UnknownKeyAction::Busy;
         }
-        self.asking += 1;
+        self.pending += 1;
         UnknownKeyAction::Query
     }
 
-    /// Takes that one that began to ask has ended.
+    /// Records that a check has ended.
     pub fn end(&mut self) {
-        self.asking = self.asking.saturating_sub(1);
+        self.pending = self.pending.saturating_sub(1);
     }
 
-    /// Remembers that a key is surely unknown.
+    /// Remembers that a key is certainly invalid.
     pub fn remember(&mut self, key: KeyDigest) {
         if self.keys.contains(&key) {
             return;
         }
-        if self.keys.len() >= MOST_KEPT {
+        if self.keys.len() >= MAX_KEYS {
             self.keys.pop_front();
         }
         self.keys.push_back(key);
     }
 
-    /// Forgets all keys: other accounts are in force.
+    /// Forgets all keys, as required when other accounts come into force.
     pub fn clear(&mut self) {
         self.keys.clear();
     }
--- a/crates/harefield/src/engine/permits.rs
+++ b/crates/harefield/src/engine/permits.rs
@@ -135,7 +135,7 @@
         let slot = (Arc::clone(&client.name), part);
         let holder = self.holders.borrow().holder(&slot, now);
         let Some(host) = holder.filter(|host| self.may_ask(host, now)) else { return Asked::NoAnswer };
-        let wanted = self.with_reserve(client, |reserve| reserve.wanted());
+        let wanted = self.with_reserve(client, |reserve| reserve.batch_size());
         let ask = PermitAsk { account: slot.0, part, wanted };
         let reply = if host == self.settings.host {
             self.grant_own(&ask, limit)
