--- a/crates/harefield/src/control/suspicion.rs
+++ b/crates/harefield/src/control/suspicion.rs
@@ -53,7 +53,7 @@
 
     fn note(&self, Suspect { work, evidence }: &Suspect) {
         let (work, ends, alone) = (*work, evidence.ends().len(), evidence.alone());
-        let event = match evidence.standing(self.ports.clock.now()) {
+        let event = match evidence.clearance(self.ports.clock.now()) {
             Clearance::Free if ends == 0 => Event::WorkCleared { work },
             Clearance::Free => return,
             Clearance::Alone(_) => Event::WorkSuspected { work, ends, alone, withheld: 0 },
--- a/crates/harefield/src/domain/suspects/answered.rs
+++ b/crates/harefield/src/domain/suspects/answered.rs
@@ -1,4 +1,4 @@
-//! Works that were answered of late.
+//! Works that were answered recently.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -6,11 +6,11 @@
 
 use crate::domain::ids::WorkId;
 
-/// How many works are remembered. At the target size a daemon answers some 800 requests a
-/// second, so that these are of the last 5 s; they take some 200 KB.
-const MOST: usize = 4096;
+/// The most works that are remembered. At the target size a daemon answers about 800 requests per
+/// second, so these cover the last 5 s; they take about 200 KB.
+const MAX_WORKS: usize = 4096;
 
-/// Works that were answered of late, the oldest forgotten first.
+/// The works that were answered recently. At the limit, the one added first is dropped.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Answered {
     times: HashMap<WorkId, Instant>,
@@ -18,20 +18,20 @@
 }
 
 impl Answered {
-    /// Notes that a work was answered.
-    pub fn note(&mut self, work: WorkId, now: Instant) {
+    /// Records that a work was answered.
+    pub fn record(&mut self, work: WorkId, now: Instant) {
         if self.times.insert(work, now).is_some() {
             return;
         }
         self.order.push_back(work);
-        if self.order.len() > MOST
+        if self.order.len() > MAX_WORKS
             && let Some(oldest) = self.order.pop_front()
         {
             self.times.remove(&oldest);
         }
     }
 
-    /// Returns when a work was last answered, if that is remembered.
+    /// Returns when a work was last answered; none where that is not remembered.
     pub fn last(&self, work: WorkId) -> Option<Instant> {
         self.times.get(&work).copied()
     }
--- a/crates/harefield/src/domain/suspects/mod.rs
+++ b/crates/harefield/src/domain/suspects/mod.rs
@@ -1,26 +1,26 @@
-//! Work under which upstreams end: what is known of it, and whether it may run.
+//! Detection of works that crash upstreams (a "query of death"), and whether they may run.
 //!
-//! A request that crashes each upstream that runs it is known by three things together:
-//! upstreams ended under it, nobody ever answered it, and they end also where it runs
-//! alone. Upstreams that crash for reasons of their own lack the second, since the same
-//! work is answered elsewhere at that time, or the third.
+//! A request that crashes every upstream that runs it shows three signs together: upstreams end
+//! while they run it, no upstream ever answers it, and upstreams also end where it runs in
+//! isolation. Upstreams that crash for other reasons lack the second sign, since the same work is
+//! answered elsewhere at that time, or the third.
 //!
-//! So work goes through three standings. It is free until some upstreams have ended under
-//! it. Then it runs alone, on one upstream at a time in the whole fleet, until an answer
-//! clears it or it has ended two upstreams alone. Then it is withheld, and tried again
-//! after pauses that grow.
+//! So a work has one of three clearances. It runs freely until some upstreams have ended while
+//! they ran it. Then it runs in isolation, on one upstream at a time in the whole fleet, until an
+//! answer clears it or two upstreams have ended in isolation. Then it is withheld, with further
+//! trials after growing delays.
 //!
-//! [`Evidence`] is what is known of one work and joins with what other daemons know;
+//! [`Evidence`] is what is known about one work, and merges with what other daemons know;
 //! [`Suspects`] holds it for a bounded number of works.
 
 mod answered;
-mod book;
 mod evidence;
+mod registry;
 mod report;
 
-pub use book::MergeOutcome;
-pub use book::Suspect;
-pub use book::Suspects;
 pub use evidence::Clearance;
 pub use evidence::Evidence;
+pub use registry::MergeOutcome;
+pub use registry::Suspect;
+pub use registry::Suspects;
 pub use report::SuspectReport;
--- a/crates/harefield/src/domain/suspects/registry.rs
+++ b/crates/harefield/src/domain/suspects/registry.rs
@@ -1,4 +1,4 @@
-//! What is known of all works under which upstreams ended.
+//! The registry of all works during which upstream processes ended.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,74 +11,76 @@
 use crate::domain::ids::WorkId;
 use crate::domain::work::Work;
 
-/// How many works are held: some 300 bytes each. Callers who make up others must end an
-/// upstream for each, and the works that ended fewest are forgotten first.
-const MOST_WORKS: usize = 1024;
+/// The most works that are held, at about 300 bytes each. To add one, a caller has to crash an
+/// upstream, and the works with the weakest evidence are dropped first.
+const MAX_WORKS: usize = 1024;
 
-/// The most works in one message: some 100 bytes each, so that a message a second takes a
-/// tenth of what control may send.
-const MOST_TOLD: usize = 16;
+/// The most works in one message, at about 100 bytes each. One message per second then takes a
+/// tenth of the control bandwidth.
+const MAX_PER_MESSAGE: usize = 16;
 
-/// A work with what is known of it.
+/// A work during which upstream processes ended: a possible "query of death", which crashes every
+/// upstream that runs it. It is suspected, and restricted only as far as the evidence goes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Suspect {
-    /// The work.
+    /// The identifier of the work.
     pub work: WorkId,
-    /// What is known of it.
+    /// The evidence about it.
     pub evidence: Evidence,
 }
 
-/// What came of another daemon's word on a work.
+/// The result of merging another daemon's evidence about a work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MergeOutcome {
-    /// Whether it was news here.
+    /// Whether the local evidence changed.
     pub changed: bool,
-    /// Whether an answer that is known here clears the work of it.
+    /// Whether an answer that is known locally refutes the received evidence.
     pub cleared: bool,
 }
 
-/// A change is told this many times by each daemon that hears of it, so that hardly any other
-/// one misses it.
+/// Each daemon that learns of a change sends it this many times, so that hardly any other daemon
+/// misses it.
 const TRANSMITS: u32 = 6;
 
-/// What does not run freely is told again after this time, for daemons that were cut off, or
-/// after as many times this as messages hold all of it. After a hundred upstreams crashed at
-/// once, hundreds of requests that had no answer by then may be held.
-const TELL_AGAIN: Duration = Duration::from_secs(1);
+/// Restricted works are sent again after this time, for daemons that were partitioned off. The
+/// time is multiplied by the number of messages needed for all works: after a hundred upstreams
+/// crash at once, hundreds of unanswered requests may be held.
+const RESEND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The longest such time.
-const LONGEST_AGAIN: Duration = Duration::from_secs(30);
+/// The upper bound of that time.
+const MAX_RESEND_INTERVAL: Duration = Duration::from_secs(30);
 
-/// The most works that a daemon which has just started is told of: some 6 KB.
-const MOST_TOLD_FIRST: usize = 64;
+/// The most works that are sent to a daemon that has just started, at about 6 KB in total.
+const MAX_INITIAL: usize = 64;
 
 #[derive(Clone, Debug, Default)]
-struct Held {
+struct SuspectEntry {
     evidence: Evidence,
-    /// How often it was told since it changed.
-    times: u32,
-    /// When it was last told.
-    told: Option<Instant>,
+    /// How often it was sent since it last changed.
+    sent_count: u32,
+    /// When it was last sent.
+    last_sent: Option<Instant>,
 }
 
-impl Held {
-    /// Says whether others are to be told of it now.
+impl SuspectEntry {
+    /// Returns whether it should be sent to other daemons now.
     fn is_due(&self, again: Duration, now: Instant) -> bool {
-        let rested = self.told.is_none_or(|told| now.saturating_duration_since(told) >= again);
-        self.times < TRANSMITS || (rested && self.evidence.standing(now) != Clearance::Free)
+        let rested = self.last_sent.is_none_or(|sent| now.saturating_duration_since(sent) >= again);
+        self.sent_count < TRANSMITS || (rested && self.evidence.clearance(now) != Clearance::Free)
     }
 }
 
-/// Works under which upstreams ended.
+/// The works during which upstream processes ended, at most 1024.
 #[derive(Clone, Debug, Default)]
 pub struct Suspects {
-    held: HashMap<WorkId, Held>,
+    entries: HashMap<WorkId, SuspectEntry>,
     answered: Answered,
 }
 
 impl Suspects {
-    /// Takes the end of an upstream that had a work, and nobody else in its fan-out where
-    /// `alone`; returns what is known now of the names of the work that this changed.
+    /// Records that an upstream ended while it ran a work; `alone` tells that it was the only one
+    /// in its fan-out. Returns the new evidence for those identifiers of the work where it
+    /// changed.
     pub fn record_end(
         &mut self,
         work: &Work,
@@ -86,130 +88,137 @@
         alone: bool,
         now: Instant,
     ) -> Vec<Suspect> {
-        work.ids().filter_map(|id| self.change(id, now, |held| held.end(upstream, alone, now))).collect()
+        work.ids()
+            .filter_map(|id| self.change(id, now, |held| held.record_end(upstream, alone, now)))
+            .collect()
     }
 
-    /// Takes that a work was answered; returns what is known now of the names of the work
-    /// that this changed.
+    /// Records that a work was answered. Returns the new evidence for those identifiers of the
+    /// work where it changed.
     pub fn record_answer(&mut self, work: &Work, now: Instant) -> Vec<Suspect> {
         for id in work.ids() {
-            self.answered.note(id, now);
+            self.answered.record(id, now);
         }
-        if self.held.is_empty() {
+        if self.entries.is_empty() {
             return Vec::new();
         }
-        let known: Vec<WorkId> = work.ids().filter(|id| self.held.contains_key(id)).collect();
-        known.into_iter().filter_map(|id| self.change(id, now, |held| held.answer(now))).collect()
+        let known: Vec<WorkId> = work.ids().filter(|id| self.entries.contains_key(id)).collect();
+        known.into_iter().filter_map(|id| self.change(id, now, |held| held.record_answer(now))).collect()
     }
 
-    /// Takes another daemon's word on a work.
+    /// Merges another daemon's evidence about a work.
     pub fn merge(&mut self, suspect: &Suspect, now: Instant) -> MergeOutcome {
         let mut cleared = false;
-        let news = self.change(suspect.work, now, |held| {
-            let news = held.join(&suspect.evidence);
+        let changed = self.change(suspect.work, now, |held| {
+            let changed = held.merge(&suspect.evidence);
             cleared = held.clears(&suspect.evidence);
-            news
+            changed
         });
-        if cleared && let Some(held) = self.held.get_mut(&suspect.work) {
-            held.times = 0;
+        if cleared && let Some(held) = self.entries.get_mut(&suspect.work) {
+            held.sent_count = 0;
         }
-        MergeOutcome { changed: news.is_some(), cleared }
+        MergeOutcome { changed: changed.is_some(), cleared }
     }
 
-    /// Says whether a work may run.
+    /// Returns whether a work may run: the strictest result over its identifiers.
     #[must_use]
     pub fn clearance(&self, work: &Work, now: Instant) -> Clearance {
-        if self.held.is_empty() {
+        if self.entries.is_empty() {
             return Clearance::Free;
         }
-        let known = work.ids().filter_map(|id| self.held.get(&id));
-        let lasting = known.filter(|held| !held.evidence.is_past(now));
-        lasting.map(|held| held.evidence.standing(now)).max().unwrap_or(Clearance::Free)
+        let known = work.ids().filter_map(|id| self.entries.get(&id));
+        let lasting = known.filter(|held| !held.evidence.is_expired(now));
+        lasting.map(|held| held.evidence.clearance(now)).max().unwrap_or(Clearance::Free)
     }
 
-    /// Returns what is known of a work, by its names.
+    /// Returns the evidence about a work, for each of its identifiers that is held.
     #[must_use]
     pub fn suspects_for(&self, work: &Work) -> Vec<Suspect> {
         work.ids().filter_map(|id| self.suspect(id)).collect()
     }
 
-    /// Returns what is known of one name of a work.
+    /// Returns the evidence for one identifier of a work; none where it is not held.
     #[must_use]
     pub fn suspect(&self, work: WorkId) -> Option<Suspect> {
-        self.held.get(&work).map(|held| Suspect { work, evidence: held.evidence.clone() })
+        self.entries.get(&work).map(|held| Suspect { work, evidence: held.evidence.clone() })
     }
 
-    /// Returns what is told in the next message: what was told least often, then longest ago.
+    /// Returns the works for the next message, those sent least often first, then those sent
+    /// longest ago. It counts them as sent.
     pub fn digest(&mut self, now: Instant) -> Vec<Suspect> {
-        if self.held.is_empty() {
+        if self.entries.is_empty() {
             return Vec::new();
         }
-        self.held.retain(|_, held| !held.evidence.is_past(now));
-        let again = TELL_AGAIN * u32::try_from(self.held.len() / MOST_TOLD + 1).unwrap_or(u32::MAX);
-        let again = again.min(LONGEST_AGAIN);
-        let due = self.held.iter().filter(|(_, held)| held.is_due(again, now));
-        let mut order: Vec<_> = due.map(|(id, held)| (held.times, held.told, *id)).collect();
+        self.entries.retain(|_, held| !held.evidence.is_expired(now));
+        let again =
+            RESEND_INTERVAL * u32::try_from(self.entries.len() / MAX_PER_MESSAGE + 1).unwrap_or(u32::MAX);
+        let again = again.min(MAX_RESEND_INTERVAL);
+        let due = self.entries.iter().filter(|(_, held)| held.is_due(again, now));
+        let mut order: Vec<_> = due.map(|(id, held)| (held.sent_count, held.last_sent, *id)).collect();
         order.sort_unstable();
-        order.truncate(MOST_TOLD);
-        let told = order.into_iter().filter_map(|(.., id)| {
-            let held = self.held.get_mut(&id)?;
-            held.times = held.times.saturating_add(1);
-            held.told = Some(now);
+        order.truncate(MAX_PER_MESSAGE);
+        let sent = order.into_iter().filter_map(|(.., id)| {
+            let held = self.entries.get_mut(&id)?;
+            held.sent_count = held.sent_count.saturating_add(1);
+            held.last_sent = Some(now);
             Some(Suspect { work: id, evidence: held.evidence.clone() })
         });
-        told.collect()
+        sent.collect()
     }
 
-    /// Returns what a daemon that has just started is told: what most speaks against.
+    /// Returns the works to send to a daemon that has just started: the restricted ones with the
+    /// strongest evidence first.
     #[must_use]
     pub fn most_severe(&self, now: Instant) -> Vec<Suspect> {
-        let bound = self.held.iter().filter(|(_, held)| held.evidence.standing(now) != Clearance::Free);
-        let mut order: Vec<_> = bound.map(|(id, held)| (held.evidence.weight(), *id)).collect();
+        let restricted =
+            self.entries.iter().filter(|(_, held)| held.evidence.clearance(now) != Clearance::Free);
+        let mut order: Vec<_> = restricted.map(|(id, held)| (held.evidence.severity(), *id)).collect();
         order.sort_unstable();
-        order.into_iter().rev().take(MOST_TOLD_FIRST).filter_map(|(_, id)| self.suspect(id)).collect()
+        order.into_iter().rev().take(MAX_INITIAL).filter_map(|(_, id)| self.suspect(id)).collect()
     }
 
-    /// Returns how many works are held, and how many of them do not run freely.
+    /// Returns how many works are held, and how many of them are restricted.
     #[must_use]
     pub fn counts(&self, now: Instant) -> (usize, usize) {
-        let bound = self.held.values().filter(|held| held.evidence.standing(now) != Clearance::Free);
-        (self.held.len(), bound.count())
+        let restricted = self.entries.values().filter(|held| held.evidence.clearance(now) != Clearance::Free);
+        (self.entries.len(), restricted.count())
     }
 
-    /// Changes what is known of a work; returns it where that was news, which is told next.
+    /// Changes the evidence about a work. Returns it if that was an actual change, which makes it
+    /// due for sending.
     fn change(
         &mut self,
         work: WorkId,
         now: Instant,
         change: impl FnOnce(&mut Evidence) -> bool,
     ) -> Option<Suspect> {
-        // What is past counts for nothing, also where no digest has taken it out.
-        if self.held.get(&work).is_some_and(|held| held.evidence.is_past(now)) {
-            self.held.remove(&work);
+        // Expired evidence doesn't count, also where no digest has removed it yet.
+        if self.entries.get(&work).is_some_and(|held| held.evidence.is_expired(now)) {
+            self.entries.remove(&work);
         }
-        if !self.held.contains_key(&work) {
+        if !self.entries.contains_key(&work) {
             self.make_room(now);
         }
         let answered = self.answered.last(work);
-        let held = self.held.entry(work).or_default();
-        let known = answered.is_some_and(|at| held.evidence.answer(at));
+        let held = self.entries.entry(work).or_default();
+        let known = answered.is_some_and(|at| held.evidence.record_answer(at));
         if !change(&mut held.evidence) && !known {
             return None;
         }
-        held.times = 0;
+        held.sent_count = 0;
         Some(Suspect { work, evidence: held.evidence.clone() })
     }
 
     fn make_room(&mut self, now: Instant) {
-        if self.held.len() < MOST_WORKS {
+        if self.entries.len() < MAX_WORKS {
             return;
         }
-        self.held.retain(|_, held| !held.evidence.is_past(now));
-        if self.held.len() >= MOST_WORKS
-            && let Some(least) = self.held.iter().min_by_key(|(id, held)| (held.evidence.weight(), **id))
+        self.entries.retain(|_, held| !held.evidence.is_expired(now));
+        if self.entries.len() >= MAX_WORKS
+            && let Some(least) = self.entries.iter().min_by_key(|(id, held)| (held.evidence.severity(), **id))
         {
             let least = *least.0;
-            self.held.remove(&least);
+            self.entries.remove(&least);
         }
     }
 }
--- a/crates/harefield/src/domain/suspects/report.rs
+++ b/crates/harefield/src/domain/suspects/report.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other of works under which upstreams ended.
+//! The message in which daemons send each other the evidence about a work.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -6,30 +6,31 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::book::Suspect;
 use super::evidence::End;
 use super::evidence::Evidence;
+use super::registry::Suspect;
 use crate::domain::ids::UpstreamId;
 use crate::domain::ids::WorkId;
 use crate::domain::time::millis;
 
-/// What a daemon knows of a work; times are ages in milliseconds, since clocks differ.
+/// The evidence that a daemon has about a work. Times are ages in milliseconds, since clocks
+/// differ between daemons.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectReport {
-    /// The work.
+    /// The identifier of the work.
     pub work: WorkId,
-    /// Upstreams that ended under it, and how long ago.
+    /// The upstreams that ended while they ran it, and how long ago.
     pub ends: Vec<(UpstreamId, u64)>,
-    /// How many ended while they ran it alone.
+    /// How many upstreams ended while they ran it in isolation.
     pub alone: u32,
-    /// How long ago the last one ended.
+    /// How long ago the last upstream ended.
     pub last: Option<u64>,
-    /// How long ago an upstream answered it.
+    /// How long ago an upstream last answered it.
     pub answered: Option<u64>,
 }
 
 impl SuspectReport {
-    /// Makes a report.
+    /// Creates the report of a suspect as of `now`.
     #[must_use]
     pub fn new(suspect: &Suspect, now: Instant) -> Self {
         let age = |at: Instant| millis(now.saturating_duration_since(at));
@@ -44,8 +45,8 @@
         }
     }
 
-    /// Takes a report that was heard at `now`. What is older than this daemon's clock can
-    /// tell is left out.
+    /// Converts a report that was received at `now`. Times before the start of this daemon's
+    /// monotonic clock are left out.
     #[must_use]
     pub fn to_suspect(&self, now: Instant) -> Suspect {
         let at = |age: u64| now.checked_sub(Duration::from_millis(age));
