--- a/crates/harefield/src/domain/resources/check.rs
+++ b/crates/harefield/src/domain/resources/check.rs
@@ -1,4 +1,4 @@
-//! The checks that a resource set must pass as a whole.
+//! Validation of a resource set: ranges, duplicates, and references between resources.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -6,7 +6,7 @@
 use std::hash::Hash;
 use std::sync::Arc;
 
-use super::fault::ResourceError;
+use super::error::ResourceError;
 use super::set::ResourceSet;
 use crate::domain::code::Code;
 use crate::domain::ids::Key;
@@ -14,18 +14,18 @@
 
 const MAX_DEADLINE_MS: u64 = 600_000;
 
-/// Collects the faults of one set.
+/// Collects the errors of one resource set.
 pub(super) struct Checker<'a> {
     set: &'a ResourceSet,
-    faults: Vec<ResourceError>,
+    errors: Vec<ResourceError>,
 }
 
 impl<'a> Checker<'a> {
     pub(super) fn new(set: &'a ResourceSet) -> Self {
-        Self { set, faults: Vec::new() }
+        Self { set, errors: Vec::new() }
     }
 
-    /// Checks every resource.
+    /// Checks all resources.
     pub(super) fn check_all(mut self) -> Vec<ResourceError> {
         for name in self.set.upstreams.keys() {
             self.upstream(name);
@@ -40,67 +40,70 @@
             self.lookup(name);
         }
         self.accounts();
-        self.faults
+        self.errors
     }
 
-    /// Checks the resources that were changed, and those that name them.
-    pub(super) fn check_touched<'k>(mut self, keys: impl IntoIterator<Item = &'k Key>) -> Vec<ResourceError> {
-        let mut touched = Touched::default();
+    /// Checks the resources that were changed, and those that refer to them.
+    pub(super) fn check_affected<'k>(
+        mut self,
+        keys: impl IntoIterator<Item = &'k Key>,
+    ) -> Vec<ResourceError> {
+        let mut affected = AffectedResources::default();
         for key in keys {
-            touched.note(self.set, key);
+            affected.add(self.set, key);
         }
-        if touched.catalogs {
+        if affected.catalogs {
             return self.check_all();
         }
-        for name in &touched.upstreams {
+        for name in &affected.upstreams {
             self.upstream(name);
         }
-        for name in touched.services(self.set) {
+        for name in affected.services(self.set) {
             self.service(name);
         }
-        for name in touched.indexes(self.set) {
+        for name in affected.indexes(self.set) {
             self.index(name);
         }
-        for name in touched.lookups(self.set) {
+        for name in affected.lookups(self.set) {
             self.lookup(name);
         }
-        if touched.accounts {
+        if affected.accounts {
             self.accounts();
         }
-        self.faults
+        self.errors
     }
 
-    fn fault(&mut self, kind: &str, name: &str, code: Code, detail: String) {
+    fn report(&mut self, kind: &str, name: &str, code: Code, detail: String) {
         let key = format!("{kind}/{name}").into();
-        self.faults.push(ResourceError { key, code, detail });
+        self.errors.push(ResourceError { key, code, detail });
     }
 
     fn upstream(&mut self, name: &str) {
         let Some(upstream) = self.set.upstreams.get(name) else { return };
-        let unsaid = upstream.connections == 0 && upstream.holds.is_empty();
-        if upstream.slots == 0 || unsaid {
+        let unspecified = upstream.connections == 0 && upstream.holds.is_empty();
+        if upstream.slots == 0 || unspecified {
             let detail = "slots and connections must be at least 1".to_owned();
-            self.fault("upstreams", name, Code::ResourceRange, detail);
+            self.report("upstreams", name, Code::ResourceRange, detail);
         }
     }
 
-    /// Checks all accounts: no two may share a key. Faults name no key.
+    /// Checks all accounts: no two may share a key. Errors don't contain the key.
     fn accounts(&mut self) {
         let mut owners: HashMap<KeyDigest, &str> = HashMap::new();
         for (name, account) in &self.set.accounts {
-            let finite = |number: f64| number.is_finite() && number >= 0.0;
-            if !finite(account.rate) || !finite(account.burst) {
+            let valid = |number: f64| number.is_finite() && number >= 0.0;
+            if !valid(account.rate) || !valid(account.burst) {
                 let detail = "rate and burst must be 0 or more".to_owned();
-                self.fault("accounts", name, Code::ResourceRange, detail);
+                self.report("accounts", name, Code::ResourceRange, detail);
             }
             if name.is_empty() || !name.bytes().all(|byte| byte.is_ascii_graphic()) {
-                let detail = "upstreams are told the name: it must be visible ASCII".to_owned();
-                self.fault("accounts", name, Code::ResourceRange, detail);
+                let detail = "the name is sent to upstreams and must be visible ASCII".to_owned();
+                self.report("accounts", name, Code::ResourceRange, detail);
             }
             for key in &account.keys {
                 let Some(other) = owners.insert(*key, name) else { continue };
-                let detail = format!("it has a key that account {other} lists as well");
-                self.fault("accounts", name, Code::ResourceDuplicate, detail);
+                let detail = format!("account {other} lists one of its keys as well");
+                self.report("accounts", name, Code::ResourceDuplicate, detail);
             }
         }
     }
@@ -109,17 +112,17 @@
         let Some(service) = self.set.services.get(name) else { return };
         if service.shards.is_empty() {
             let detail = "a service needs at least one shard".to_owned();
-            self.fault("services", name, Code::ResourceRange, detail);
+            self.report("services", name, Code::ResourceRange, detail);
         }
         for (shard, replicas) in &service.shards {
             if has_duplicate(replicas) {
                 let detail = format!("shard {shard} lists a replica twice");
-                self.fault("services", name, Code::ResourceDuplicate, detail);
+                self.report("services", name, Code::ResourceDuplicate, detail);
             }
             for replica in replicas {
                 if !self.set.upstreams.contains_key(replica) {
-                    let detail = format!("shard {shard} names upstream {replica}, which does not exist");
-                    self.fault("services", name, Code::ResourceReference, detail);
+                    let detail = format!("shard {shard} refers to upstream {replica}, which does not exist");
+                    self.report("services", name, Code::ResourceReference, detail);
                 }
             }
         }
@@ -129,12 +132,12 @@
         let Some(index) = self.set.indexes.get(name) else { return };
         if index.snapshots.is_empty() {
             let detail = "an index needs at least one snapshot".to_owned();
-            self.fault("indexes", name, Code::ResourceRange, detail);
+            self.report("indexes", name, Code::ResourceRange, detail);
         }
         let versions: Vec<_> = index.snapshots.iter().map(|s| s.version).collect();
         if has_duplicate(&versions) {
             let detail = "two snapshots share a version".to_owned();
-            self.fault("indexes", name, Code::ResourceDuplicate, detail);
+            self.report("indexes", name, Code::ResourceDuplicate, detail);
         }
         for snapshot in &index.snapshots {
             for (service, shards) in &snapshot.shards {
@@ -145,19 +148,20 @@
 
     fn snapshot_shards(&mut self, name: &str, version: u64, service: &str, shards: &[Arc<str>]) {
         let Some(found) = self.set.services.get(service) else {
-            let detail = format!("snapshot {version} names service {service}, which does not exist");
-            self.fault("indexes", name, Code::ResourceReference, detail);
+            let detail = format!("snapshot {version} refers to service {service}, which does not exist");
+            self.report("indexes", name, Code::ResourceReference, detail);
             return;
         };
         if has_duplicate(shards) {
             let detail = format!("snapshot {version} lists a shard of {service} twice");
-            self.fault("indexes", name, Code::ResourceDuplicate, detail);
+            self.report("indexes", name, Code::ResourceDuplicate, detail);
         }
         for shard in shards {
             if !found.shards.contains_key(shard) {
-                let detail =
-                    format!("snapshot {version} names shard {service}/{shard}, which the service lacks");
-                self.fault("indexes", name, Code::ResourceReference, detail);
+                let detail = format!(
+                    "snapshot {version} refers to shard {service}/{shard}, which the service does not have"
+                );
+                self.report("indexes", name, Code::ResourceReference, detail);
             }
         }
     }
@@ -166,34 +170,39 @@
         let Some(lookup) = self.set.lookups.get(name) else { return };
         if lookup.deadline_ms == 0 || lookup.deadline_ms > MAX_DEADLINE_MS {
             let detail = format!("deadline-ms must be from 1 to {MAX_DEADLINE_MS}");
-            self.fault("lookups", name, Code::ResourceRange, detail);
+            self.report("lookups", name, Code::ResourceRange, detail);
         }
         if !(0.0..=1.0).contains(&lookup.least_share) {
             let detail = "least-share must be from 0 to 1".to_owned();
-            self.fault("lookups", name, Code::ResourceRange, detail);
+            self.report("lookups", name, Code::ResourceRange, detail);
         }
         if lookup.attempts == Some(0) {
-            self.fault("lookups", name, Code::ResourceRange, "attempts must be at least 1".to_owned());
+            self.report("lookups", name, Code::ResourceRange, "attempts must be at least 1".to_owned());
         }
         if !lookup.split.is_empty() && lookup.split.iter().all(|part| part.weight == 0) {
-            self.fault("lookups", name, Code::ResourceRange, "a split needs a weight over 0".to_owned());
+            self.report(
+                "lookups",
+                name,
+                Code::ResourceRange,
+                "a split needs at least one weight above 0".to_owned(),
+            );
         }
         for part in &lookup.split {
             if !self.set.indexes.contains_key(part.index.as_str()) {
-                let detail = format!("split names index {}, which does not exist", part.index);
-                self.fault("lookups", name, Code::ResourceReference, detail);
+                let detail = format!("split refers to index {}, which does not exist", part.index);
+                self.report("lookups", name, Code::ResourceReference, detail);
             }
         }
         let Some(index) = self.set.indexes.get(lookup.index.as_str()) else {
             let detail = format!("index {} does not exist", lookup.index);
-            self.fault("lookups", name, Code::ResourceReference, detail);
+            self.report("lookups", name, Code::ResourceReference, detail);
             return;
         };
         for service in &lookup.services {
             let known = index.snapshots.iter().any(|s| s.shards.contains_key(service.as_str()));
             if !known {
                 let detail = format!("no snapshot of {} has service {service}", lookup.index);
-                self.fault("lookups", name, Code::ResourceReference, detail);
+                self.report("lookups", name, Code::ResourceReference, detail);
             }
         }
     }
@@ -204,26 +213,28 @@
     items.iter().any(|item| !seen.insert(item))
 }
 
-/// The names that a set of changes touches, by kind.
+/// The names of the changed resources, by kind.
 #[derive(Debug, Default)]
-struct Touched<'k> {
+struct AffectedResources<'k> {
     upstreams: BTreeSet<&'k str>,
     services: BTreeSet<&'k str>,
     indexes: BTreeSet<&'k str>,
     lookups: BTreeSet<&'k str>,
-    gone: HashSet<&'k str>,
+    /// The changed upstreams that no longer exist.
+    removed: HashSet<&'k str>,
+    /// Whether any account changed.
     accounts: bool,
-    /// A catalog changed, and with it any number of resources.
+    /// Whether a catalog changed, and with it possibly any resource.
     catalogs: bool,
 }
 
-impl<'k> Touched<'k> {
-    fn note(&mut self, set: &ResourceSet, key: &'k Key) {
+impl<'k> AffectedResources<'k> {
+    fn add(&mut self, set: &ResourceSet, key: &'k Key) {
         match key.split_once('/') {
             Some(("upstreams", name)) => {
                 self.upstreams.insert(name);
                 if !set.upstreams.contains_key(name) {
-                    self.gone.insert(name);
+                    self.removed.insert(name);
                 }
             }
             Some(("services", name)) => {
@@ -241,31 +252,31 @@
         }
     }
 
-    /// Returns the services to check: changed, or with a replica that is gone.
+    /// Returns the services to check: those that changed, or that list a removed upstream.
     fn services<'a>(&self, set: &'a ResourceSet) -> Vec<&'a str> {
-        let names_gone = |name: &str| {
+        let lists_removed = |name: &str| {
             let replicas = set.services[name].shards.values().flatten();
-            !self.gone.is_empty() && replicas.into_iter().any(|replica| self.gone.contains(&**replica))
+            !self.removed.is_empty() && replicas.into_iter().any(|replica| self.removed.contains(&**replica))
         };
         let names = set.services.keys().map(|name| &**name);
-        names.filter(|name| self.services.contains(name) || names_gone(name)).collect()
+        names.filter(|name| self.services.contains(name) || lists_removed(name)).collect()
     }
 
-    /// Returns the indexes to check: changed, or with a service that changed.
+    /// Returns the indexes to check: those that changed, or that refer to a changed service.
     fn indexes<'a>(&self, set: &'a ResourceSet) -> Vec<&'a str> {
-        let names_changed = |name: &str| {
+        let refers_to_changed = |name: &str| {
             let services = set.indexes[name].snapshots.iter().flat_map(|snapshot| snapshot.shards.keys());
             !self.services.is_empty()
                 && services.into_iter().any(|service| self.services.contains(&**service))
         };
         let names = set.indexes.keys().map(|name| &**name);
-        names.filter(|name| self.indexes.contains(name) || names_changed(name)).collect()
+        names.filter(|name| self.indexes.contains(name) || refers_to_changed(name)).collect()
     }
 
-    /// Returns the lookups to check: changed, or of an index that changed.
+    /// Returns the lookups to check: those that changed, or whose index changed.
     fn lookups<'a>(&self, set: &'a ResourceSet) -> Vec<&'a str> {
-        let of_changed = |name: &str| self.indexes.contains(set.lookups[name].index.as_str());
+        let index_changed = |name: &str| self.indexes.contains(set.lookups[name].index.as_str());
         let names = set.lookups.keys().map(|name| &**name);
-        names.filter(|name| self.lookups.contains(name) || of_changed(name)).collect()
+        names.filter(|name| self.lookups.contains(name) || index_changed(name)).collect()
     }
 }
--- a/crates/harefield/src/domain/resources/error.rs
+++ b/crates/harefield/src/domain/resources/error.rs
@@ -1,4 +1,4 @@
-//! What may be wrong with a resource.
+//! Validation errors of resources.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,16 +6,16 @@
 use crate::domain::code::Code;
 use crate::domain::ids::Key;
 
-/// The largest value that the platform holds.
+/// The largest value that the platform stores, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// One thing wrong with one resource.
+/// One validation error of one resource.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResourceError {
-    /// The resource's key.
+    /// The key of the resource, as in `services/NAME`.
     pub key: Key,
-    /// The code of the fault.
+    /// The result code of the error.
     pub code: Code,
-    /// What is wrong, with the names involved.
+    /// A description with the names involved.
     pub detail: String,
 }
--- a/crates/harefield/src/domain/resources/kinds.rs
+++ b/crates/harefield/src/domain/resources/kinds.rs
@@ -1,4 +1,4 @@
-//! The kinds of resource, as published in JSON.
+//! The kinds of resources, in the form in which the platform publishes them as JSON.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,67 +16,66 @@
 use crate::domain::residency::Regions;
 use crate::domain::residency::Residency;
 
-/// Shards that are queried together, each with its replicas.
+/// A set of shards that are queried together, each with its replicas.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Service {
     /// The team that owns the service.
     #[serde(default)]
     pub team: String,
-    /// The replicas of each shard, by upstream name; upstreams may name
-    /// themselves besides, by what they hold.
+    /// The replicas of each shard, by upstream name. Upstreams may add themselves through
+    /// [`Upstream::holds`].
     pub shards: BTreeMap<Arc<str>, Vec<UpstreamId>>,
-    /// How many connections each upstream takes that does not say so itself.
+    /// The connection limit of each upstream that doesn't set its own.
     #[serde(default)]
     pub connections: Option<u32>,
-    /// What its upstreams bear while they are cold; not bound where nobody says.
+    /// The request limit of its upstreams while they are cold; unlimited if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cold: Option<ColdLimit>,
 }
 
-/// What an upstream bears while it is cold.
+/// The request limit of an upstream while it is cold, that is, for some time after it started.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct ColdLimit {
-    /// Requests a second.
+    /// Requests per second.
     pub per_s: f64,
-    /// How long it is cold after a start, in milliseconds.
+    /// How long the upstream is cold after a start, in milliseconds.
     pub start_ms: u64,
 }
 
-/// One searcher behind the query tier.
+/// One upstream process that serves shards to the query tier.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Upstream {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: Arc<str>,
-    /// How many requests it runs at once.
+    /// The number of requests that it runs concurrently.
     pub slots: u32,
-    /// How many connections it takes in all; 0 for as many as its service says.
+    /// The limit on its connections in total; 0 for the limit of its service.
     #[serde(default)]
     pub connections: u32,
-    /// What a new connection costs, in milliseconds.
+    /// The cost of a new connection, in milliseconds.
     #[serde(default = "default_connect_ms")]
     pub connect_ms: u32,
-    /// The shards that it holds by its own word, besides those whose service
-    /// lists it.
+    /// The shards that it announces itself, in addition to those whose service lists it.
     #[serde(default)]
     pub holds: Vec<ShardId>,
-    /// Whether it takes no new work.
+    /// Whether it is leaving and accepts no new work.
     #[serde(default)]
     pub leaving: bool,
-    /// When its process started, in milliseconds since the epoch, where that is known: with
-    /// another start, nothing that was learnt of it holds.
+    /// When its process started, in milliseconds since the Unix epoch, if known. Another start
+    /// time invalidates what was learned about the upstream.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub born: Option<u64>,
-    /// For how much longer it is cold, in milliseconds; 0 where it is warm.
+    /// How much longer it is cold, in milliseconds; 0 if it is warm.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub cold_ms: u64,
 }
 
-#[expect(clippy::trivially_copy_pass_by_ref, reason = "serde hands a reference")]
+#[expect(clippy::trivially_copy_pass_by_ref, reason = "serde passes a reference")]
 const fn is_zero(number: &u64) -> bool {
     *number == 0
 }
@@ -85,49 +84,49 @@
     6
 }
 
-/// How urgent a lookup is.
+/// The priority class of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Urgency {
-    /// Somebody waits at a belt, a doorstep or a desk.
+    /// Someone waits for the answer, for example at a conveyor belt, a doorstep or a desk.
     Urgent,
-    /// The usual.
+    /// Normal priority.
     Ordinary,
-    /// Bulk work that can wait.
+    /// Background work that can wait.
     Bulk,
 }
 
-/// What goes first when not both can be had.
+/// Whether latency or completeness takes precedence when a request can't have both.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Preference {
-    /// An early answer goes before a whole one.
+    /// Prefers an early answer to a complete one.
     Time,
-    /// A whole answer goes before an early one.
+    /// Prefers a complete answer to an early one.
     Coverage,
 }
 
-/// A place in callers' paths that leads to a lookup.
+/// A host and path prefix that routes callers' requests to a lookup.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Entry {
-    /// The name that callers address, in lower case and without a port.
+    /// The host name in the request, in lower case and without a port.
     pub host: Arc<str>,
-    /// How the path begins; the longest prefix that fits wins.
+    /// The path prefix; the longest matching prefix wins.
     pub prefix: Arc<str>,
 }
 
-/// A part of a lookup's requests that goes to another index.
+/// One part of a traffic split over several indexes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Split {
-    /// The index.
+    /// The name of the index.
     pub index: String,
-    /// Its part, relative to the others' weights.
+    /// Its weight relative to the other parts.
     pub weight: u32,
 }
 
-/// A kind of request that callers may make.
+/// A named type of request, with the index it queries and the rules for its answers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Lookup {
@@ -136,89 +135,90 @@
     pub team: String,
     /// The index whose snapshot is queried.
     pub index: String,
-    /// The services asked; all of the snapshot's where empty.
+    /// The services to query; all services of the snapshot if empty.
     #[serde(default)]
     pub services: Vec<String>,
-    /// How urgent it is.
+    /// The priority of its requests, which an account may override.
     pub urgency: Urgency,
-    /// The time it may take, in milliseconds.
+    /// The time limit of a request, in milliseconds.
     pub deadline_ms: u64,
-    /// Whether it may run more than once.
+    /// Whether a request may safely run more than once.
     pub repeatable: bool,
-    /// Whether time or coverage goes first.
+    /// Whether latency or completeness takes precedence.
     pub prefer: Preference,
-    /// Where callers' paths lead to it.
+    /// The hosts and path prefixes that are routed to it.
     #[serde(default)]
     pub entries: Vec<Entry>,
-    /// The time within which an answer is wanted, in milliseconds; an answer
-    /// that has enough shards by then does not wait for more.
+    /// The target latency, in milliseconds. An answer that has enough shards by then doesn't wait
+    /// for more.
     #[serde(default)]
     pub objective_ms: Option<u64>,
-    /// The least share of the shards that makes an answer, 0 to 1.
+    /// The minimum fraction of the shards for an answer, from 0 to 1.
     #[serde(default)]
     pub least_share: f64,
-    /// How many records are kept where the shards' records are merged; none
-    /// where the one shard's reply is handed back as it is.
+    /// The number of records to keep when the shards' records are merged; if absent, the reply of
+    /// the one shard is returned unchanged.
     #[serde(default)]
     pub merge: Option<usize>,
-    /// The most upstreams asked for one shard; none for the engine's own bound.
+    /// The most upstreams to try for one shard; the engine's own limit if absent.
     #[serde(default)]
     pub attempts: Option<u32>,
-    /// The indexes that requests are divided over; `index` alone where empty.
+    /// The indexes over which requests are split by weight; only `index` if empty.
     #[serde(default)]
     pub split: Vec<Split>,
-    /// The only regions in which it may be served and its body read; everywhere where empty.
+    /// The only regions in which a request may be served and its body read; unrestricted if empty.
     #[serde(default)]
     pub regions: Regions,
-    /// Whether anyone may ask it, also where client accounts are in force.
+    /// Whether it may be called without a key, even while client accounts are in force.
     #[serde(default)]
     pub public: bool,
 }
 
 impl Lookup {
-    /// Returns where it may be served.
+    /// Returns the residency restriction of its requests.
     #[must_use]
     pub fn residency(&self) -> Residency<'_> {
         Residency::new(&self.regions)
     }
 }
 
-/// Asks that nothing more is sent to the upstreams of an availability zone, which its key
-/// names, for as long as it stands.
+/// The order to stop sending requests to the upstreams of an availability zone while it is
+/// published. The zone is in its key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Evacuation {
-    /// Why, for whoever reads it.
+    /// The reason, for operators.
     #[serde(default)]
     pub reason: String,
 }
 
-/// A client account: whose keys open lookups, and what it may ask over the whole fleet.
+/// A client account: its keys, and its rate limit over the whole fleet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Account {
     /// The team that owns the account.
     #[serde(default)]
     pub team: String,
-    /// The SHA-256 digests of its keys, in hexadecimal digits.
+    /// The SHA-256 digests of its keys, in hexadecimal.
     #[serde(default)]
     pub keys: Vec<KeyDigest>,
-    /// How urgent its requests are, whatever their lookups say; as those say where none.
+    /// The priority of its requests, which overrides that of their lookups; not overridden if
+    /// absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub urgency: Option<Urgency>,
-    /// The requests a second that it may make; unbounded where 0.
+    /// The rate limit in requests per second; unlimited if 0.
     #[serde(default)]
     pub rate: f64,
-    /// The requests that it may make at once on top.
+    /// The burst in requests, allowed on top of the rate.
     #[serde(default)]
     pub burst: f64,
-    /// The only regions in which its requests may be served, besides what their lookups say;
-    /// everywhere where empty.
+    /// The only regions in which its requests may be served, in addition to the restrictions of
+    /// their lookups; unrestricted if empty.
     #[serde(default)]
     pub regions: Regions,
 }
 
-/// A versioned index over services.
+/// A versioned index over the shards of services.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Index {
@@ -229,18 +229,18 @@
     pub snapshots: Vec<Snapshot>,
 }
 
-/// One version of an index, with the shards that make it up.
+/// One version of an index, with the shards it consists of.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Snapshot {
-    /// Its version.
+    /// The version, unique within the index.
     pub version: Version,
     /// The shards of each service at this version.
     pub shards: BTreeMap<Arc<str>, Vec<Arc<str>>>,
 }
 
-/// Services, indexes and lookups that are published together, under one key:
-/// all of them change at one revision.
+/// Services, indexes, lookups and accounts that are published together under one key, so that all
+/// of them change at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Catalog {
@@ -253,26 +253,26 @@
     /// The lookups by name.
     #[serde(default)]
     pub lookups: BTreeMap<Arc<str>, Lookup>,
-    /// The client accounts by name. Where they are given, even none, lookups that are not
-    /// public ask for a key.
+    /// The client accounts by name. If present, even if empty, lookups that are not public require
+    /// a key.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub accounts: Option<BTreeMap<AccountId, Account>>,
-    /// Bounds on callers' requests.
+    /// Size limits for callers' requests.
     #[serde(default)]
     pub bounds: Bounds,
-    /// Rises with each catalog that takes the place of this one.
+    /// The edition, which increases with each replacement of this catalog.
     #[serde(default)]
     pub edition: Edition,
 }
 
-/// Bounds on what callers may send, where they are published.
+/// Size limits for callers' requests; each is unset where it isn't published.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Bounds {
-    /// The most bytes of a request's head.
+    /// The largest request head, in bytes.
     #[serde(default)]
     pub head_bytes: Option<usize>,
-    /// The most bytes of a request's body.
+    /// The largest request body, in bytes.
     #[serde(default)]
     pub body_bytes: Option<usize>,
 }
--- a/crates/harefield/src/domain/resources/mod.rs
+++ b/crates/harefield/src/domain/resources/mod.rs
@@ -1,15 +1,15 @@
-//! The resources that the platform publishes, their schema and their checks.
+//! The resources that the platform publishes: their schema, parsing and validation.
 //!
-//! `docs/RESOURCES.md` writes down the same schema for operators.
+//! `docs/RESOURCES.md` documents the same schema for operators.
 
 mod check;
-mod fault;
+mod error;
 mod kinds;
 mod parse;
 mod set;
 
-pub use fault::MAX_VALUE_BYTES;
-pub use fault::ResourceError;
+pub use error::MAX_VALUE_BYTES;
+pub use error::ResourceError;
 pub use kinds::Account;
 pub use kinds::Bounds;
 pub use kinds::Catalog;
--- a/crates/harefield/src/domain/resources/set.rs
+++ b/crates/harefield/src/domain/resources/set.rs
@@ -1,12 +1,12 @@
-//! A whole set of resources, read from keyed JSON values.
+//! The set of all resources, built from JSON values by key.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use serde::de::DeserializeOwned;
 
-use super::fault::MAX_VALUE_BYTES;
-use super::fault::ResourceError;
+use super::error::MAX_VALUE_BYTES;
+use super::error::ResourceError;
 use super::kinds::Account;
 use super::kinds::Bounds;
 use super::kinds::Catalog;
@@ -22,8 +22,7 @@
 use crate::domain::ids::ShardId;
 use crate::domain::ids::UpstreamId;
 
-/// Every resource of one revision, by kind and name; sets share what they have
-/// in common.
+/// All resources of one revision, by kind and name. Successive sets share unchanged resources.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ResourceSet {
     /// The services.
@@ -34,18 +33,18 @@
     pub lookups: BTreeMap<Arc<str>, Arc<Lookup>>,
     /// The indexes.
     pub indexes: BTreeMap<Arc<str>, Arc<Index>>,
-    /// The catalogs, whose resources stand above as well.
+    /// The catalogs, whose resources are also in the maps by kind.
     pub catalogs: BTreeMap<Arc<str>, Arc<Catalog>>,
     /// The client accounts.
     pub accounts: BTreeMap<AccountId, Arc<Account>>,
-    /// The availability zones that are evacuated.
+    /// The evacuations, by availability zone.
     pub evacuations: BTreeMap<Arc<str>, Arc<Evacuation>>,
-    /// The upstreams that hold each shard by their own word.
+    /// The upstreams that announce each shard themselves, sorted by name.
     pub holders: BTreeMap<ShardId, Arc<[UpstreamId]>>,
 }
 
 impl ResourceSet {
-    /// Puts a value under a key, or removes what stands there.
+    /// Parses and inserts the value of a key, or removes the resource if there is no value.
     pub(super) fn put(&mut self, key: &Key, value: Option<&str>) -> Result<(), ResourceError> {
         if let Some(size) = value.map(str::len).filter(|size| *size > MAX_VALUE_BYTES) {
             let detail = format!("{size} bytes");
@@ -99,8 +98,8 @@
         }
     }
 
-    /// Puts a catalog's resources in the place of those that it had before;
-    /// what did not change stays the same value.
+    /// Replaces the resources of a catalog's previous version; unchanged ones keep their
+    /// allocation.
     fn put_catalog(&mut self, key: &Key, name: &str, value: Option<&str>) -> Result<(), ResourceError> {
         let before = self.catalogs.get(name).map(Arc::clone).unwrap_or_default();
         put(&mut self.catalogs, key, name, value)?;
@@ -114,7 +113,7 @@
         Ok(())
     }
 
-    /// Returns the set with upstreams that it does not name any more.
+    /// Returns the set with additional upstreams, which it no longer contains itself.
     #[must_use]
     pub fn with_upstreams<'a>(
         &self,
@@ -130,29 +129,29 @@
         set
     }
 
-    /// Returns the replicas of a shard: those that its service lists and those
-    /// that hold it by their own word.
+    /// Returns the replicas of a shard: those that its service lists, and those that announce it
+    /// themselves.
     pub fn replicas(&self, shard: &ShardId) -> impl Iterator<Item = &UpstreamId> {
         let listed =
             shard.split_once('/').and_then(|(service, name)| self.services.get(service)?.shards.get(name));
         let held = self.holders.get(shard).map_or(&[][..], |names| names);
-        let fresh = move |name: &&UpstreamId| listed.is_none_or(|listed| !listed.contains(name));
-        listed.into_iter().flatten().chain(held.iter().filter(fresh))
+        let unlisted = move |name: &&UpstreamId| listed.is_none_or(|listed| !listed.contains(name));
+        listed.into_iter().flatten().chain(held.iter().filter(unlisted))
     }
 
-    /// Returns the edition of all catalogs together; 0 where there are none.
+    /// Returns the sum of the catalogs' editions; 0 if there are none.
     #[must_use]
     pub fn edition(&self) -> Edition {
         self.catalogs.values().map(|catalog| catalog.edition).sum()
     }
 
-    /// Returns whether client accounts are in force, even where there is none.
+    /// Returns whether client accounts are in force, even if no account is defined.
     #[must_use]
     pub fn has_accounts(&self) -> bool {
         !self.accounts.is_empty() || self.catalogs.values().any(|catalog| catalog.accounts.is_some())
     }
 
-    /// Returns the bounds on callers' requests: of each, the least published.
+    /// Returns the size limits for callers' requests: of each, the lowest that is published.
     #[must_use]
     pub fn bounds(&self) -> Bounds {
         let all = || self.catalogs.values().map(|catalog| catalog.bounds);
@@ -163,7 +162,7 @@
     }
 }
 
-/// Takes out what a catalog held before and puts in what it holds now.
+/// Removes the resources that a catalog no longer contains, and inserts those that changed.
 fn replace<T: Clone + PartialEq>(
     map: &mut BTreeMap<Arc<str>, Arc<T>>,
     before: &BTreeMap<Arc<str>, T>,
@@ -192,7 +191,7 @@
         code: Code::ResourceMalformed,
         detail: error.to_string(),
     })?;
-    // What did not change stays the same value, so that nothing is worked out anew for it.
+    // An unchanged value keeps its allocation, so that nothing is recomputed for it.
     let kept = before.filter(|before| **before == parsed);
     map.insert(name.into(), kept.unwrap_or_else(|| Arc::new(parsed)));
     Ok(())
