--- a/crates/harefield/src/domain/fanout/machine.rs
+++ b/crates/harefield/src/domain/fanout/machine.rs
@@ -15,7 +15,7 @@
 use super::shard::Cancel;
 use super::shard::InFlight;
 use super::shard::Shard;
-use crate::domain::admission::Crowd;
+use crate::domain::admission::Congestion;
 use crate::domain::admission::Progress;
 use crate::domain::event::Cause;
 use crate::domain::event::Drop;
@@ -95,14 +95,14 @@
 
     /// Returns what the fan-out shows of the load on the upstreams.
     #[must_use]
-    pub fn congestion(&self, now: Instant) -> Crowd {
+    pub fn congestion(&self, now: Instant) -> Congestion {
         let waited = self.shards.iter().filter(|shard| shard.waited).count();
         let progress = self.rules.cutoff.zip(self.started).map(|(cut, started)| Progress {
             half: self.half.unwrap_or(now).saturating_duration_since(started),
             enough: self.enough.unwrap_or(now).saturating_duration_since(started),
             allowed: cut.saturating_duration_since(self.rules.start),
         });
-        Crowd { waited, shards: self.shards.len(), objective: self.rules.objective.is_some(), progress }
+        Congestion { waited, shards: self.shards.len(), objective: self.rules.objective.is_some(), progress }
     }
 
     /// Returns whether the fan-out only waits for stragglers: its objective has passed and at least
--- a/crates/harefield/src/domain/view/mod.rs
+++ b/crates/harefield/src/domain/view/mod.rs
@@ -129,7 +129,7 @@
         let lookups = builder.lookups();
         let upstreams = builder.upstreams();
         let paths = PathIndex::new(&lookups);
-        let directory = if self.directory.is_of(inputs.set, inputs.require_keys) {
+        let directory = if self.directory.matches(inputs.set, inputs.require_keys) {
             Arc::clone(&self.directory)
         } else {
             Arc::new(Directory::new(inputs.set, inputs.require_keys))
