--- a/crates/harefield/src/domain/fanout/groups.rs
+++ b/crates/harefield/src/domain/fanout/groups.rs
@@ -160,7 +160,12 @@
     }
 
     /// Sends a group of shards to a daemon.
-    fn send_group<S: Sink>(&mut self, host: HostId, wanted: Vec<PendingShard>, step: &mut StepContext<'_, S>) {
+    fn send_group<S: Sink>(
+        &mut self,
+        host: HostId,
+        wanted: Vec<PendingShard>,
+        step: &mut StepContext<'_, S>,
+    ) {
         let (attempt, start) = (self.next_id, step.now);
         self.next_id += 1;
         let way = step.router.relays().rtt_of(&host);
