--- a/crates/harefield/tests/decisions/carriers.rs
+++ b/crates/harefield/tests/decisions/carriers.rs
@@ -52,8 +52,8 @@
         let mut carrier = daemon(replicas, attempts, attempts - 1);
         let mut sender = daemon(replicas, attempts, 0);
         let leaves = |step: &&Step| !matches!(step, Step::Pause | Step::Drain(..));
-        carried.iter().filter(leaves).for_each(|step| carrier.take(*step));
-        kept.iter().filter(leaves).for_each(|step| sender.take(*step));
+        carried.iter().filter(leaves).for_each(|step| carrier.apply(*step));
+        kept.iter().filter(leaves).for_each(|step| sender.apply(*step));
         for shard in 0..SHARDS {
             let mut both = asked(&carrier, shard);
             both.append(&mut asked(&sender, shard));
@@ -85,7 +85,7 @@
 #[test]
 fn rejected_then_named() {
     let mut world = daemon(4, 2, 1);
-    while let Some(place) = world.flying.iter().position(|send| send.upstream != replica(send.shard, 0)) {
+    while let Some(place) = world.in_flight.iter().position(|send| send.upstream != replica(send.shard, 0)) {
         let end = AttemptEnd::Refused { why: Gap::Overloaded, begun: false };
         world.end(place, end, Verdict::Full(None));
     }
--- a/crates/harefield/tests/decisions/caution.rs
+++ b/crates/harefield/tests/decisions/crash_guard.rs
@@ -1,4 +1,4 @@
-//! A fan-out whose upstreams end while they have the request.
+//! A fan-out whose upstreams crash while they have the request.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -16,9 +16,9 @@
 use harefield::domain::resources::Preference;
 use harefield::domain::routing::Verdict;
 
-/// How many upstreams more than one a shard such a request may end: one that is hedged,
-/// and two that are asked alone.
-const MOST_EXTRA: usize = 3;
+/// How many upstreams beyond one per shard such a request may crash: one by a hedge, and two by
+/// trials.
+const MAX_EXTRA: usize = 3;
 
 fn fanout(shards: usize, trials: u32) -> World {
     World::with(shards, 2, true, |rules, _| {
@@ -33,8 +33,8 @@
     world.end(place, AttemptEnd::Lost { why: Gap::UpstreamEnded }, Verdict::Lost);
 }
 
-/// Returns how an upstream's end shows: known as such, or as a reply that was lost where the
-/// daemon stood still and could not look.
+/// Returns the end of an attempt whose upstream crashed: a known crash, or a lost reply if the
+/// daemon was paused and could not check.
 fn loss(known: bool) -> AttemptEnd {
     AttemptEnd::Lost { why: if known { Gap::UpstreamEnded } else { Gap::ReplyLost } }
 }
@@ -42,57 +42,58 @@
 proptest! {
     #![proptest_config(cases(300))]
 
-    /// Nor do more where it is not known of all of them that they ended.
+    /// The number of crashed upstreams is limited even if not all crashes are known as such.
     #[test]
-    fn unseen_ends_few(
+    fn undetected_crashes_limited(
         shards in 4_usize..40,
         order in prop::collection::vec((any::<usize>(), 0_u64..40, any::<bool>()), 200),
     ) {
         let mut world = fanout(shards, MAX_TRIALS);
         let mut ended = 0;
         for (place, millis, known) in order {
-            world.pass(Duration::from_millis(millis));
+            world.advance(Duration::from_millis(millis));
             if world.fanout.is_done() {
                 break;
             }
-            if !world.flying.is_empty() {
+            if !world.in_flight.is_empty() {
                 ended += 1;
                 world.end(place, loss(known), Verdict::Lost);
             }
         }
-        prop_assert!(world.fanout.is_done(), "it is answered");
-        prop_assert!(ended + world.flying.len() <= shards + MOST_EXTRA, "{} of {} shards", ended, shards);
+        prop_assert!(world.fanout.is_done(), "the fan-out ends");
+        prop_assert!(ended + world.in_flight.len() <= shards + MAX_EXTRA, "{} of {} shards", ended, shards);
         prop_assert_eq!(world.fanout.finish().outcome, Outcome::MayHaveRun);
     }
 
-    /// In whatever order and time its upstreams end, few more than one a shard do.
+    /// The number of crashed upstreams is limited to few more than one per shard, in whatever order
+    /// and at whatever time they crash.
     #[test]
-    fn ends_few(
+    fn crashes_limited(
         shards in 1_usize..40,
         order in prop::collection::vec((any::<usize>(), 0_u64..40), 200),
     ) {
         let mut world = fanout(shards, MAX_TRIALS);
         let mut ended = 0;
         for (place, millis) in order {
-            world.pass(Duration::from_millis(millis));
+            world.advance(Duration::from_millis(millis));
             if world.fanout.is_done() {
                 break;
             }
-            if !world.flying.is_empty() {
+            if !world.in_flight.is_empty() {
                 ended += 1;
                 end(&mut world, place);
             }
         }
-        prop_assert!(world.fanout.is_done(), "it is answered");
-        prop_assert!(ended + world.flying.len() <= shards + MOST_EXTRA, "{} of {} shards", ended, shards);
+        prop_assert!(world.fanout.is_done(), "the fan-out ends");
+        prop_assert!(ended + world.in_flight.len() <= shards + MAX_EXTRA, "{} of {} shards", ended, shards);
         let finished = world.fanout.finish();
         prop_assert_eq!(finished.outcome, Outcome::MayHaveRun);
     }
 
-    /// What some upstreams lose for reasons of their own is asked again as soon as another
-    /// one has answered.
+    /// Shards whose upstreams crash for other reasons are retried once another upstream has
+    /// answered.
     #[test]
-    fn innocent_asked_again(
+    fn harmless_retried(
         shards in 2_usize..30,
         lost in prop::collection::vec(any::<bool>(), 30),
         order in any::<u64>(),
@@ -102,8 +103,8 @@
         prop_assume!(lost.len() < shards);
         let mut place = order;
         while let Some(send) = next(&world, &mut place) {
-            let first = world.flying[send].cause == Cause::First;
-            if first && lost.contains(&world.flying[send].shard) {
+            let first = world.in_flight[send].cause == Cause::First;
+            if first && lost.contains(&world.in_flight[send].shard) {
                 end(&mut world, send);
             } else {
                 world.answer(send);
@@ -111,52 +112,52 @@
         }
         prop_assert!(world.fanout.is_done());
         let finished = world.fanout.finish();
-        prop_assert!(finished.coverage.whole, "all are in: {:?}", finished.coverage.missing);
+        prop_assert!(finished.coverage.whole, "missing shards: {:?}", finished.coverage.missing);
     }
 }
 
-/// Draws one of the attempts under way.
+/// Draws one of the attempts in flight.
 fn next(world: &World, draw: &mut u64) -> Option<usize> {
     *draw = draw.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
-    let flying = u64::try_from(world.flying.len()).ok()?;
-    usize::try_from((*draw >> 33).checked_rem(flying)?).ok()
+    let in_flight = u64::try_from(world.in_flight.len()).ok()?;
+    usize::try_from((*draw >> 33).checked_rem(in_flight)?).ok()
 }
 
 #[test]
-fn others_await_the_first() {
+fn hedges_await_answer() {
     let mut world = fanout(20, MAX_TRIALS);
-    world.pass(Duration::from_millis(500));
+    world.advance(Duration::from_millis(500));
     let hedges = |world: &World| world.sent.iter().filter(|send| send.cause == Cause::Hedge).count();
-    assert_eq!(hedges(&world), 1, "nobody has answered");
+    assert_eq!(hedges(&world), 1, "no upstream has answered");
     world.answer(0);
-    world.pass(Duration::from_millis(20));
-    assert!(hedges(&world) > 1, "the request can be run");
+    world.advance(Duration::from_millis(20));
+    assert!(hedges(&world) > 1, "an upstream has answered");
 }
 
 #[test]
-fn groups_leave_it_to_the_whole() {
+fn groups_send_no_trials() {
     let mut world = fanout(6, 0);
-    world.pass(Duration::from_millis(500));
-    while !world.flying.is_empty() {
+    world.advance(Duration::from_millis(500));
+    while !world.in_flight.is_empty() {
         end(&mut world, 0);
     }
     assert!(world.fanout.is_done());
-    assert_eq!(world.sent.len(), 6, "it asks nobody a second time");
+    assert_eq!(world.sent.len(), 6, "no shard gets a second attempt");
     let finished = world.fanout.finish();
     assert_eq!(finished.code, Code::ReplyLost);
     assert!(finished.coverage.missing.iter().all(|missing| missing.why == Gap::UpstreamEnded));
 }
 
 #[test]
-fn nothing_leaves_meanwhile() {
-    // Once one has ended, no other reason to ask again counts either, until one answers.
+fn retries_await_answer() {
+    // After a crash no other failure is retried either, until an upstream has answered.
     let mut world = fanout(6, MAX_TRIALS);
     end(&mut world, 0);
     let refused = AttemptEnd::Refused { why: Gap::Overloaded, begun: false };
     world.end(0, refused, Verdict::Full(None));
     world.end(0, AttemptEnd::NotSent { why: Gap::Unreachable }, Verdict::Broken);
-    world.pass(Duration::from_millis(50));
+    world.advance(Duration::from_millis(50));
     assert_eq!(world.sent.len(), 6);
     world.answer(0);
-    assert_eq!(world.sent.len(), 9, "the three that waited");
+    assert_eq!(world.sent.len(), 9, "the three suspended shards are retried");
 }
--- a/crates/harefield/tests/decisions/fanout.rs
+++ b/crates/harefield/tests/decisions/fanout.rs
@@ -1,4 +1,4 @@
-//! The fan-out under generated schedules of replies, losses and pauses.
+//! The fan-out under generated sequences of replies, losses and pauses.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,7 +11,7 @@
 use crate::support::cases;
 use crate::support::replica;
 use crate::world::World;
-use crate::world::almost_whole;
+use crate::world::all_but_one;
 use crate::world::step;
 use harefield::domain::code::Code;
 use harefield::domain::event::Cause;
@@ -30,9 +30,9 @@
 proptest! {
     #![proptest_config(cases(600))]
 
-    /// Coverage names every shard of the snapshot once, on the side where it belongs.
+    /// Coverage has every shard of the snapshot once: contributed or missing.
     #[test]
-    fn coverage_true(
+    fn coverage_exact(
         shards in 1_usize..8,
         replicas in 1_usize..4,
         repeatable in any::<bool>(),
@@ -42,7 +42,7 @@
         let prefer = if coverage { Preference::Coverage } else { Preference::Time };
         let world = World::new(shards, replicas, repeatable, prefer);
         let plan = Arc::clone(&world.plan);
-        let (finished, told, flying) = world.run(&steps);
+        let (finished, ended, in_flight) = world.run(&steps);
 
         let contributed: BTreeSet<_> = finished.coverage.contributed.iter().cloned().collect();
         let missing: BTreeSet<_> = finished.coverage.missing.iter().map(|m| Arc::clone(&m.shard)).collect();
@@ -52,36 +52,37 @@
         prop_assert_eq!(contributed.len() + missing.len(), plan.shards.len());
         prop_assert_eq!(finished.coverage.whole, missing.is_empty());
 
-        // Each contribution is a reply that was told for that very shard.
-        let answers: BTreeMap<String, usize> = told.iter().filter_map(|(send, end)| match end {
+        // Each contribution is a reply that was reported for that shard.
+        let answers: BTreeMap<String, usize> = ended.iter().filter_map(|(send, end)| match end {
             AttemptEnd::Answered(body) => Some((body.get().to_owned(), send.shard)),
             _ => None,
         }).collect();
         prop_assert_eq!(finished.parts.len(), contributed.len());
         for part in &finished.parts {
-            let shard = answers.get(part.reply.get()).expect("the reply was told");
+            let shard = answers.get(part.reply.get()).expect("the reply was reported");
             prop_assert_eq!(&plan.shards[*shard].shard, &part.shard);
         }
-        // An answered shard is never called missing, unless cut before.
+        // A missing shard may have run exactly if an attempt on it may have run or is in flight.
         for missing in &finished.coverage.missing {
-            let place = plan.shards.iter().position(|s| s.shard == missing.shard).expect("it is asked");
-            let ran = told.iter().any(|(send, end)| send.shard == place && end.may_have_run())
-                || flying.iter().any(|send| send.shard == place);
+            let place = plan.shards.iter().position(|s| s.shard == missing.shard).expect("the plan has the shard");
+            let ran = ended.iter().any(|(send, end)| send.shard == place && end.may_have_run())
+                || in_flight.iter().any(|send| send.shard == place);
             prop_assert_eq!(missing.ran, ran, "{:?}", missing);
         }
     }
 
-    /// "Not run" is said only when nothing can have run anywhere.
+    /// `Outcome::NotRun` is given exactly if nothing can have run anywhere, and a once-only request
+    /// is answered only if no missing shard may have run it.
     #[test]
-    fn not_run_true(
+    fn not_run_exact(
         shards in 1_usize..5,
         replicas in 1_usize..3,
         repeatable in any::<bool>(),
         steps in prop::collection::vec(step(), 0..40),
     ) {
         let world = World::new(shards, replicas, repeatable, Preference::Coverage);
-        let (finished, told, flying) = world.run(&steps);
-        let ran = told.iter().any(|(_, end)| end.may_have_run()) || !flying.is_empty();
+        let (finished, ended, in_flight) = world.run(&steps);
+        let ran = ended.iter().any(|(_, end)| end.may_have_run()) || !in_flight.is_empty();
         if finished.outcome == Outcome::NotRun {
             prop_assert!(!ran);
         }
@@ -106,22 +107,22 @@
 }
 
 #[test]
-fn hedge_slow() {
-    let mut world = almost_whole(40, Preference::Coverage);
-    world.pass(Duration::from_millis(60));
+fn slow_shard_hedged() {
+    let mut world = all_but_one(40, Preference::Coverage);
+    world.advance(Duration::from_millis(60));
     let hedges =
         world.events.iter().filter(|event| matches!(event, Event::Sent { cause: Cause::Hedge, .. })).count();
-    assert_eq!(hedges, 1, "the one slow shard is hedged once");
-    let (first, second) = (&world.sent[0], world.sent.last().expect("a hedge left"));
+    assert_eq!(hedges, 1, "the slow shard is hedged once");
+    let (first, second) = (&world.sent[0], world.sent.last().expect("a hedge was sent"));
     assert_eq!(first.shard, second.shard);
     assert_ne!(first.upstream, second.upstream);
 }
 
 #[test]
 fn hedge_loser_dropped() {
-    let mut world = almost_whole(40, Preference::Coverage);
-    world.pass(Duration::from_millis(60));
-    let place = world.flying.iter().position(|send| send.attempt != 0).expect("the hedge flies");
+    let mut world = all_but_one(40, Preference::Coverage);
+    world.advance(Duration::from_millis(60));
+    let place = world.in_flight.iter().position(|send| send.attempt != 0).expect("the hedge is in flight");
     world.answer(place);
     assert!(world.fanout.is_done());
     world.answer(0);
@@ -135,8 +136,8 @@
 fn late_after_cut() {
     let mut world = World::new(2, 1, true, Preference::Coverage);
     world.answer(0);
-    world.pass(Duration::from_millis(100));
-    assert!(world.fanout.is_done(), "the deadline cuts");
+    world.advance(Duration::from_millis(100));
+    assert!(world.fanout.is_done(), "the answer is cut at the deadline");
     world.answer(0);
     let finished = world.fanout.finish();
     assert_eq!(finished.coverage.contributed.len(), 1);
@@ -145,13 +146,13 @@
 }
 
 #[test]
-fn dead_ends_at_once() {
+fn no_replica_fails_fast() {
     let mut world = World::new(1, 2, true, Preference::Coverage);
     world.drain(0, 0);
     world.drain(0, 1);
     let end = AttemptEnd::Refused { why: Gap::Leaving, begun: false };
     world.end(0, end, Verdict::Declined);
-    assert!(world.fanout.is_done(), "no replica is left, so nothing is awaited");
+    assert!(world.fanout.is_done(), "no replica is left to wait for");
     let finished = world.fanout.finish();
     assert_eq!(finished.outcome, Outcome::NotRun);
     assert_eq!(finished.code, Code::NoReplica);
@@ -161,15 +162,15 @@
 fn budget_bounds_hedges() {
     let mut world = World::new(200, 2, true, Preference::Coverage);
     for _ in 0..90 {
-        world.pass(Duration::from_millis(1));
+        world.advance(Duration::from_millis(1));
     }
     let extra = world.sent.len() - 200;
-    assert!(extra > 0, "some hedges leave");
+    assert!(extra > 0, "some hedges are sent");
     assert!(extra <= 16 + 10, "{extra} hedges for 200 requests at 5%");
 }
 
 #[test]
-fn echo_must_match() {
+fn identity_must_match() {
     let asked = ReplyIdentity { request: "r.1".into(), shard: "s/0".into(), version: 7 };
     assert_eq!(verify(&asked, Some(&asked.clone())), Ok(()));
     let crossed = ReplyIdentity { request: "r.2".into(), ..asked.clone() };
@@ -181,8 +182,8 @@
     assert_eq!(verify(&asked, None), Err(Gap::ReplyCrossed));
 }
 
-/// Makes replica 1 of every shard one that takes much longer, seen a second ago.
-fn slow_second(shards: usize, rules: &mut AnswerRules, router: &mut Router) {
+/// Gives replica 1 of every shard a much higher latency than replica 0, measured a second ago.
+fn slow_second_replica(shards: usize, rules: &mut AnswerRules, router: &mut Router) {
     let past = rules.start;
     for shard in 0..shards {
         for (number, millis) in [(0, 4), (1, 60)] {
@@ -203,19 +204,18 @@
 proptest! {
     #![proptest_config(cases(64))]
 
-    /// No more upstreams are asked for a shard than the lookup allows, probes
-    /// included.
+    /// A shard gets no more attempts than the lookup allows, including probes.
     #[test]
-    fn attempts_kept(steps in proptest::collection::vec(step(), 0..40), attempts in 1_u32..4) {
+    fn attempts_limited(steps in proptest::collection::vec(step(), 0..40), attempts in 1_u32..4) {
         let mut world = World::with(6, 3, true, |rules, router| {
-            slow_second(6, rules, router);
+            slow_second_replica(6, rules, router);
             rules.attempts = attempts;
         });
         for step in steps {
             if world.fanout.is_done() {
                 break;
             }
-            world.take(step);
+            world.apply(step);
         }
         for shard in 0..6 {
             let sent = world.sent.iter().filter(|send| send.shard == shard).count();
--- a/crates/harefield/tests/decisions/groups.rs
+++ b/crates/harefield/tests/decisions/groups.rs
@@ -1,4 +1,4 @@
-//! Groups of far shards handed to a daemon beside their replicas.
+//! Groups of distant shards that are delegated to a daemon near their replicas.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -43,7 +43,7 @@
 use crate::support::values;
 use crate::support::view;
 
-/// How many shards there are; the first two have a replica beside the daemon.
+/// How many shards there are; the first two have replicas in the daemon's own zone.
 const SHARDS: usize = 6;
 
 /// A fan-out of a daemon in zone `a`; zone `b` is in another region.
@@ -52,7 +52,7 @@
     router: Router,
     now: Instant,
     events: Vec<Event>,
-    hands: Vec<GroupRequest>,
+    groups: Vec<GroupRequest>,
     sends: Vec<SendAttempt>,
     revoked: usize,
 }
@@ -80,7 +80,7 @@
         Self::placed("b", live, replicas, budgets)
     }
 
-    /// Starts with the shards but the first two, and the other daemon, in `zone`.
+    /// Starts with the other daemon, and all shards but the first two, in `zone`.
     fn placed(zone: &str, live: bool, replicas: usize, budgets: Budgets) -> Self {
         let now = Instant::now();
         let mut values = values(SHARDS, replicas, &[7]);
@@ -120,22 +120,22 @@
             router,
             now,
             events: Vec::new(),
-            hands: Vec::new(),
+            groups: Vec::new(),
             sends: Vec::new(),
             revoked: 0,
         };
         let actions = world.fanout.start_groups(now, &mut world.router, &mut world.events);
-        world.act(actions);
+        world.apply_actions(actions);
         let actions = world.fanout.start(now, &mut world.router, &mut world.events);
-        world.act(actions);
+        world.apply_actions(actions);
         world
     }
 
-    fn act(&mut self, actions: Vec<Action>) {
+    fn apply_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send(send) => self.sends.push(send),
-                Action::Delegate(hand) => self.hands.push(hand),
+                Action::Delegate(group) => self.groups.push(group),
                 Action::Revoke(_) => self.revoked += 1,
                 Action::Cancel(_) => {}
             }
@@ -143,46 +143,46 @@
     }
 
     fn end_group(&mut self, end: &GroupOutcome) {
-        let hand = self.hands[0].clone();
-        let actions = self.fanout.on_group_end(&hand, end, self.now, &mut self.router, &mut self.events);
-        self.act(actions);
+        let group = self.groups[0].clone();
+        let actions = self.fanout.on_group_end(&group, end, self.now, &mut self.router, &mut self.events);
+        self.apply_actions(actions);
     }
 
     fn answer(&mut self, send: &SendAttempt, text: &str) {
         let end = AttemptEnd::Answered(part(text));
         let place = (send.shard, send.attempt);
         let actions = self.fanout.on_attempt_end(place, end, self.now, &mut self.router, &mut self.events);
-        self.act(actions);
+        self.apply_actions(actions);
     }
 
-    /// Answers the first shard, which shows that the request can be run.
+    /// Answers the first shard, which shows that the request does not crash upstreams.
     fn answer_first(&mut self) {
         let send = self.sends[0].clone();
         self.answer(&send, "direct");
     }
 
-    fn pass(&mut self, millis: u64) {
+    fn advance(&mut self, millis: u64) {
         for _ in 0..millis.div_ceil(100) {
             self.now += Duration::from_millis(millis.min(100));
             self.router.lease_mut().renew(self.now);
         }
         let actions = self.fanout.on_timer(self.now, &mut self.router, &mut self.events);
-        self.act(actions);
+        self.apply_actions(actions);
     }
 
     /// Ends the group with `parts` contributions, and `missing` for the other shards.
-    fn bring(&mut self, parts: usize, missing: &ShardResult) {
-        let shards = self.hands[0].shards.iter().enumerate();
+    fn return_results(&mut self, parts: usize, missing: &ShardResult) {
+        let shards = self.groups[0].shards.iter().enumerate();
         let all = shards.map(|(number, shard)| {
-            let brought = if number < parts { ShardResult::Part(part("group")) } else { missing.clone() };
-            (*shard, brought)
+            let result = if number < parts { ShardResult::Part(part("group")) } else { missing.clone() };
+            (*shard, result)
         });
         let end = GroupOutcome::Results(all.collect());
         self.end_group(&end);
     }
 
-    /// Returns what was asked directly beyond the two shards beside the daemon.
-    fn asked_later(&self) -> Vec<(usize, Cause)> {
+    /// Returns the direct attempts apart from those on the first two shards.
+    fn later_attempts(&self) -> Vec<(usize, Cause)> {
         self.sends[2..].iter().map(|send| (send.shard, send.cause)).collect()
     }
 }
@@ -199,24 +199,24 @@
 #[test]
 fn far_shards_grouped() {
     let world = World::start(true);
-    assert_eq!(world.hands.len(), 1);
-    assert_eq!(world.hands[0].shards, [2, 3, 4, 5]);
-    assert_eq!(world.hands[0].host, host());
+    assert_eq!(world.groups.len(), 1);
+    assert_eq!(world.groups[0].shards, [2, 3, 4, 5]);
+    assert_eq!(world.groups[0].host, host());
     let direct: Vec<usize> = world.sends.iter().map(|send| send.shard).collect();
-    assert_eq!(direct, [0, 1], "those beside the daemon are asked directly");
+    assert_eq!(direct, [0, 1], "shards in the same zone are queried directly");
 }
 
 #[test]
 fn region_shards_grouped() {
     let world = World::placed("c", true, 2, Budgets::one(0.05));
-    assert_eq!(world.hands.len(), 1, "bytes between availability zones of a region cost too");
-    assert_eq!(world.hands[0].shards, [2, 3, 4, 5]);
+    assert_eq!(world.groups.len(), 1, "traffic between zones of a region has a cost too");
+    assert_eq!(world.groups[0].shards, [2, 3, 4, 5]);
 }
 
 #[test]
-fn nobody_to_hand_to() {
+fn no_live_daemon() {
     let world = World::start(false);
-    assert!(world.hands.is_empty());
+    assert!(world.groups.is_empty());
     assert_eq!(world.sends.len(), SHARDS);
 }
 
@@ -227,24 +227,24 @@
         world.answer(&send, "direct");
     }
     let missing = ShardResult::Missing { why: Gap::Late, ran: true, sent: 2 };
-    world.bring(4, &missing);
+    world.return_results(4, &missing);
     assert!(world.fanout.is_done());
     let finished = world.fanout.finish();
     assert_eq!((finished.outcome, finished.parts.len()), (Outcome::Answered, SHARDS));
 }
 
 #[test]
-fn unsent_asked_afresh() {
+fn unsent_is_first() {
     let mut world = World::start(true);
     world.end_group(&GroupOutcome::NotSent);
-    assert_eq!(world.asked_later(), [2, 3, 4, 5].map(|shard| (shard, Cause::First)));
+    assert_eq!(world.later_attempts(), [2, 3, 4, 5].map(|shard| (shard, Cause::First)));
 }
 
 #[test]
-fn spent_not_asked_again() {
+fn no_attempt_left() {
     let mut world = World::start(true);
     let missing = ShardResult::Missing { why: Gap::Late, ran: true, sent: 2 };
-    world.bring(3, &missing);
+    world.return_results(3, &missing);
     assert_eq!(world.sends.len(), 2, "the daemon used both attempts of the shard");
 }
 
@@ -252,22 +252,22 @@
 fn one_attempt_left() {
     let mut world = World::start(true);
     let missing = ShardResult::Missing { why: Gap::ReplyLost, ran: true, sent: 1 };
-    world.bring(3, &missing);
-    assert_eq!(world.asked_later(), [(5, Cause::Retry)]);
+    world.return_results(3, &missing);
+    assert_eq!(world.later_attempts(), [(5, Cause::Retry)]);
 }
 
 #[test]
-fn refused_there_is_a_retry() {
-    // An upstream that refused was asked all the same: asking again is extra load.
+fn refusal_is_attempt() {
+    // The upstream that refused has used an attempt: trying again is extra load.
     let mut world = World::start(true);
     let missing = ShardResult::Missing { why: Gap::Overloaded, ran: false, sent: 1 };
-    world.bring(3, &missing);
-    assert_eq!(world.asked_later(), [(5, Cause::Retry)]);
+    world.return_results(3, &missing);
+    assert_eq!(world.later_attempts(), [(5, Cause::Retry)]);
 }
 
 #[test]
-fn groups_earn_nothing_here() {
-    // The daemon that asks the upstreams first earns for them, and it alone.
+fn groups_earn_nothing() {
+    // The daemon that makes the first attempts adds to the budgets for them; this one must not.
     let retries = |live: bool| {
         let fleet = FleetSlack { share: 1.0, slack: 10.5 };
         let mut world = World::with(live, 2, Budgets::by_service(fleet, 1));
@@ -280,29 +280,29 @@
 
 #[test]
 fn overdue_revoked_first() {
-    // The shards of a group are asked directly only once it was taken back, so
-    // that no more upstreams run the request than the lookup allows.
+    // The shards of a group are queried directly only after it was revoked, so that no more
+    // upstreams run the request than the lookup allows.
     let mut world = World::start(true);
-    world.pass(150);
-    assert_eq!((world.revoked, world.sends.len()), (0, 2), "its answer is not yet due");
+    world.advance(150);
+    assert_eq!((world.revoked, world.sends.len()), (0, 2), "the group is not overdue yet");
     world.answer_first();
-    world.pass(100);
+    world.advance(100);
     assert_eq!((world.revoked, world.sends.len()), (1, 2));
-    world.pass(5);
+    world.advance(5);
     assert_eq!(world.sends.len(), SHARDS);
-    world.bring(4, &ShardResult::Part(part("group")));
+    world.return_results(4, &ShardResult::Part(part("group")));
     for send in world.sends.clone() {
         world.answer(&send, "direct");
     }
     let finished = world.fanout.finish();
     assert!(
         finished.parts.iter().all(|part| signature(&part.reply) == "direct"),
-        "what was revoked is not taken"
+        "replies to a revoked group are ignored"
     );
 }
 
-/// A budget that is used up for all far shards.
-fn spent() -> Budgets {
+/// A budget that is exhausted for all distant shards.
+fn exhausted() -> Budgets {
     let mut budgets = Budgets::by_service(FleetSlack { share: 0.0, slack: 1.0 }, 1);
     while budgets.of(&"s/002".into()).spend_retry() {}
     budgets
@@ -310,110 +310,113 @@
 
 #[test]
 fn unpaid_group_kept() {
-    // Its shards could not be asked again: what it brings late is all there is.
-    let mut world = World::with(true, 2, spent());
+    // Its shards could not be queried again, so its late results are the only ones there are.
+    let mut world = World::with(true, 2, exhausted());
     for send in world.sends.clone() {
         world.answer(&send, "direct");
     }
-    world.pass(150);
-    world.pass(100);
-    assert_eq!(world.revoked, 0, "its shards cannot be paid for");
-    world.bring(4, &ShardResult::Part(part("group")));
+    world.advance(150);
+    world.advance(100);
+    assert_eq!(world.revoked, 0, "the budget does not pay for its shards");
+    world.return_results(4, &ShardResult::Part(part("group")));
     let finished = world.fanout.finish();
     assert_eq!((finished.outcome, finished.parts.len()), (Outcome::Answered, SHARDS));
 }
 
 #[test]
-fn lost_group_given_up() {
-    // A caller that waits on a daemon that is gone is told in time to come back.
-    let mut world = World::with(true, 2, spent());
-    world.pass(250);
+fn lost_group_revoked() {
+    // The caller of a request that waits for a dead daemon has to get its answer in time to retry.
+    let mut world = World::with(true, 2, exhausted());
+    world.advance(250);
     assert_eq!(world.revoked, 0);
-    world.pass(200);
+    world.advance(200);
     assert_eq!(world.revoked, 1);
-    world.pass(5);
-    assert!(world.fanout.is_done(), "what is left cannot make an answer");
+    world.advance(5);
+    assert!(world.fanout.is_done(), "the remaining shards are too few for an answer");
 }
 
 #[test]
-fn slow_message_awaited() {
-    // A connection that had to be opened first takes one way there and back more.
+fn slow_connect_awaited() {
+    // A connection that had to be opened first takes one more round trip.
     let mut world = World::start(true);
-    world.pass(200);
-    world.pass(20);
+    world.advance(200);
+    world.advance(20);
     assert_eq!(world.revoked, 0);
 }
 
 #[test]
-fn same_replicas_after_revoke() {
-    // With three replicas and two attempts, the daemon that the group went to may have asked
-    // one of its own choice: this one asks the one that it kept.
+fn fallback_after_revoke() {
+    // With three replicas and two attempts, the daemon that received the group may have queried one
+    // replica of its choice: this daemon queries only the fallback that it kept.
     let mut world = World::with(true, 3, Budgets::one(0.05));
-    let (kept, free) = (world.hands[0].fallbacks.clone(), world.hands[0].free);
+    let (kept, free) = (world.groups[0].fallbacks.clone(), world.groups[0].free);
     assert_eq!((kept.len(), free), (4, 1));
     world.answer_first();
-    world.pass(250);
-    world.pass(5);
+    world.advance(250);
+    world.advance(5);
     let again: Vec<SendAttempt> = world.sends[2..].to_vec();
     assert_eq!(again.len(), 4);
     for send in again {
-        let (_, replica) = kept.iter().find(|(shard, _)| *shard == send.shard).expect("one was kept");
+        let (_, replica) =
+            kept.iter().find(|(shard, _)| *shard == send.shard).expect("the shard has a fallback");
         assert_eq!(*replica, send.upstream);
     }
 }
 
 #[test]
-fn part_of_group_brought() {
+fn partial_group_counts() {
     let mut world = World::start(true);
     let missing = ShardResult::Missing { why: Gap::ReplyLost, ran: true, sent: 2 };
-    world.bring(3, &missing);
+    world.return_results(3, &missing);
     let finished = world.fanout.finish();
     let from_group = finished.parts.iter().filter(|part| signature(&part.reply) == "group").count();
     assert_eq!(from_group, 3);
 }
 
-/// Returns the plan of a lookup that allows two attempts, over shards of `replicas`
-/// replicas.
+/// Returns the plan of a lookup that allows two attempts, over shards of `replicas` replicas.
 fn plan(replicas: usize) -> Arc<LookupPlan> {
     let mut values = values(SHARDS, replicas, &[7]);
-    values.get_mut("lookups/l").expect("it is there")["attempts"] = 2.into();
+    values.get_mut("lookups/l").expect("the lookup exists")["attempts"] = 2.into();
     let set = Arc::new(ResourceSet::parse(&items(values)).expect("the values are valid"));
     Arc::clone(&view(&set).lookups["l"])
 }
 
 #[test]
 fn unnamed_replicas_declined() {
-    // The sender knows two of three replicas and names none: it may ask both itself.
+    // The sender knows two of three replicas and names none: it may query both itself.
     let names: [ShardId; 2] = ["s/000".into(), "s/001".into()];
     assert!(plan(3).group_plan(&names, []).is_none());
     assert!(plan(2).group_plan(&names, []).is_some());
     let only = [(0, vec![replica(0, 0), replica(0, 1)]), (1, vec![replica(1, 2)])];
     let limits = only.clone().map(|(at, named)| (at, ReplicaLimit { named, free: 0 }));
-    let group = plan(3).group_plan(&names, limits.clone()).expect("it says which");
+    let group = plan(3).group_plan(&names, limits.clone()).expect("all replicas are named");
     assert_eq!(group.shards[0].replicas, only[0].1);
     assert_eq!(group.shards[1].replicas, only[1].1);
     let [first, _] = limits;
-    assert!(plan(3).group_plan(&names, [first]).is_none(), "one of two is not said");
+    assert!(plan(3).group_plan(&names, [first]).is_none(), "one of two shards has no limit");
 }
 
 #[test]
-fn too_free_declined() {
-    // Two attempts are allowed: one that the sender keeps, and one of free choice.
+fn excess_choice_declined() {
+    // Two attempts are allowed: one on the replica that the sender keeps, and one on any other.
     let names: [ShardId; 1] = ["s/000".into()];
     let limit = |free| [(0, ReplicaLimit { named: vec![replica(0, 2)], free })];
-    let group = plan(3).group_plan(&names, limit(1)).expect("they stay within two");
-    assert_eq!(group.shards[0].replicas.len(), 3, "it chooses among all");
-    assert!(plan(3).group_plan(&names, limit(2)).is_none(), "together they could ask three");
+    let group = plan(3).group_plan(&names, limit(1)).expect("both stay within two attempts");
+    assert_eq!(group.shards[0].replicas.len(), 3, "it may choose any replica");
+    assert!(plan(3).group_plan(&names, limit(2)).is_none(), "together they could query three replicas");
 }
 
 #[test]
-fn silent_daemon_left_alone() {
+fn silent_daemon_avoided() {
     let mut world = World::start(true);
     let (kind, start) = ("l".into(), world.now);
-    world.pass(300);
-    assert!(world.router.pick_relay("i", "b", &kind, world.now).is_none(), "it has not answered for long");
+    world.advance(300);
+    assert!(
+        world.router.pick_relay("i", "b", &kind, world.now).is_none(),
+        "its group is unanswered for too long"
+    );
     world.router.relays_mut().end(&host(), &kind, start, RelayVerdict::Silent, world.now);
-    assert!(world.router.pick_relay("i", "b", &kind, world.now).is_none(), "it is left alone for a while");
+    assert!(world.router.pick_relay("i", "b", &kind, world.now).is_none(), "it is avoided for a while");
     let later = at(world.now, 1000);
     assert_eq!(world.router.pick_relay("i", "b", &kind, later), Some(host()));
 }
@@ -425,5 +428,5 @@
     assert_eq!(places.distance("c"), Distance::Region);
     assert_eq!(places.distance("b"), Distance::Far);
     assert_eq!(places.distance("unknown"), Distance::Far);
-    assert_eq!(Places::default().distance("b"), Distance::Near, "without regions all is near");
+    assert_eq!(Places::default().distance("b"), Distance::Near, "without regions every zone is near");
 }
--- a/crates/harefield/tests/decisions/overrun.rs
+++ b/crates/harefield/tests/decisions/overrun.rs
@@ -1,4 +1,5 @@
-//! Answers of a busy host that go out in time, since they are cut as early as that takes.
+//! Answers of a busy host are sent in time because their cutoff is moved forward by the learnt
+//! overrun.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -7,10 +8,10 @@
 
 use crate::support::after;
 
-/// What a request may gather for, in milliseconds.
+/// The time for collecting replies, in milliseconds.
 const OBJECTIVE: u64 = 86;
 
-/// Plays answers that go out `took` milliseconds after their cut; returns how many of the
+/// Simulates answers that are sent `took` milliseconds after their cutoff; returns how many of the
 /// last hundred were late.
 fn late(took: impl Fn(u64) -> u64) -> usize {
     let start = Instant::now();
@@ -26,7 +27,8 @@
     late
 }
 
-/// Returns the overrun learnt from `count` answers, which go out as `out` says of their cut.
+/// Returns the overrun learnt from `count` answers; `out` gives when each is sent, from its start
+/// and cutoff.
 fn learnt(count: usize, out: impl Fn(Instant, Instant) -> Instant) -> (Instant, Overrun) {
     let start = Instant::now();
     let mut overrun = Overrun::default();
@@ -39,7 +41,8 @@
 
 #[test]
 fn small_host_in_time() {
-    // Taking in five groups and merging takes 12 to 18 ms on 0.12 cores: all would be late.
+    // Reading five groups and merging them takes 12 to 18 ms on 0.12 cores: without the overrun all
+    // answers would be late.
     let late = late(|number| 12 + number * 3 % 7);
     assert!(late <= 20, "{late}");
 }
@@ -51,13 +54,13 @@
 }
 
 #[test]
-fn quick_host_gathers() {
+fn fast_host_waits() {
     let (start, overrun) = learnt(100, |_, cut| cut + Duration::from_micros(300));
     assert!(overrun.cutoff(start, after(start, OBJECTIVE), Duration::ZERO) > after(start, OBJECTIVE - 2));
 }
 
 #[test]
-fn early_ones_show_nothing() {
+fn early_answers_ignored() {
     let start = Instant::now();
     let mut overrun = Overrun::default();
     overrun.sample(after(start, 80), Duration::from_millis(80), after(start, 40));
@@ -65,15 +68,15 @@
 }
 
 #[test]
-fn lost_replies_show_nothing() {
-    // Answers that waited for what was lost do not make the next ones lack more.
+fn lost_replies_ignored() {
+    // Answers that waited for lost replies must not move the cutoff of the next ones.
     let (start, overrun) = learnt(50, |start, _| after(start, 900));
     assert_eq!(overrun.cutoff(start, after(start, OBJECTIVE), Duration::ZERO), after(start, OBJECTIVE));
 }
 
 #[test]
-fn margin_holds_some() {
-    // Where the margin is enough the whole time is used.
+fn margin_counts() {
+    // If the margin covers the overrun, the whole time is used.
     let start = Instant::now();
     let mut overrun = Overrun::default();
     for _ in 0..50 {
--- a/crates/harefield/tests/decisions/residency.rs
+++ b/crates/harefield/tests/decisions/residency.rs
@@ -1,5 +1,5 @@
-//! Lookups that may be served in some regions only, and availability zones that are
-//! evacuated: what plans and routers leave out.
+//! Lookups that may be served in some regions only, and evacuated availability zones: which
+//! replicas plans and routers leave out.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -42,8 +42,8 @@
     Places { zone: "a1".into(), regions: regions.collect() }
 }
 
-/// Returns a set of shards whose replicas stand in the zones given, for a lookup that may
-/// be served in some regions.
+/// Returns a set of shards with replicas in the given zones, and a lookup that may be served only
+/// in the regions `homes`; in all regions if there are none.
 fn set_in(zones: &[Vec<usize>], homes: &[&str]) -> Arc<ResourceSet> {
     let most = zones.iter().map(Vec::len).max().unwrap_or(1);
     let mut all = values(zones.len(), most, &[1]);
@@ -51,11 +51,11 @@
         for number in 0..most {
             let zone = ZONES[zones[number % zones.len()]];
             let upstream =
-                all.get_mut(&format!("upstreams/{}", replica(shard, number))).expect("it is there");
+                all.get_mut(&format!("upstreams/{}", replica(shard, number))).expect("the key exists");
             upstream["zone"] = json!(zone);
         }
     }
-    all.get_mut("lookups/l").expect("it is there")["regions"] = json!(homes);
+    all.get_mut("lookups/l").expect("the key exists")["regions"] = json!(homes);
     Arc::new(ResourceSet::parse(&items(all)).expect("the values are valid"))
 }
 
@@ -89,7 +89,7 @@
     #![proptest_config(cases(128))]
 
     #[test]
-    fn plans_stay_home(
+    fn plans_stay_in_regions(
         zones in prop::collection::vec(prop::collection::vec(0_usize..6, 1..4), 1..8),
         homes in prop::collection::btree_set(0_usize..3, 0..3),
     ) {
@@ -129,7 +129,7 @@
                 match router.choose(&ask, now) {
                     Ok(choice) => prop_assert!(!is_empty(&choice.upstream)),
                     Err(bar) => {
-                        prop_assert!(shard.replicas.iter().all(is_empty), "one could be asked");
+                        prop_assert!(shard.replicas.iter().all(is_empty), "a replica is available");
                         prop_assert_eq!((bar.gap, bar.until), (Gap::Evacuated, Until::Never));
                     }
                 }
@@ -139,11 +139,11 @@
 }
 
 #[test]
-fn moved_upstream_planned_anew() {
+fn moved_upstream_replanned() {
     let set = set_in(&[vec![0], vec![2]], &["a"]);
     let view = next(&View::default(), &set);
     assert!(!view.lookups["l"].plans[0].shards[0].outside_regions);
-    // The same upstream comes back in another region; nothing else of the lookup changes.
+    // The same upstream returns in another region; nothing else of the lookup changes.
     let moved = json!({ "address": "127.0.0.1:9", "zone": "b2", "slots": 2, "connections": 25 }).to_string();
     let set = changed(&set, &format!("upstreams/{}", replica(0, 0)), Some(&moved));
     assert!(next(&view, &set).lookups["l"].plans[0].shards[0].outside_regions);
@@ -159,10 +159,10 @@
 }
 
 #[test]
-fn evacuations_read() {
+fn evacuations_parsed() {
     let set = set_in(&[vec![0]], &[]);
     let wrong = Change { key: "evacuations/a1".into(), value: Some("7".into()) };
-    set.apply(&[wrong]).expect_err("it is no evacuation");
+    set.apply(&[wrong]).expect_err("7 is not an evacuation");
     let set = changed(&set, "evacuations/a1", Some("{}"));
     assert!(next(&View::default(), &set).evacuated.contains("a1"));
     let set = changed(&set, "evacuations/a1", None);
--- a/crates/harefield/tests/decisions/support.rs
+++ b/crates/harefield/tests/decisions/support.rs
@@ -1,4 +1,4 @@
-//! What several tests need.
+//! Helpers for several tests.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -26,7 +26,7 @@
 use harefield::domain::view::View;
 use harefield::domain::view::ViewInputs;
 
-/// Returns a configuration that draws the same cases in every run.
+/// Returns a test configuration that draws the same cases in every run.
 pub fn cases(count: u32) -> Config {
     Config {
         cases: count,
@@ -36,12 +36,12 @@
     }
 }
 
-/// Returns `millis` after `start`.
+/// Returns the time `millis` after `start`.
 pub fn at(start: Instant, millis: u64) -> Instant {
     start + Duration::from_millis(millis)
 }
 
-/// Returns items made of JSON values.
+/// Returns items with JSON values.
 pub fn items(values: impl IntoIterator<Item = (String, Value)>) -> Items {
     let entry = |(key, value): (String, Value)| (key.into(), value.to_string().into());
     values.into_iter().map(entry).collect()
@@ -52,8 +52,8 @@
     format!("u{shard}-{number}").into()
 }
 
-/// Returns the values of one service `s` and index `i` with `shards` shards of
-/// `replicas` replicas each, at the versions given.
+/// Returns the values of a service `s` and an index `i` with `shards` shards of `replicas` replicas
+/// each, at the given versions.
 pub fn values(shards: usize, replicas: usize, versions: &[u64]) -> BTreeMap<String, Value> {
     let mut all = BTreeMap::new();
     let mut held = serde_json::Map::new();
@@ -101,7 +101,7 @@
     })
 }
 
-/// Returns a router that acts on a view.
+/// Returns a router with a view applied.
 pub fn router(view: &View, now: Instant) -> Router {
     let mut router = Router::new(Policy::Cost, Budgets::one(0.05), 7, now);
     router.apply(view, now);
@@ -122,7 +122,7 @@
     }
 }
 
-/// Returns the moment some milliseconds after another.
+/// Returns the time `millis` after `start`.
 pub fn after(start: Instant, millis: u64) -> Instant {
     start + Duration::from_millis(millis)
 }
--- a/crates/harefield/tests/decisions/views.rs
+++ b/crates/harefield/tests/decisions/views.rs
@@ -1,4 +1,4 @@
-//! The view that a worker acts on.
+//! How views follow from the resource set and the host list.
 
 use std::sync::Arc;
 
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn members_only() {
+fn members_have_plans() {
     let set = set_with("services/t", &json!({ "shards": { "0": ["u0-0"] } }));
     let hosts = hosts(10);
     let mut members = 0;
@@ -65,10 +65,10 @@
 }
 
 #[test]
-fn everyone_unlisted() {
+fn unlisted_all_members() {
     let set = set_with("services/t", &json!({ "shards": { "0": ["u0-0"] } }));
     let view = next(&View::default(), 7200, &set, &HostList::default(), 3);
-    assert!(view.lookups["l"].member, "where no daemon is listed, each serves alone");
+    assert!(view.lookups["l"].member, "without listed daemons every daemon is a member");
 }
 
 #[test]
@@ -83,7 +83,7 @@
     };
     let other = change("services/t", json!({ "shards": { "0": ["u0-1"] } }));
     let after = next(&before, 7200, &other, &hosts, 24);
-    assert!(Arc::ptr_eq(&before.lookups["l"], &after.lookups["l"]), "nothing of it has changed");
+    assert!(Arc::ptr_eq(&before.lookups["l"], &after.lookups["l"]), "nothing that it depends on has changed");
     let own =
         change("services/s", json!({ "shards": { "000": ["u0-1"], "001": ["u1-0"], "002": ["u2-0"] } }));
     let after = next(&before, 7200, &own, &hosts, 24);
--- a/crates/harefield/tests/decisions/world.rs
+++ b/crates/harefield/tests/decisions/world.rs
@@ -1,4 +1,4 @@
-//! A fan-out with a world around it that answers, fails and pauses as it is told.
+//! A fan-out in a simulated environment that answers, fails and pauses on command.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -33,12 +33,12 @@
 use harefield::domain::word::Word;
 use harefield::domain::word::WordStamp;
 
-/// What the world does next to a fan-out.
+/// The next step of the environment.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
-    /// The attempt at this place among those under way is answered.
+    /// The attempt at this position among those in flight is answered.
     Answer(usize),
-    /// It is refused; the flag says whether after it began.
+    /// It is refused; the flag says whether after it had begun.
     Refuse(usize, bool),
     /// Nothing of it was written.
     Unsent(usize),
@@ -46,13 +46,13 @@
     Lose(usize),
     /// Its reply is for another version.
     Wrong(usize),
-    /// An end that was told already is told again.
+    /// An end that was already reported is reported again.
     Repeat(usize),
-    /// Time passes.
+    /// This many milliseconds pass.
     Wait(u64),
-    /// The process pauses for long.
+    /// The process is paused for two seconds.
     Pause,
-    /// A replica says that it drains.
+    /// A replica announces that it is draining.
     Drain(usize, usize),
 }
 
@@ -70,15 +70,15 @@
     ]
 }
 
-/// A fan-out with all that was sent and told, to hold its result against.
+/// A fan-out with everything that was sent and reported, to compare its result with.
 pub struct World {
     pub fanout: Fanout,
     pub router: Router,
     pub plan: Arc<Plan>,
     pub now: Instant,
     pub start: Instant,
-    pub flying: Vec<SendAttempt>,
-    pub told: Vec<(SendAttempt, AttemptEnd)>,
+    pub in_flight: Vec<SendAttempt>,
+    pub ended: Vec<(SendAttempt, AttemptEnd)>,
     pub sent: Vec<SendAttempt>,
     pub drained: BTreeSet<String>,
     pub events: Vec<Event>,
@@ -90,7 +90,7 @@
         Self::with(shards, replicas, repeatable, |rules, _| rules.prefer = prefer)
     }
 
-    /// Begins a fan-out whose rules and router a test has changed.
+    /// Starts a fan-out whose rules and router a test has changed.
     pub fn with(
         shards: usize,
         replicas: usize,
@@ -100,7 +100,7 @@
         Self::limited(shards, replicas, repeatable, |_| None, change)
     }
 
-    /// Begins a fan-out in which the replicas that may be asked are limited by shard.
+    /// Starts a fan-out with limits, by shard, on the replicas that may be queried.
     pub fn limited(
         shards: usize,
         replicas: usize,
@@ -141,73 +141,74 @@
             plan,
             now: start,
             start,
-            flying: Vec::new(),
-            told: Vec::new(),
+            in_flight: Vec::new(),
+            ended: Vec::new(),
             sent: Vec::new(),
             drained: BTreeSet::new(),
             events: Vec::new(),
             repeatable,
         };
         let actions = world.fanout.start(world.now, &mut world.router, &mut world.events);
-        world.act(actions);
+        world.apply_actions(actions);
         world
     }
 
-    pub fn act(&mut self, actions: Vec<Action>) {
+    pub fn apply_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             let Action::Send(send) = action else { continue };
-            assert!(!self.drained.contains(&*send.upstream), "new work for a leaving upstream");
-            assert!(self.router.lease().held(self.now), "new work without a lease");
+            assert!(!self.drained.contains(&*send.upstream), "a draining upstream gets no new requests");
+            assert!(self.router.lease().held(self.now), "nothing is sent without a lease");
             if !self.repeatable {
                 self.assert_only_attempt(&send);
             }
             self.sent.push(send.clone());
-            self.flying.push(send);
+            self.in_flight.push(send);
         }
     }
 
-    /// A once-only attempt leaves only when all earlier ones did not run.
+    /// Asserts that a once-only request is attempted again only if all earlier attempts did not
+    /// run.
     pub fn assert_only_attempt(&self, next: &SendAttempt) {
         for earlier in self.sent.iter().filter(|send| send.shard == next.shard) {
-            let end = self.told.iter().find(|(send, _)| send.attempt == earlier.attempt);
+            let end = self.ended.iter().find(|(send, _)| send.attempt == earlier.attempt);
             let ran = end.is_none_or(|(_, end)| end.may_have_run());
-            assert!(!ran, "a second attempt while the first may have run");
+            assert!(!ran, "no second attempt while the first may have run");
         }
     }
 
     pub fn end(&mut self, place: usize, end: AttemptEnd, verdict: Verdict) {
-        if self.flying.is_empty() {
+        if self.in_flight.is_empty() {
             return;
         }
-        let send = self.flying.swap_remove(place % self.flying.len());
+        let send = self.in_flight.swap_remove(place % self.in_flight.len());
         self.router.end(&send.upstream, send.start, verdict, &Report::default(), self.now);
-        self.told.push((send.clone(), end.clone()));
-        self.tell(&send, end);
+        self.ended.push((send.clone(), end.clone()));
+        self.report_end(&send, end);
     }
 
-    pub fn tell(&mut self, send: &SendAttempt, end: AttemptEnd) {
+    pub fn report_end(&mut self, send: &SendAttempt, end: AttemptEnd) {
         let place = (send.shard, send.attempt);
         let actions = self.fanout.on_attempt_end(place, end, self.now, &mut self.router, &mut self.events);
-        self.act(actions);
+        self.apply_actions(actions);
     }
 
-    pub fn pass(&mut self, time: Duration) {
+    pub fn advance(&mut self, time: Duration) {
         self.now += time;
         self.router.lease_mut().renew(self.now);
         let actions = self.fanout.on_timer(self.now, &mut self.router, &mut self.events);
-        self.act(actions);
+        self.apply_actions(actions);
     }
 
     pub fn answer(&mut self, place: usize) {
-        if self.flying.is_empty() {
+        if self.in_flight.is_empty() {
             return;
         }
-        let place = place % self.flying.len();
-        let body = body_of(&self.flying[place]);
+        let place = place % self.in_flight.len();
+        let body = body_of(&self.in_flight[place]);
         self.end(place, AttemptEnd::Answered(Reply::Json(body)), Verdict::Good);
     }
 
-    pub fn take(&mut self, step: Step) {
+    pub fn apply(&mut self, step: Step) {
         match step {
             Step::Answer(place) => self.answer(place),
             Step::Refuse(place, begun) => {
@@ -224,13 +225,13 @@
             Step::Wrong(place) => {
                 self.end(place, AttemptEnd::Lost { why: Gap::SnapshotWrong }, Verdict::Declined);
             }
-            Step::Repeat(place) if !self.told.is_empty() => {
-                let (send, end) = self.told[place % self.told.len()].clone();
-                self.tell(&send, end);
+            Step::Repeat(place) if !self.ended.is_empty() => {
+                let (send, end) = self.ended[place % self.ended.len()].clone();
+                self.report_end(&send, end);
             }
             Step::Repeat(_) => {}
-            Step::Wait(millis) => self.pass(Duration::from_millis(millis)),
-            Step::Pause => self.pass(Duration::from_secs(2)),
+            Step::Wait(millis) => self.advance(Duration::from_millis(millis)),
+            Step::Pause => self.advance(Duration::from_secs(2)),
             Step::Drain(shard, number) => self.drain(shard, number),
         }
     }
@@ -248,27 +249,28 @@
             if self.fanout.is_done() {
                 break;
             }
-            self.take(*step);
+            self.apply(*step);
         }
         while !self.fanout.is_done() {
             let wait = self.fanout.next_wake().saturating_duration_since(self.now);
-            self.pass(wait.max(Duration::from_millis(1)));
+            self.advance(wait.max(Duration::from_millis(1)));
             assert!(self.now < at(self.start, 60_000), "the fan-out never ends");
         }
-        (self.fanout.finish(), self.told, self.flying)
+        (self.fanout.finish(), self.ended, self.in_flight)
     }
 }
 
-/// Returns a body that names the very attempt it is for.
+/// Returns a body that identifies the attempt it answers.
 fn body_of(send: &SendAttempt) -> Box<RawValue> {
     RawValue::from_string(format!("[{},{}]", send.shard, send.attempt)).expect("it is JSON")
 }
 
-/// A fan-out over the small plan, answered up to one shard.
-pub fn almost_whole(shards: usize, prefer: Preference) -> World {
+/// Returns a fan-out with two replicas per shard in which all shards but the first have answered.
+pub fn all_but_one(shards: usize, prefer: Preference) -> World {
     let mut world = World::new(shards, 2, true, prefer);
     for _ in 1..shards {
-        let place = world.flying.iter().position(|send| send.shard != 0).expect("others fly");
+        let place =
+            world.in_flight.iter().position(|send| send.shard != 0).expect("other attempts are in flight");
         world.answer(place);
     }
     world
