--- a/crates/harefield/src/domain/fanout/attempts.rs
+++ b/crates/harefield/src/domain/fanout/attempts.rs
@@ -64,7 +64,8 @@
         }
     }
 
-    /// Sends a second attempt if the first one is slow and the budget allows.
+    /// Handles a due hedge: revokes the group that the shard is in, or else sends a second attempt if
+    /// the budget allows.
     pub(super) fn hedge<S: Sink>(&mut self, shard: usize, step: &mut StepContext<'_, S>) {
         let before = std::mem::take(&mut self.shards[shard].hedge);
         if self.revoke(shard, step) {
@@ -206,9 +207,9 @@
         let pace = router.pace(&self.rules.kind);
         let slow = arrival + pace.slow().mul_f64(self.rules.hedge_factor?);
         let others = self.plan.shards[shard].replicas.iter().filter(|name| *name != first);
-        let way = others.map(|name| router.way_to(name)).min();
-        let (Some(cut), Some(way)) = (self.rules.cutoff, way) else { return Some(slow) };
-        let Some(latest) = cut.checked_sub(way + pace.mean()) else { return Some(slow) };
+        let round_trip = others.map(|name| router.way_to(name)).min();
+        let (Some(cut), Some(round_trip)) = (self.rules.cutoff, round_trip) else { return Some(slow) };
+        let Some(latest) = cut.checked_sub(round_trip + pace.mean()) else { return Some(slow) };
         Some(slow.min(latest.max(arrival + pace.mean())))
     }
 }
--- a/crates/harefield/src/domain/fanout/groups.rs
+++ b/crates/harefield/src/domain/fanout/groups.rs
@@ -97,10 +97,10 @@
             regions.entry(Arc::clone(&home)).or_default().push(wanted);
         }
         while let Some((zone, shards)) = largest_zone(&away, &self.plan.index, &self.rules.kind, step) {
-            let held = regions.entry(step.router.region_of(&zone)).or_default();
+            let wanted = regions.entry(step.router.region_of(&zone)).or_default();
             for at in shards {
                 away.remove(&at);
-                held.push(Wanted { at, shard: self.name(at), zone: Arc::clone(&zone) });
+                wanted.push(Wanted { at, shard: self.name(at), zone: Arc::clone(&zone) });
             }
         }
         (regions, away.into_keys().collect())
@@ -163,14 +163,14 @@
     fn send_group<S: Sink>(&mut self, host: HostId, wanted: Vec<Wanted>, step: &mut StepContext<'_, S>) {
         let (attempt, start) = (self.next_id, step.now);
         self.next_id += 1;
-        let way = step.router.relays().way_of(&host);
+        let round_trip = step.router.relays().way_of(&host);
         let gather_time =
-            self.rules.cutoff.map(|cut| cut.saturating_duration_since(start).saturating_sub(way));
+            self.rules.cutoff.map(|cut| cut.saturating_duration_since(start).saturating_sub(round_trip));
         let slow = step.router.relays().pace(&self.rules.kind).slow().mul_f64(REVOKE_FACTOR);
-        let slow = slow.max(way + MIN_TIMEOUT);
+        let slow = slow.max(round_trip + MIN_TIMEOUT);
         let due = self.rules.objective.map(|objective| objective.saturating_duration_since(start));
-        let due = due.map_or(slow, |due| due + way + OVERDUE);
-        let revoke = start + due.max(way + MIN_TIMEOUT);
+        let due = due.map_or(slow, |due| due + round_trip + OVERDUE);
+        let revoke = start + due.max(round_trip + MIN_TIMEOUT);
         let lost_at = revoke + LOST_AFTER;
         let fallbacks = self.choose_fallbacks(&wanted, step);
         let shards: Vec<usize> = wanted.into_iter().map(|wanted| wanted.at).collect();
@@ -263,8 +263,8 @@
     /// whose retries are paid for, and whether this daemon has the capacity to query them.
     fn replaceable<S: Sink>(&self, at: usize, step: &mut StepContext<'_, S>) -> bool {
         let group = &self.groups[at];
-        let taken_back = self.shards.iter().filter(|shard| shard.retry_at.is_some()).count();
-        let asked = group.shards.len() + taken_back;
+        let revoked = self.shards.iter().filter(|shard| shard.retry_at.is_some()).count();
+        let asked = group.shards.len() + revoked;
         let capacity = u64::from(step.router.own().capacity);
         if self.allowance(step).is_some_and(|allowance| !allowance.allows(asked, capacity)) {
             return false;
@@ -389,7 +389,7 @@
     let equal: Vec<&Arc<str>> =
         counts.iter().filter(|(_, count)| **count == most).map(|(zone, _)| *zone).collect();
     let zone = Arc::clone(equal[step.router.draw_below(equal.len())]);
-    let held = zones.iter().filter(|(_, held)| held.contains(&zone));
-    let shards = held.map(|(shard, _)| *shard).collect();
+    let in_zone = zones.iter().filter(|(_, found)| found.contains(&zone));
+    let shards = in_zone.map(|(shard, _)| *shard).collect();
     Some((zone, shards))
 }
