--- a/crates/harefield/tests/decisions/delegates.rs
+++ b/crates/harefield/tests/decisions/delegates.rs
@@ -53,8 +53,8 @@
         let mut delegate = daemon(replicas, attempts, attempts - 1);
         let mut sender = daemon(replicas, attempts, 0);
         let leaves = |step: &&Step| !matches!(step, Step::Pause | Step::Drain(..));
-        delegate_steps.iter().filter(leaves).for_each(|step| delegate.take(*step));
-        sender_steps.iter().filter(leaves).for_each(|step| sender.take(*step));
+        delegate_steps.iter().filter(leaves).for_each(|step| delegate.apply(*step));
+        sender_steps.iter().filter(leaves).for_each(|step| sender.apply(*step));
         for shard in 0..SHARDS {
             let mut both = queried(&delegate, shard);
             both.append(&mut queried(&sender, shard));
@@ -93,7 +93,7 @@
 #[test]
 fn rejected_then_named() {
     let mut world = daemon(4, 2, 1);
-    while let Some(place) = world.flying.iter().position(|send| send.upstream != replica(send.shard, 0)) {
+    while let Some(place) = world.in_flight.iter().position(|send| send.upstream != replica(send.shard, 0)) {
         let end = AttemptEnd::Refused { why: Gap::Overloaded, begun: false };
         world.end(place, end, AttemptOutcome::Rejected(None));
     }
