--- a/crates/harefield/tests/decisions/accounts.rs
+++ b/crates/harefield/tests/decisions/accounts.rs
@@ -1,4 +1,4 @@
-//! Client accounts: their keys, the parts of their limits and who holds them.
+//! Client accounts: their keys, and the parts of their limits with their holders.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -43,7 +43,7 @@
     KeyDigest::of(key.as_bytes()).hex()
 }
 
-/// Returns a set with accounts of one key each.
+/// Returns a resource set with accounts of one key each.
 fn set(accounts: &[(&str, &str)]) -> Result<ResourceSet, Vec<harefield::domain::resources::ResourceError>> {
     let mut all = values(1, 1, &[1]);
     for (name, key) in accounts {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn key_opens() {
+fn key_identifies_account() {
     let directory = Directory::new(&set(&[("apex", "a"), ("birch", "b")]).expect("it is valid"), false);
     let name = |key: &str, public| match directory.identify(Credential::of_key(key.as_bytes()), public) {
         Identity::Known(client) => client.name.to_string(),
@@ -64,7 +64,7 @@
     assert_eq!([name("a", false), name("b", true), name("c", false)], ["apex", "birch", "unknown"]);
     assert_eq!([name("", false), name("", true)], ["missing", "anyone, open false"]);
     assert_eq!(name(&"a".repeat(MOST_KEY_BYTES + 1), true), "missing");
-    assert_eq!(name("c", true), "unknown", "a key that is shown must be one");
+    assert_eq!(name("c", true), "unknown", "a key that is sent must be valid");
     let open = Directory::new(&set(&[]).expect("it is valid"), false);
     assert!(
         matches!(open.identify(Credential::Malformed, false), Identity::Anyone(asker) if asker.is_open())
@@ -74,35 +74,35 @@
 }
 
 #[test]
-fn key_hidden() {
+fn key_not_shown() {
     let key = KeyDigest::of(b"secret");
     let claims = Claims(vec![("authorization".into(), "Bearer secret".into())]);
     let account = Account { keys: vec![key], ..Account::default() };
     let shown = format!("{key:?} {claims:?} {:?} {account:?}", Credential::Key(key));
     assert!(!shown.contains(&key.hex()) && !shown.contains("secret"), "{shown}");
-    // A key that is written in the place of its digest is not repeated by the fault.
+    // An error must not repeat a key that was published in place of its digest.
     let mut all = values(1, 1, &[1]);
     all.insert("accounts/apex".to_owned(), json!({ "keys": ["secret"] }));
-    let faults = ResourceSet::parse(&items(all)).expect_err("it is no digest");
-    assert_eq!(faults[0].code, Code::ResourceMalformed);
-    assert!(!faults[0].detail.contains("secret"), "{}", faults[0].detail);
+    let errors = ResourceSet::parse(&items(all)).expect_err("it is not a digest");
+    assert_eq!(errors[0].code, Code::ResourceMalformed);
+    assert!(!errors[0].detail.contains("secret"), "{}", errors[0].detail);
 }
 
 #[test]
-fn shared_key_refused() {
-    let faults = set(&[("apex", "a"), ("birch", "a")]).expect_err("two list it");
-    assert_eq!((faults[0].code, &*faults[0].key), (Code::ResourceDuplicate, "accounts/birch"));
-    assert!(!faults[0].detail.contains(&digest("a")));
+fn shared_key_rejected() {
+    let errors = set(&[("apex", "a"), ("birch", "a")]).expect_err("two accounts list the key");
+    assert_eq!((errors[0].code, &*errors[0].key), (Code::ResourceDuplicate, "accounts/birch"));
+    assert!(!errors[0].detail.contains(&digest("a")));
     let one = set(&[("apex", "a")]).expect("it is valid");
     let change = Change {
         key: "accounts/birch".into(),
         value: Some(json!({ "keys": [digest("a")] }).to_string().into()),
     };
-    assert_eq!(one.apply(&[change]).expect_err("two list it")[0].code, Code::ResourceDuplicate);
+    assert_eq!(one.apply(&[change]).expect_err("two accounts list the key")[0].code, Code::ResourceDuplicate);
 }
 
 #[test]
-fn regions_both_bind() {
+fn regions_intersect() {
     let regions = |names: &[&str]| names.iter().map(|name| Arc::from(*name)).collect::<Arc<[Arc<str>]>>();
     let common = |one: &[&str], other: &[&str]| both(&regions(one), &regions(other));
     assert_eq!(common(&[], &["n"]), Some(regions(&["n"])));
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn unknown_once() {
+fn unknown_checked_once() {
     let mut keys = UnknownKeys::default();
     let key = KeyDigest::of(b"x");
     assert_eq!(keys.begin(&key), UnknownKeyAction::Query);
@@ -128,8 +128,8 @@
 }
 
 #[test]
-fn restart_grants_nothing_twice() {
-    // What a former process granted is not known: the part begins empty.
+fn restart_starts_empty() {
+    // What the previous process granted is unknown, so the part must start empty.
     let start = Instant::now();
     let limit = FleetLimit::of(&account(10.0, 60.0), &OVERAGE).expect("it has a limit").part(6);
     let mut grants = Grants::new(start);
@@ -139,8 +139,8 @@
 }
 
 #[test]
-fn turns_apart() {
-    // Refused callers do not come back together.
+fn retries_spread() {
+    // Rejected callers must not all retry at the same time.
     let start = Instant::now();
     let limit = FleetLimit::of(&account(60.0, 0.0), &OVERAGE).expect("it has a limit").part(6);
     let mut grants = Grants::new(start);
@@ -152,12 +152,12 @@
         })
         .collect();
     assert!(waits.len() == 5 && waits.windows(2).all(|pair| pair[1] >= pair[0] + Duration::from_millis(99)));
-    // Whoever comes back at its turn is served.
+    // A caller that retries at its assigned time is served.
     assert_eq!(grants.grant(&slot, limit, 1, start + waits[0]), GrantResponse::Granted(1));
 }
 
 #[test]
-fn full_parts_forgotten() {
+fn full_buckets_dropped() {
     let start = Instant::now();
     let limit = FleetLimit::of(&account(10.0, 10.0), &OVERAGE).expect("it has a limit").part(6);
     let mut grants = Grants::new(start);
@@ -167,7 +167,7 @@
     assert!(grants.bucket_count() < 4000, "{}", grants.bucket_count());
     let held = grants.grant(&("a1".into(), 0), limit, 100, after(start, 60_000));
     let fresh = Grants::new(start).grant(&("a1".into(), 0), limit, 100, after(start, 60_000));
-    assert_eq!(held, fresh, "one that is made anew is as full");
+    assert_eq!(held, fresh, "a new bucket is as full");
 }
 
 #[test]
@@ -177,7 +177,7 @@
     reserve.add(3, start);
     assert!(reserve.take(after(start, 199)).is_some());
     assert!(reserve.take(after(start, 200)).is_none());
-    // One that is given back holds no longer than it did.
+    // A released permit keeps its expiry time.
     reserve.add(1, after(start, 1000));
     let until = reserve.take(after(start, 1000)).expect("it was put");
     reserve.release(until);
@@ -185,12 +185,12 @@
 }
 
 #[test]
-fn starts_settle() {
-    // One that hears of others of its zone all the time does not know them yet; who is seen how,
-    // and who is new elsewhere, is no news.
+fn new_daemons_unsettled() {
+    // A daemon that keeps learning of new daemons in its zone does not know the zone yet. Changes
+    // of state, and new daemons in other zones, must not count.
     let start = Instant::now();
     let mut holders = Holders::new(&["a", "b"].map(Arc::from), &"a".into());
-    assert!(holders.unsettled_for(start).is_some(), "it knows nobody");
+    assert!(holders.unsettled_for(start).is_some(), "it knows no other daemon");
     for number in 0..4 {
         let rows: Vec<_> = (0..=number).map(|n| row(n, "a")).collect();
         holders.update(&rows, after(start, 500 * number as u64));
@@ -204,8 +204,9 @@
 }
 
 #[test]
-fn cut_off_takes_nothing_over() {
-    // A daemon that sees nobody answer ranks the others as before.
+fn partitioned_takes_nothing() {
+    // A daemon that is partitioned off, so that no other answers, must still assign parts to the
+    // others as before.
     let start = Instant::now();
     let zones: Vec<Arc<str>> = vec!["a".into(), "b".into(), "c".into()];
     let rows: Vec<_> = (0..30).map(|n| row(n, &zones[n % 3])).collect();
@@ -219,11 +220,11 @@
     cut.iter_mut().skip(1).for_each(|row| row.state = PeerState::Suspect);
     holders.update(&cut, start);
     assert_eq!(held(&holders, after(start, 100_000)), before);
-    // A zone that is gone for good, but for this one, is replaced at last.
+    // A zone whose other daemons are all gone for good is replaced in the end.
     assert_ne!(held(&holders, after(start, 121_000)), before);
-    // One that is gone for long is replaced, and takes its parts back when it returns.
+    // A single daemon that is gone for long is replaced, and gets its parts back when it returns.
     let mut one = rows.clone();
-    let gone = before[0].clone().expect("somebody holds it");
+    let gone = before[0].clone().expect("it has a holder");
     one.iter_mut().filter(|row| row.host == gone).for_each(|row| row.state = PeerState::Suspect);
     holders.update(&rows, after(start, 130_000));
     holders.update(&one, after(start, 130_000));
@@ -236,7 +237,7 @@
 proptest! {
     #![proptest_config(cases(256))]
 
-    /// One part in six doubled, and permits used a moment late, are within the bound.
+    /// The bound holds even if one part in six has two holders and permits are used late.
     #[test]
     fn parts_within_bound(rate in 0.1..5000.0_f64, burst in 0.0..5000.0_f64, slack in 0.0..50.0_f64) {
         let overage = Overage { slack, ..OVERAGE };
@@ -246,11 +247,11 @@
         let within = |seconds: f64| part.burst + part.rate * seconds;
         let allowed = (rate * 5.0 + burst) * 1.25 + slack;
         let given = within(5.2) * f64::from(parts);
-        prop_assert!(given <= allowed, "{given} of {allowed} by {parts}");
+        prop_assert!(given <= allowed, "{given} of {allowed} in {parts} parts");
         if parts == 6 {
-            prop_assert!(given + within(5.2) <= allowed, "one doubled: {given} of {allowed}");
+            prop_assert!(given + within(5.2) <= allowed, "with one doubled: {given} of {allowed}");
         }
-        // Inside the limit nothing is missing.
+        // The parts together grant the whole limit.
         prop_assert!(part.burst * f64::from(parts) >= burst && part.rate * f64::from(parts) >= rate * 0.999);
     }
 }
--- a/crates/harefield/tests/decisions/admission.rs
+++ b/crates/harefield/tests/decisions/admission.rs
@@ -1,4 +1,4 @@
-//! The gate before an index.
+//! The admission gate of an index.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
     Arrival { urgency, team: team.into(), deadline, due: None, late: false }
 }
 
-/// Fills a gate until nobody else is let in at once.
+/// Fills a gate until no further request is admitted immediately; returns how many run.
 fn full_gate(now: Instant) -> (Gate, usize) {
     let mut gate = Gate::new(LIMITS);
     let mut running = 0;
@@ -47,8 +47,9 @@
 }
 
 #[test]
-fn abandoned_say_nothing() {
-    // Callers that go away early leave the limit and the queue's order as they were.
+fn abandoned_keep_limit() {
+    // Requests whose callers go away early must not change the limit, and must free their place
+    // for the next waiter.
     let now = Instant::now();
     let (mut gate, running) = full_gate(now);
     let before = gate.limit();
@@ -61,43 +62,44 @@
     let Admission::Wait(id) = gate.arrive(&arrival(Urgency::Urgent, "t", at(now, 10_000)), now) else {
         panic!()
     };
-    assert_eq!(gate.abandon(&"t".into(), now), [Dequeued::Run(id)], "its place is given on");
+    assert_eq!(gate.abandon(&"t".into(), now), [Dequeued::Run(id)], "the freed place goes to the waiter");
 }
 
 #[test]
-fn late_ones_last() {
-    // Those whose objective has passed leave the room to those who can still make theirs.
+fn late_requests_last() {
+    // Requests whose objective has passed must leave the capacity to those that can still meet
+    // theirs.
     let now = Instant::now();
     let mut gate = Gate::new(LIMITS);
     let late = Arrival { late: true, ..arrival(Urgency::Urgent, "t", at(now, 10_000)) };
     let fresh = arrival(Urgency::Bulk, "t", at(now, 10_000));
-    assert_eq!(gate.arrive(&late, now), Admission::Run, "nobody else is here");
+    assert_eq!(gate.arrive(&late, now), Admission::Run, "no other request is here");
     assert_eq!(gate.arrive(&fresh, now), Admission::Run);
     let Admission::Wait(waits) = gate.arrive(&late, now) else { panic!("two run") };
-    assert_eq!(gate.arrive(&fresh, now), Admission::Run, "it does not stand behind the late one");
-    assert_eq!(end_one(&mut gate, now), [], "two run still");
+    assert_eq!(gate.arrive(&fresh, now), Admission::Run, "it does not queue behind the late one");
+    assert_eq!(end_one(&mut gate, now), [], "two still run");
     assert_eq!(end_one(&mut gate, now), [Dequeued::Run(waits)]);
 }
 
 #[test]
-fn late_ones_have_turns() {
-    // On a daemon that is never idle they are served now and then.
+fn late_requests_served() {
+    // A daemon that is never idle must still serve late requests now and then.
     let now = Instant::now();
     let (mut gate, _) = full_gate(now);
     let late = Arrival { late: true, ..arrival(Urgency::Ordinary, "t", at(now, 10_000)) };
     let Admission::Wait(waits) = gate.arrive(&late, now) else { panic!("it is full") };
     let mut ends = 0;
     loop {
-        let called = end_one(&mut gate, now);
+        let dequeued = end_one(&mut gate, now);
         ends += 1;
-        if called == [Dequeued::Run(waits)] {
+        if dequeued == [Dequeued::Run(waits)] {
             break;
         }
-        assert!(ends < 100, "it is never called");
+        assert!(ends < 100, "it is never admitted");
         let next = arrival(Urgency::Ordinary, "t", at(now, 10_000));
-        assert_eq!(gate.arrive(&next, now), Admission::Run, "another one takes the room");
+        assert_eq!(gate.arrive(&next, now), Admission::Run, "another request takes the capacity");
     }
-    assert!(gate.running() > 2, "others run beside it");
+    assert!(gate.running() > 2, "others run at the same time");
 }
 
 #[test]
@@ -107,12 +109,12 @@
     let later = at(now, 10_000);
     let Admission::Wait(_) = gate.arrive(&arrival(Urgency::Ordinary, "t", later), now) else { panic!() };
     let Admission::Wait(urgent) = gate.arrive(&arrival(Urgency::Urgent, "t", later), now) else { panic!() };
-    let called = end_one(&mut gate, now);
-    assert_eq!(called.first(), Some(&Dequeued::Run(urgent)));
+    let dequeued = end_one(&mut gate, now);
+    assert_eq!(dequeued.first(), Some(&Dequeued::Run(urgent)));
 }
 
 #[test]
-fn ordinary_goes_on() {
+fn ordinary_not_starved() {
     let now = Instant::now();
     let (mut gate, _) = full_gate(now);
     let later = at(now, 100_000);
@@ -125,18 +127,18 @@
     let mut ran = 0;
     for _ in 0..12 {
         while let Admission::Wait(_) = gate.arrive(&arrival(Urgency::Urgent, "t", later), now) {}
-        let called = end_one(&mut gate, now);
-        ran += called.iter().filter(|c| matches!(c, Dequeued::Run(id) if ordinary.contains(id))).count();
+        let dequeued = end_one(&mut gate, now);
+        ran += dequeued.iter().filter(|c| matches!(c, Dequeued::Run(id) if ordinary.contains(id))).count();
     }
-    assert!(ran >= 2, "{ran} ordinary ones ran under a full urgent queue");
+    assert!(ran >= 2, "{ran} ordinary requests ran while the urgent queue was full");
 }
 
 #[test]
-fn late_refused_at_once() {
+fn hopeless_rejected() {
     let now = Instant::now();
     let (mut gate, _) = full_gate(now);
-    let refused = gate.arrive(&arrival(Urgency::Urgent, "t", at(now, 1)), now);
-    assert!(matches!(refused, Admission::Refuse(Code::TooLate, _)), "{refused:?}");
+    let rejected = gate.arrive(&arrival(Urgency::Urgent, "t", at(now, 1)), now);
+    assert!(matches!(rejected, Admission::Refuse(Code::TooLate, _)), "{rejected:?}");
 }
 
 #[test]
@@ -149,7 +151,7 @@
         match gate.arrive(&next, now) {
             Admission::Wait(_) => waiting += 1,
             Admission::Refuse(code, wait) => {
-                assert!(wait > Duration::ZERO, "the caller is told when to come back");
+                assert!(wait > Duration::ZERO, "the caller is told when to retry");
                 break code;
             }
             Admission::Run => panic!("the gate is full"),
@@ -168,13 +170,17 @@
     while let Admission::Wait(_) = gate.arrive(&greedy, now) {
         held += 1;
     }
-    assert_eq!(held, LIMITS.waiting / 2, "another team runs, so half the queue is left to it");
+    assert_eq!(
+        held,
+        LIMITS.waiting / 2,
+        "another team has running requests, so half of the queue is left to it"
+    );
     let other = gate.arrive(&arrival(Urgency::Urgent, "t", at(now, 100_000)), now);
     assert!(matches!(other, Admission::Wait(_)));
 }
 
 #[test]
-fn room_kept() {
+fn capacity_reserved() {
     let now = Instant::now();
     let mut gate = Gate::new(LIMITS);
     let later = at(now, 10_000);
@@ -183,62 +189,65 @@
     while gate.arrive(&arrival(Urgency::Ordinary, "t", later), now) == Admission::Run {
         ordinary += 1;
     }
-    assert!(ordinary < 16, "{ordinary}: room is kept while urgent ones come");
+    assert!(ordinary < 16, "{ordinary}: capacity is reserved while urgent requests arrive");
     let urgent = gate.arrive(&arrival(Urgency::Urgent, "t", later), now);
-    assert_eq!(urgent, Admission::Run, "the room is for urgent ones, at once");
+    assert_eq!(urgent, Admission::Run, "the reserved capacity admits urgent requests immediately");
 }
 
 #[test]
-fn bad_spell_ends() {
+fn slow_phase_ends() {
     let now = Instant::now();
     let (mut gate, _) = full_gate(now);
     let soon = |now| arrival(Urgency::Urgent, "t", at(now, 250));
     let Admission::Wait(_) = gate.arrive(&soon(now), now) else { panic!("it waits") };
     let later = at(now, 200);
     end_one(&mut gate, later);
-    let entry = gate.arrive(&soon(later), later);
-    assert!(matches!(entry, Admission::Wait(_)), "a long wait once does not refuse for ever: {entry:?}");
+    let admission = gate.arrive(&soon(later), later);
+    assert!(
+        matches!(admission, Admission::Wait(_)),
+        "one long wait must not cause rejections for ever: {admission:?}"
+    );
 }
 
 #[test]
-fn refused_return_in_turn() {
-    // Callers that are refused together are not told to come back together.
+fn rejected_retries_spread() {
+    // Callers that are rejected together must not be told to retry together.
     let now = Instant::now();
     let (mut gate, _) = full_gate(now);
     let hopeless = arrival(Urgency::Ordinary, "t", at(now, 1));
-    let refused = |gate: &mut Gate, now: Instant| match gate.arrive(&hopeless, now) {
+    let rejected = |gate: &mut Gate, now: Instant| match gate.arrive(&hopeless, now) {
         Admission::Refuse(_, wait) => wait,
         other => panic!("{other:?}"),
     };
-    let waits: Vec<Duration> = (0..50).map(|_| refused(&mut gate, now)).collect();
-    assert!(waits.is_sorted_by(|a, b| a < b), "each has a turn of its own: {waits:?}");
+    let waits: Vec<Duration> = (0..50).map(|_| rejected(&mut gate, now)).collect();
+    assert!(waits.is_sorted_by(|a, b| a < b), "each has its own retry time: {waits:?}");
     assert!(waits.iter().all(|wait| *wait <= Duration::from_secs(2)));
     let later = at(now, 1000);
-    assert!(refused(&mut gate, later) < waits[49], "turns that have passed are not waited for");
+    assert!(rejected(&mut gate, later) < waits[49], "retry times that have passed are free again");
 }
 
 #[test]
-fn objective_not_crowd() {
-    // A fan-out that goes by an objective takes as long as its slowest shards
-    // and its cut allow; that alone narrows nothing.
+fn objective_not_congestion() {
+    // A fan-out with an objective takes as long as its slowest shards and its cut allow; that
+    // alone must not shrink the limit.
     let now = Instant::now();
     let (mut gate, running) = full_gate(now);
     let before = gate.limit();
-    let crowd = Congestion { waited: 0, shards: 20, objective: true, progress: None };
+    let congestion = Congestion { waited: 0, shards: 20, objective: true, progress: None };
     for number in 0..running {
         let took = Duration::from_millis(if number == 0 { 10 } else { 190 });
-        gate.complete(&"t".into(), took, crowd, at(now, 200));
+        gate.complete(&"t".into(), took, congestion, at(now, 200));
     }
     assert!(gate.limit() >= before, "{} {before}", gate.limit());
 }
 
 #[test]
-fn limit_follows_crowd() {
+fn limit_follows_congestion() {
     let now = Instant::now();
     let (mut gate, _) = full_gate(now);
     let before = gate.limit();
-    let crowd = Congestion { waited: 5, shards: 20, objective: false, progress: None };
-    gate.complete(&"t".into(), Duration::from_millis(10), crowd, now);
+    let congestion = Congestion { waited: 5, shards: 20, objective: false, progress: None };
+    gate.complete(&"t".into(), Duration::from_millis(10), congestion, now);
     assert!(gate.limit() < before);
     let shrunk = gate.limit();
     for _ in 0..20 {
@@ -249,7 +258,7 @@
     assert!(gate.limit() > shrunk);
 }
 
-/// What happens at a gate.
+/// An event at a gate.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Arrive(u8, u8, u64),
@@ -272,10 +281,10 @@
 proptest! {
     #![proptest_config(cases(300))]
 
-    /// Nobody is lost: each is running, waiting, refused or called, once; and
-    /// the bounds hold.
+    /// No request is lost: each runs, waits, is rejected or is dequeued exactly once, and the
+    /// bounds hold.
     #[test]
-    fn nobody_lost(steps in prop::collection::vec(step(), 1..200)) {
+    fn no_request_lost(steps in prop::collection::vec(step(), 1..200)) {
         let mut now = Instant::now();
         let mut gate = Gate::new(LIMITS);
         let mut waiting: BTreeMap<WaiterId, Arc<str>> = BTreeMap::new();
@@ -293,11 +302,11 @@
                 }
                 Step::Leave(n, waited) if !running.is_empty() => {
                     let team = running.swap_remove(n % running.len());
-                    let crowd = Congestion { waited, shards: 20, objective: false, progress: None };
-                    for called in gate.complete(&team, Duration::from_millis(20), crowd, now) {
-                        let (Dequeued::Run(id) | Dequeued::Refuse(id, _)) = called;
+                    let congestion = Congestion { waited, shards: 20, objective: false, progress: None };
+                    for dequeued in gate.complete(&team, Duration::from_millis(20), congestion, now) {
+                        let (Dequeued::Run(id) | Dequeued::Refuse(id, _)) = dequeued;
                         let team = waiting.remove(&id).expect("it was waiting");
-                        if matches!(called, Dequeued::Run(_)) {
+                        if matches!(dequeued, Dequeued::Run(_)) {
                             running.push(team);
                         }
                     }
--- a/crates/harefield/tests/decisions/codes.rs
+++ b/crates/harefield/tests/decisions/codes.rs
@@ -1,4 +1,4 @@
-//! The result codes and their table in the docs.
+//! The result codes, which must match their table in the documentation.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
--- a/crates/harefield/tests/decisions/fair_shares.rs
+++ b/crates/harefield/tests/decisions/fair_shares.rs
@@ -1,4 +1,4 @@
-//! Whose turn it is at a gate where one account sends a crowd.
+//! Fairness at a gate where one account sends far more requests than the others.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,10 +17,10 @@
 /// How long each request runs.
 const RUNS: Duration = Duration::from_millis(50);
 
-/// The simulated steps, in milliseconds.
+/// The length of a simulated step, in milliseconds.
 const STEP: u64 = 5;
 
-/// One account's requests.
+/// The counts of one account's requests.
 #[derive(Clone, Copy, Debug, Default)]
 struct Tally {
     sent: u32,
@@ -91,9 +91,9 @@
     }
 }
 
-/// Plays ten accounts of 6 requests a second each, one of which sends `times` as many, for
-/// twenty seconds at a gate that lets 80 a second by.
-fn play(times: u64) -> BTreeMap<Arc<str>, Tally> {
+/// Simulates ten accounts with 6 requests per second each, one of which sends `times` as many, for
+/// twenty seconds at a gate that admits 80 per second.
+fn simulate(times: u64) -> BTreeMap<Arc<str>, Tally> {
     let mut load = Load::new();
     let every = 1000 / 6;
     for millis in (0..20_000).step_by(usize::try_from(STEP).expect("it is small")) {
@@ -112,25 +112,27 @@
 }
 
 #[test]
-fn crowd_starves_nobody() {
-    let alone = play(1);
+fn heavy_account_starves_none() {
+    let alone = simulate(1);
     assert!(alone.values().all(|tally| tally.share() > 0.99), "{alone:?}");
-    // 126 a second come, and 80 are let by: the crowd gets what the others leave.
+    // About 108 and 234 requests per second arrive, and 80 are admitted: the heavy account gets
+    // what the others leave.
     for times in [9, 30] {
-        let mut beside = play(times);
-        let crowd = beside.remove("account-0").expect("it sent");
+        let mut beside = simulate(times);
+        let heavy = beside.remove("account-0").expect("it sent");
         for (name, tally) in &beside {
             assert!(tally.share() > 0.97, "{name} beside {times}: {tally:?}");
             let usual = alone[name].waited;
             assert!(tally.waited <= usual + RUNS * 2, "{name}: {:?} {usual:?}", tally.waited);
         }
-        assert!(crowd.served > 400, "what the others leave is used: {crowd:?}");
+        assert!(heavy.served > 400, "what the others leave is used: {heavy:?}");
     }
 }
 
 #[test]
-fn earlier_use_not_held_against() {
-    // One that was alone at the gate for long is on a par with others that come then.
+fn earlier_use_ignored() {
+    // An account that was alone at the gate for a long time must be treated as equal to others
+    // that arrive later.
     let mut load = Load::new();
     let (early, other): (Arc<str>, Arc<str>) = ("early".into(), "other".into());
     let mut now = load.start;
--- a/crates/harefield/tests/decisions/overload.rs
+++ b/crates/harefield/tests/decisions/overload.rs
@@ -1,9 +1,9 @@
-//! A fleet of gates before shards with few slots, and callers far beyond what these bear:
-//! how many are answered in time.
+//! A fleet of gates in front of shards with few slots, under far more load than the shards can
+//! serve: how many requests are answered in time.
 //!
-//! The load pattern: a hall reopens, and all ask at once. Each shard runs four requests at
-//! a time, and the rest queue before it; refused callers come back once. Seeded, in
-//! virtual time, of the gates' decisions alone.
+//! The load pattern: a hall reopens, and all its callers send requests at once. Each shard runs
+//! four requests concurrently and queues the rest; rejected callers retry once. The simulation is
+//! seeded, runs in virtual time, and covers the gates' decisions only.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -25,44 +25,44 @@
 
 const SHARDS: usize = 20;
 
-/// How many shards make an answer.
+/// The number of shards that is enough for an answer.
 const ENOUGH: usize = 18;
 
-/// How many requests a shard's upstreams run at a time.
+/// The number of requests that a shard's upstreams run concurrently.
 const SLOTS: usize = 4;
 
-/// A shard's requests count as waiting when so many are before them.
-const CROWD: usize = 12;
+/// A request counts as waiting at a shard when this many are ahead of it.
+const QUEUE_THRESHOLD: usize = 12;
 
-/// What the shards bear is some 200 requests a second: 4 slots, of 20 ms each.
-const BEARABLE: u64 = 200;
+/// The capacity of the shards, about 200 requests per second: 4 slots at 20 ms each.
+const CAPACITY: u64 = 200;
 
-/// Callers want an answer within this time, and leave after [`PATIENCE_MS`].
+/// Callers want an answer within this time, and give up after [`PATIENCE_MS`].
 const OBJECTIVE_MS: u64 = 200;
 
-/// What is kept of the objective for the answer's way back.
+/// The part of the objective that is reserved for returning the answer.
 const MARGIN_MS: u64 = 14;
 
 const PATIENCE_MS: u64 = 2000;
 
-/// Refused callers come back when they are told to, and after so long at the latest.
-const LONGEST_RETURN_MS: u64 = 660;
+/// Rejected callers retry when they are told to, and after this time at the latest.
+const MAX_RETRY_MS: u64 = 660;
 
-/// How long each load lasts, in milliseconds; the first second is not counted.
-const LASTS_MS: u64 = 5000;
+/// How long each load lasts, in milliseconds; the first second isn't counted.
+const DURATION_MS: u64 = 5000;
 
 /// A caller's request, from its first attempt on.
 #[derive(Clone, Copy, Debug)]
 struct Caller {
     first: u64,
-    came: u64,
-    again: bool,
+    arrived: u64,
+    retried: bool,
 }
 
 impl Caller {
-    /// Says whether its objective had passed when it came, which counts from its first try.
+    /// Returns whether its objective, which counts from the first attempt, had passed on arrival.
     fn is_late(&self) -> bool {
-        self.came + MARGIN_MS >= self.first + OBJECTIVE_MS
+        self.arrived + MARGIN_MS >= self.first + OBJECTIVE_MS
     }
 }
 
@@ -77,10 +77,10 @@
     left: bool,
 }
 
-/// Draws numbers by a fixed sequence.
-struct Draw(u64);
+/// A deterministic pseudo-random number generator.
+struct Random(u64);
 
-impl Draw {
+impl Random {
     fn below(&mut self, bound: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % bound
@@ -91,11 +91,11 @@
     start: Instant,
     gates: Vec<Gate>,
     waiting: Vec<Vec<(WaiterId, Caller)>>,
-    /// When each slot of each shard is free again.
+    /// When each slot of each shard becomes free.
     slots: Vec<[u64; SLOTS]>,
     running: Vec<Running>,
-    returns: VecDeque<(u64, Caller)>,
-    draw: Draw,
+    retries: VecDeque<(u64, Caller)>,
+    random: Random,
     in_time: usize,
 }
 
@@ -108,14 +108,14 @@
             waiting: vec![Vec::new(); DAEMONS],
             slots: vec![[0; SLOTS]; SHARDS],
             running: Vec::new(),
-            returns: VecDeque::new(),
-            draw: Draw(7),
+            retries: VecDeque::new(),
+            random: Random(7),
             in_time: 0,
         }
     }
 
     fn arrive(&mut self, caller: Caller, now: u64) {
-        let daemon = usize::try_from(self.draw.below(DAEMONS as u64)).expect("it is small");
+        let daemon = usize::try_from(self.random.below(DAEMONS as u64)).expect("it is small");
         let arrival = arrival_of(&caller, self.start);
         match self.gates[daemon].arrive(&arrival, at(self.start, now)) {
             Admission::Run => self.run(daemon, caller, now),
@@ -125,22 +125,22 @@
     }
 
     fn refuse(&mut self, caller: Caller, wait: Duration, now: u64) {
-        if caller.again {
+        if caller.retried {
             return;
         }
-        let wait = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX).clamp(1, LONGEST_RETURN_MS);
-        self.returns.push_back((now + wait, Caller { again: true, ..caller }));
+        let wait = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX).clamp(1, MAX_RETRY_MS);
+        self.retries.push_back((now + wait, Caller { retried: true, ..caller }));
     }
 
-    /// Sends a request to each shard, whose slots work in the order in which requests came.
+    /// Sends a request to each shard, whose slots process requests in order of arrival.
     fn run(&mut self, daemon: usize, caller: Caller, now: u64) {
         let mut in_at = Vec::with_capacity(SHARDS);
         let mut waited = 0;
         for shard in &mut self.slots {
-            let work = 12 + self.draw.below(17);
+            let work = 12 + self.random.below(17);
             let slot = (0..SLOTS).min_by_key(|slot| shard[*slot]).expect("there are slots");
             let begins = shard[slot].max(now);
-            waited += usize::from(begins - now >= (CROWD / SLOTS) as u64 * 20);
+            waited += usize::from(begins - now >= (QUEUE_THRESHOLD / SLOTS) as u64 * 20);
             shard[slot] = begins + work;
             in_at.push(begins + work);
         }
@@ -150,7 +150,7 @@
         self.running.push(Running { caller, daemon, begun: now, due, waited, in_at, left: false });
     }
 
-    fn take(&mut self, daemon: usize, calls: Vec<Dequeued>, now: u64) {
+    fn apply(&mut self, daemon: usize, calls: Vec<Dequeued>, now: u64) {
         for call in calls {
             let (Dequeued::Run(id) | Dequeued::Refuse(id, _)) = call;
             let place = self.waiting[daemon].iter().position(|(held, _)| *held == id).expect("it waits");
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Answers what has all its shards, or enough of them by the time it is due.
+    /// Completes the requests that have all their shards, or enough of them once they are due.
     fn answer(&mut self, now: u64) {
         let mut ended = Vec::new();
         for running in &mut self.running {
@@ -176,13 +176,13 @@
             let counted = done && running.caller.first >= 1000;
             self.in_time +=
                 usize::from(counted && now <= running.caller.first + OBJECTIVE_MS - MARGIN_MS / 2);
-            ended.push((running.daemon, now - running.begun, crowd_of(running)));
+            ended.push((running.daemon, now - running.begun, congestion_of(running)));
         }
         self.running.retain(|running| !running.left);
-        for (daemon, took, crowd) in ended {
+        for (daemon, took, congestion) in ended {
             let took = Duration::from_millis(took);
-            let called = self.gates[daemon].complete(&"t".into(), took, crowd, at(self.start, now));
-            self.take(daemon, called, now);
+            let called = self.gates[daemon].complete(&"t".into(), took, congestion, at(self.start, now));
+            self.apply(daemon, called, now);
         }
     }
 
@@ -190,13 +190,13 @@
         self.answer(now);
         for daemon in 0..DAEMONS {
             let called = self.gates[daemon].dequeue(at(self.start, now));
-            self.take(daemon, called, now);
+            self.apply(daemon, called, now);
         }
         let due: Vec<Caller> =
-            self.returns.iter().filter(|(back, _)| *back <= now).map(|(_, caller)| *caller).collect();
-        self.returns.retain(|(back, _)| *back > now);
+            self.retries.iter().filter(|(back, _)| *back <= now).map(|(_, caller)| *caller).collect();
+        self.retries.retain(|(back, _)| *back > now);
         for caller in due {
-            self.arrive(Caller { came: now, ..caller }, now);
+            self.arrive(Caller { arrived: now, ..caller }, now);
         }
     }
 }
@@ -212,22 +212,22 @@
     }
 }
 
-fn crowd_of(running: &Running) -> Congestion {
+fn congestion_of(running: &Running) -> Congestion {
     let after = |count: usize| Duration::from_millis(running.in_at[count - 1] - running.begun);
     let allowed = Duration::from_millis(OBJECTIVE_MS - MARGIN_MS);
     let progress = Progress { half: after(SHARDS / 2), enough: after(ENOUGH), allowed };
     Congestion { waited: running.waited, shards: SHARDS, objective: true, progress: Some(progress) }
 }
 
-/// Returns how many a second are answered in time at `per_s`.
+/// Returns how many requests per second are answered in time at a load of `per_s`.
 fn goodput(per_s: u64) -> usize {
     let mut fleet = Fleet::new();
-    for now in 0..LASTS_MS {
+    for now in 0..DURATION_MS {
         fleet.step(now);
-        // Some come in the same millisecond, others not for several.
+        // Arrivals are random: several in one millisecond, or none for several.
         for _ in 0..per_s.div_ceil(1000) * 2 {
-            if fleet.draw.below(2000 * per_s.div_ceil(1000)) < per_s {
-                fleet.arrive(Caller { first: now, came: now, again: false }, now);
+            if fleet.random.below(2000 * per_s.div_ceil(1000)) < per_s {
+                fleet.arrive(Caller { first: now, arrived: now, retried: false }, now);
             }
         }
     }
@@ -236,10 +236,13 @@
 
 #[test]
 fn in_time_past_capacity() {
-    let best = goodput(BEARABLE * 3 / 4);
-    assert!(best > 100, "nearly all are in time below what the shards bear: {best}");
+    let best = goodput(CAPACITY * 3 / 4);
+    assert!(best > 100, "nearly all are in time below the capacity of the shards: {best}");
     for times in [2, 3, 4, 8, 16] {
-        let found = goodput(BEARABLE * times);
-        assert!(found * 4 >= best * 3, "{found} a second in time at {times} times, {best} at the best");
+        let found = goodput(CAPACITY * times);
+        assert!(
+            found * 4 >= best * 3,
+            "{found} per second in time at {times} times the capacity, {best} below it"
+        );
     }
 }
--- a/crates/harefield/tests/decisions/suspects.rs
+++ b/crates/harefield/tests/decisions/suspects.rs
@@ -1,4 +1,4 @@
-//! What is known of works under which upstreams ended, over drawn histories.
+//! Detection of works that crash upstreams, over fixed and random histories.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -17,10 +17,11 @@
 use harefield::domain::suspects::Suspects;
 use harefield::domain::work::Work;
 
-/// The pauses after the second, third and fourth upstream that a work ended alone.
+/// The delays after the second, third and fourth upstream that a work ended in isolation, in
+/// seconds.
 const PAUSES: [u64; 3] = [30, 120, 480];
 
-/// How long after the last end a work may be run alone.
+/// How long after the last end a work may run in isolation.
 const APART: Duration = Duration::from_millis(250);
 
 const ALONE: Clearance = Clearance::Alone(Duration::ZERO);
@@ -33,27 +34,27 @@
     format!("u{number}").into()
 }
 
-/// Ends the upstreams of a wide fan-out, as a request does that ends all of them.
+/// Ends the upstreams of a wide fan-out, as a request does that crashes all of them.
 fn end_many(suspects: &mut Suspects, work: &Work, count: usize, now: Instant) {
     for number in 0..count {
         suspects.record_end(work, &upstream(number), false, at(now, 60 + number as u64));
     }
 }
 
-/// Tells one daemon all that another knows.
-fn tell(from: &mut Suspects, to: &mut Suspects, now: Instant) {
+/// Sends one message with the evidence of one daemon to another.
+fn send_all(from: &mut Suspects, to: &mut Suspects, now: Instant) {
     for suspect in from.digest(now) {
         to.merge(&SuspectReport::new(&suspect, now).to_suspect(now), now);
     }
 }
 
 #[test]
-fn alone_then_withheld() {
+fn isolated_then_withheld() {
     let (start, mut suspects) = (Instant::now(), Suspects::default());
     let work = work(1);
     suspects.record_end(&work, &upstream(1), false, start);
     suspects.record_end(&work, &upstream(2), true, start);
-    assert_eq!(suspects.clearance(&work, start), Clearance::Free, "two tell nothing");
+    assert_eq!(suspects.clearance(&work, start), Clearance::Free, "two ends are not enough");
     suspects.record_end(&work, &upstream(3), false, start);
     assert_eq!(suspects.clearance(&work, start), Clearance::Alone(APART));
     suspects.record_end(&work, &upstream(4), true, at(start, 100));
@@ -65,12 +66,12 @@
         let pause = Duration::from_secs(pause);
         assert_eq!(suspects.clearance(&work, last), Clearance::Withheld(pause));
         last += pause;
-        assert_eq!(suspects.clearance(&work, last), ALONE, "it is tried once more");
+        assert_eq!(suspects.clearance(&work, last), ALONE, "there is another trial");
         suspects.record_end(&work, &upstream(10 + trial), true, last);
     }
     let hour = Duration::from_secs(3600);
-    assert_eq!(suspects.clearance(&work, last), Clearance::Withheld(hour), "until it is forgotten");
-    assert!(suspects.digest(last + hour).is_empty(), "it is");
+    assert_eq!(suspects.clearance(&work, last), Clearance::Withheld(hour), "until the evidence expires");
+    assert!(suspects.digest(last + hour).is_empty(), "it has expired");
     assert_eq!(suspects.clearance(&work, last + hour), Clearance::Free);
 }
 
@@ -84,7 +85,7 @@
     assert!(matches!(suspects.clearance(&work, at(start, 800)), Clearance::Withheld(_)));
     assert_eq!(suspects.record_answer(&work, at(start, 31_000)).len(), 1);
     assert_eq!(suspects.clearance(&work, at(start, 31_000)), Clearance::Free);
-    // What ends around it ends for another reason; what ends later counts anew.
+    // Ends shortly after the answer have another cause; later ends count again.
     end_many(&mut suspects, &work, 20, at(start, 32_000));
     assert_eq!(suspects.clearance(&work, at(start, 33_000)), Clearance::Free);
     end_many(&mut suspects, &work, 20, at(start, 40_000));
@@ -101,13 +102,13 @@
     assert_eq!(suspects.clearance(&work, at(start, 500)), Clearance::Free, "one upstream, once");
     suspects.record_end(&work, &upstream(1), false, at(start, 3000));
     suspects.record_end(&work, &upstream(1), false, at(start, 6000));
-    assert_eq!(suspects.clearance(&work, at(start, 6250)), ALONE, "it is back, and ends again");
+    assert_eq!(suspects.clearance(&work, at(start, 6250)), ALONE, "it came back and ended again");
 }
 
 #[test]
-fn path_of_its_own() {
-    // A request whose query string differs each time is known by its path, unless others
-    // under that path are answered.
+fn path_suspected() {
+    // A request whose query string differs each time is recognized by its path, unless other
+    // requests with that path are answered.
     let (start, mut suspects) = (Instant::now(), Suspects::default());
     let search = |exact| Work { exact, path: 100 };
     for number in 0..3 {
@@ -120,13 +121,17 @@
         suspects.record_end(&search(9), &upstream(2), false, at(start, 20_000 + number * 2000));
         suspects.record_answer(&search(10 + number), at(start, 20_001 + number * 2000));
     }
-    assert_eq!(suspects.clearance(&search(9), at(start, 25_000)), ALONE, "itself is known");
-    assert_eq!(suspects.clearance(&search(8), at(start, 25_000)), Clearance::Free, "others are not");
+    assert_eq!(suspects.clearance(&search(9), at(start, 25_000)), ALONE, "the request itself is suspected");
+    assert_eq!(
+        suspects.clearance(&search(8), at(start, 25_000)),
+        Clearance::Free,
+        "others with its path are not"
+    );
 }
 
 #[test]
 fn answers_elsewhere_clear() {
-    // One daemon answered what upstreams end under at three others, one at each.
+    // One daemon had an answer to the work that ended one upstream at each of three other daemons.
     let start = Instant::now();
     let work = work(1);
     let mut answers = Suspects::default();
@@ -137,20 +142,20 @@
     }
     let [mut first, mut second, mut third] = others;
     let now = at(start, 1010);
-    tell(&mut second, &mut first, now);
-    tell(&mut third, &mut first, now);
+    send_all(&mut second, &mut first, now);
+    send_all(&mut third, &mut first, now);
     assert!(matches!(first.clearance(&work, now), Clearance::Alone(_)));
-    let told: Vec<Suspect> = first.digest(now);
-    let heard = answers.merge(&told[0], now);
-    assert!(heard.cleared, "it can tell");
-    tell(&mut answers, &mut first, now);
+    let sent: Vec<Suspect> = first.digest(now);
+    let received = answers.merge(&sent[0], now);
+    assert!(received.cleared, "the answer refutes the evidence");
+    send_all(&mut answers, &mut first, now);
     assert_eq!(first.clearance(&work, now), Clearance::Free);
 }
 
 #[test]
-fn bounded_under_many() {
-    // Works that callers make up, each of which ended three upstreams, push out neither
-    // one that is withheld nor more memory and bytes than are meant for it.
+fn bounded_with_many() {
+    // Many works made up by callers, each of which ended upstreams, must not displace a withheld
+    // work, and must stay within the bounds on memory and message size.
     let (start, mut suspects) = (Instant::now(), Suspects::default());
     end_many(&mut suspects, &work(0), 20, start);
     suspects.record_end(&work(0), &upstream(30), true, at(start, 400));
@@ -163,7 +168,7 @@
     assert!(matches!(suspects.clearance(&work(0), now), Clearance::Withheld(_)));
     let held = suspects.suspect(4999).expect("the last is held");
     assert!(held.evidence.ends().len() <= 4);
-    let mut told = std::collections::BTreeSet::new();
+    let mut sent = std::collections::BTreeSet::new();
     let mut messages = 0;
     loop {
         let digest = suspects.digest(now);
@@ -172,27 +177,32 @@
         }
         messages += 1;
         let reports: Vec<_> = digest.iter().map(|suspect| SuspectReport::new(suspect, now)).collect();
-        let bytes = rmp_serde::to_vec_named(&reports).expect("they can be packed").len();
-        assert!(bytes < 3000, "{bytes} bytes a message");
-        told.extend(digest.iter().map(|suspect| suspect.work));
+        let bytes = rmp_serde::to_vec_named(&reports).expect("they can be encoded").len();
+        assert!(bytes < 3000, "{bytes} bytes in a message");
+        sent.extend(digest.iter().map(|suspect| suspect.work));
     }
-    assert_eq!(told.len(), 1024, "each is told in its turn");
-    assert_eq!(messages, 1024 * 6 / 16, "and a few times");
+    assert_eq!(sent.len(), 1024, "each is sent");
+    assert_eq!(messages, 1024 * 6 / 16, "and several times");
     assert_eq!(suspects.digest(at(now, 29_000)).len(), 0);
-    assert_eq!(suspects.digest(at(now, 30_000)).len(), 16, "and again later, for who was away");
+    assert_eq!(
+        suspects.digest(at(now, 30_000)).len(),
+        16,
+        "and again later, for daemons that were partitioned off"
+    );
     assert_eq!(suspects.most_severe(now).len(), 64);
     assert_eq!(suspects.most_severe(now)[0].work, 0);
     let untried = Duration::from_secs(11 * 60);
     suspects.digest(now + untried);
-    assert_eq!(suspects.counts(now + untried), (1, 1), "what was never run alone is forgotten");
+    assert_eq!(suspects.counts(now + untried), (1, 1), "evidence without a run in isolation has expired");
 }
 
 proptest! {
     #![proptest_config(cases(200))]
 
-    /// What daemons know joins to the same, in whatever order and however often it is told.
+    /// The evidence of all daemons merges to the same result, in any order and with any number of
+    /// repeated messages.
     #[test]
-    fn joins_the_same(
+    fn merge_converges(
         steps in prop::collection::vec((0_usize..3, 0_usize..8, any::<bool>(), 0_u64..4), 1..20),
         order in prop::collection::vec((0_usize..3, 0_usize..3), 0..20),
     ) {
@@ -201,7 +211,7 @@
         let mut steps = steps;
         steps.sort_by_key(|(_, number, _, life)| (*life, *number));
         for (place, number, alone, life) in steps {
-            // An upstream that ended is back after seconds.
+            // An upstream takes seconds to come back after it ended.
             let millis = life * 2500 + number as u64 * 100;
             if number == 7 {
                 all[place].record_answer(&work(1), at(start, millis));
@@ -213,27 +223,27 @@
         let round: Vec<(usize, usize)> = (0..3).flat_map(|a| (0..3).map(move |b| (a, b))).collect();
         for (from, to) in order.into_iter().chain(round.iter().chain(&round).copied()) {
             if from != to {
-                let told = all[from].digest(now);
-                for suspect in told {
+                let sent = all[from].digest(now);
+                for suspect in sent {
                     all[to].merge(&suspect, now);
                 }
             }
         }
-        let standings = all.each_ref().map(|suspects| suspects.clearance(&work(1), now));
-        prop_assert_eq!(standings[0], standings[1]);
-        prop_assert_eq!(standings[1], standings[2]);
+        let clearances = all.each_ref().map(|suspects| suspects.clearance(&work(1), now));
+        prop_assert_eq!(clearances[0], clearances[1]);
+        prop_assert_eq!(clearances[1], clearances[2]);
     }
 
-    /// A request that ends each upstream is withheld by all after few ends, whichever daemons
-    /// it comes to, and whichever words between them are lost.
+    /// All daemons withhold a request that crashes every upstream after few ends, whichever
+    /// daemons receive it and whichever messages between them are lost.
     #[test]
-    fn harmful_is_found(
-        comings in prop::collection::vec(0_usize..5, 30),
-        heard in prop::collection::vec(any::<bool>(), 30 * 5),
+    fn harmful_withheld(
+        arrivals in prop::collection::vec(0_usize..5, 30),
+        received in prop::collection::vec(any::<bool>(), 30 * 5),
     ) {
         let mut all: Vec<Suspects> = (0..5).map(|_| Suspects::default()).collect();
         let (mut now, mut ended) = (Instant::now(), 0);
-        for (number, place) in comings.into_iter().enumerate() {
+        for (number, place) in arrivals.into_iter().enumerate() {
             now = at(now, 400);
             let alone = match all[place].clearance(&work(1), now) {
                 Clearance::Free => false,
@@ -242,10 +252,10 @@
             };
             ended += 1;
             all[place].record_end(&work(1), &upstream(ended), alone, now);
-            let told = all[place].digest(now);
+            let sent = all[place].digest(now);
             for (other, suspects) in all.iter_mut().enumerate() {
-                if heard[number * 5 + other] {
-                    for suspect in &told {
+                if received[number * 5 + other] {
+                    for suspect in &sent {
                         suspects.merge(suspect, now);
                     }
                 }
@@ -255,28 +265,28 @@
     }
 }
 
-/// How often an innocent request is withheld or run alone, of so many that were in flight
-/// at upstreams which crash together, over drawn histories; and how often a harmful one
-/// is still free after its third coming.
+/// Measures the error rates in both directions over random histories: how often a harmless request
+/// is withheld or run in isolation because it was in flight at upstreams that crash together, and
+/// how often a harmful one still runs freely after it was sent three times.
 ///
-/// In each history 13 of 40 upstreams crash together three times, 3 s apart. A hot request
-/// is asked ten times a second, of 20 shards or of one service; others are asked once and
-/// once more by their callers. An answer takes 10 to 60 ms.
+/// In each history, 13 of 40 upstreams crash together three times, 3 s apart. A frequent request
+/// is sent ten times per second, to 20 shards or to one service; others are sent once and retried
+/// once. An answer takes 10 to 60 ms.
 #[test]
-fn errors_both_ways() {
+fn error_rates() {
     let mut random = StdRng::seed_from_u64(20_261_203);
-    let (mut held, mut alone, mut asked) = (0, 0, 0);
+    let (mut held, mut alone, mut sent_count) = (0, 0, 0);
     for _history in 0..200 {
         let start = Instant::now();
         let mut suspects = Suspects::default();
         let wide = random.random_bool(0.5);
         let shards = if wide { 20 } else { 1 };
         for request in 0..90_u64 {
-            let hot = random.random_bool(0.7);
-            let work = work(if hot { 1 } else { 1000 + request / 2 });
+            let frequent = random.random_bool(0.7);
+            let work = work(if frequent { 1 } else { 1000 + request / 2 });
             let sent = request * 100;
             let crash = [1000, 4000, 7000].into_iter().find(|at| (*at..*at + 60).contains(&(sent + 60)));
-            asked += 1;
+            sent_count += 1;
             match suspects.clearance(&work, at(start, sent)) {
                 Clearance::Withheld(_) => held += 1,
                 Clearance::Alone(_) => alone += 1,
@@ -291,7 +301,8 @@
                     answered = true;
                 }
             }
-            // Its fan-out has an answer, or asks what was lost again, alone, of those left.
+            // Its fan-out has an answer, or retries the lost shard alone on the remaining
+            // upstreams.
             if answered {
                 suspects.record_answer(&work, at(start, sent + random.random_range(10..60)));
                 continue;
@@ -306,27 +317,27 @@
             }
         }
     }
-    assert_eq!(held, 0, "innocent requests withheld, of {asked}");
-    assert!(alone * 1000 < asked, "{alone} innocent requests ran alone, of {asked}");
+    assert_eq!(held, 0, "harmless requests withheld, of {sent_count}");
+    assert!(alone * 1000 < sent_count, "{alone} harmless requests ran in isolation, of {sent_count}");
 
     let mut free = 0;
     for _history in 0..200 {
         let (start, mut suspects) = (Instant::now(), Suspects::default());
-        for coming in 0..3_u64 {
-            let now = at(start, coming * 4000);
+        for attempt in 0..3_u64 {
+            let now = at(start, attempt * 4000);
             if suspects.clearance(&work(1), now) == Clearance::Free {
                 end_many(&mut suspects, &work(1), random.random_range(1..21), now);
             }
         }
         free += usize::from(suspects.clearance(&work(1), at(start, 12_000)) == Clearance::Free);
     }
-    assert!(free <= 1, "{free} harmful requests free after three comings, of 200");
+    assert!(free <= 1, "{free} harmful requests still run freely after three attempts, of 200");
 }
 
 #[test]
-fn ends_together_tell_little() {
-    // Upstreams that end one after the other within a tenth of a second, with a request that
-    // was sent from each to the next, do not show that it ends them.
+fn simultaneous_ends_inconclusive() {
+    // Upstreams that end one after another, a tenth of a second apart, while a request is retried
+    // from each to the next don't prove that the request crashes them.
     let (start, mut suspects) = (Instant::now(), Suspects::default());
     for number in 0..20 {
         suspects.record_end(&work(1), &upstream(number), true, at(start, number as u64 * 100));
@@ -335,8 +346,8 @@
 }
 
 #[test]
-fn old_ends_forgotten() {
-    // A daemon that tells nobody of its suspects, as workers do, forgets them by their age too.
+fn old_ends_expire() {
+    // Evidence must expire by its age also where no digest is made, as in workers.
     let (start, later) = (Instant::now(), Duration::from_hours(2));
     let mut suspects = Suspects::default();
     for number in 0..3 {
