--- a/crates/harefield/src/domain/accounts/unknown.rs
+++ b/crates/harefield/src/domain/accounts/unknown.rs
@@ -19,7 +19,7 @@
     pending: usize,
 }
 
-/// The most requests that wait for such a check at once.
+/// The most requests that wait for a check at once.
 const MAX_PENDING: usize = 64;
 
 /// What to do with a request whose key is unknown.
--- a/crates/harefield/src/domain/admission/gate.rs
+++ b/crates/harefield/src/domain/admission/gate.rs
@@ -117,9 +117,9 @@
     run_time: f64,
     /// The average time until a fan-out with an objective has enough shards, in seconds.
     enough: f64,
-    /// The best run time, in seconds, which grows slowly by [`BEST_DRIFT`].
+    /// The best run time, in seconds; it grows by [`BEST_DRIFT`] with each slower request.
     best: Option<f64>,
-    /// Until when the limit isn't shrunk again.
+    /// The earliest time at which the limit may shrink again.
     shrink_after: Option<Instant>,
     /// When the last urgent request arrived.
     last_urgent: Option<Instant>,
@@ -343,7 +343,7 @@
         refuse_at(arrival, self.enough)
     }
 
-    /// Returns the expected wait of a new arrival.
+    /// Returns the expected wait of a new arrival of an urgency, at the end of its queue.
     #[must_use]
     pub fn expected_wait(&self, urgency: Urgency) -> Duration {
         self.queues[class_of(urgency)].expected_wait(self.run_time / self.limit)
