--- a/crates/harefield/src/domain/routing/relays.rs
+++ b/crates/harefield/src/domain/routing/relays.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use super::pace::LatencyStats;
+use super::latency::LatencyStats;
 use crate::domain::backoff::backoff;
 use crate::domain::ids::HostId;
 
--- a/crates/harefield/src/domain/routing/report.rs
+++ b/crates/harefield/src/domain/routing/report.rs
@@ -34,7 +34,7 @@
     Soon,
     /// At a point in time.
     At(Instant),
-    /// Not before the configuration or the state of the upstream changes.
+    /// Not while the configuration, the fleet and the state of the upstream stay as they are.
     Never,
 }
 
--- a/crates/harefield/src/domain/routing/router.rs
+++ b/crates/harefield/src/domain/routing/router.rs
@@ -10,7 +10,7 @@
 use super::budget::Budget;
 use super::budgets::Budgets;
 use super::budgets::service_of;
-use super::pace::LatencyStats;
+use super::latency::LatencyStats;
 use super::policy::Policy;
 use super::relays::Relays;
 use super::report::AttemptOutcome;
--- a/crates/harefield/src/domain/routing/sharing.rs
+++ b/crates/harefield/src/domain/routing/sharing.rs
@@ -130,9 +130,9 @@
     if !limits.affinity && alone() {
         return None;
     }
-    let (beside, others): (Vec<_>, Vec<_>) =
+    let (nearby, others): (Vec<_>, Vec<_>) =
         candidates.iter().partition(|delegate| zones.contains_key(&*delegate.zone));
-    let mut delegates = strongest(beside);
+    let mut delegates = strongest(nearby);
     if !limits.allows(total_cost(pending.len(), &delegates), total_capacity(&delegates)) {
         delegates.extend(strongest(others));
     }
@@ -146,9 +146,9 @@
 /// Returns whether one daemon of an availability zone, this one if it is in the zone and else the
 /// strongest, can send the shards with replicas there alone.
 fn can_send_alone(shards: usize, zone: &str, candidates: &[Delegate], limits: DelegationLimits) -> bool {
-    let beside = || candidates.iter().filter(|delegate| *delegate.zone == *zone);
+    let nearby = || candidates.iter().filter(|delegate| *delegate.zone == *zone);
     let alone =
-        beside().find(|delegate| delegate.local).or(beside().max_by_key(|delegate| delegate.capacity));
+        nearby().find(|delegate| delegate.local).or(nearby().max_by_key(|delegate| delegate.capacity));
     alone.is_some_and(|delegate| limits.allows(shards, u64::from(delegate.capacity)))
 }
 
--- a/crates/harefield/src/domain/routing/zones.rs
+++ b/crates/harefield/src/domain/routing/zones.rs
@@ -147,7 +147,7 @@
     /// Returns the round-trip time to an upstream; 0 within the region.
     #[must_use]
     pub fn rtt_to(&self, name: &UpstreamId) -> Duration {
-        let way = self.upstreams.get(name).map_or(0.0, |upstream| self.rtt(upstream));
-        Duration::from_secs_f64(way)
+        let rtt = self.upstreams.get(name).map_or(0.0, |upstream| self.rtt(upstream));
+        Duration::from_secs_f64(rtt)
     }
 }
--- a/crates/harefield/tests/decisions/budgets.rs
+++ b/crates/harefield/tests/decisions/budgets.rs
@@ -1,4 +1,4 @@
-//! Strict budgets of extra load, by service.
+//! Strict budgets of extra load, with one budget for each service.
 
 use proptest::prelude::*;
 
@@ -13,10 +13,10 @@
 proptest! {
     #![proptest_config(cases(200))]
 
-    /// In any window, a strict budget spends less than its share and its most.
+    /// In any window, a strict budget spends at most its share of the first requests plus its cap.
     #[test]
-    fn strict_in_any_window(steps in proptest::collection::vec(0_u8..4, 0..400), most in 1.0_f64..20.0) {
-        let mut budget = Budget::strict(0.2, most);
+    fn strict_in_any_window(steps in proptest::collection::vec(0_u8..4, 0..400), cap in 1.0_f64..20.0) {
+        let mut budget = Budget::strict(0.2, cap);
         let mut spent = Vec::new();
         let mut first = Vec::new();
         for step in steps {
@@ -32,7 +32,7 @@
         for from in 0..spent.len() {
             let extra: u32 = spent[from..].iter().sum();
             let needed: u32 = first[from..].iter().sum();
-            prop_assert!(f64::from(extra) <= 0.2 * f64::from(needed) + most + 1e-9);
+            prop_assert!(f64::from(extra) <= 0.2 * f64::from(needed) + cap + 1e-9);
         }
     }
 }
@@ -42,7 +42,7 @@
     let mut budgets = Budgets::per_service(FleetSlack { share: 0.2, slack: 50.0 }, 10);
     let (one, other) = ("s1/all".into(), "s2/all".into());
     while budgets.for_shard(&one).spend_retry() {}
-    assert!(budgets.for_shard(&other).spend_retry(), "one service does not spend what is another's");
+    assert!(budgets.for_shard(&other).spend_retry(), "a service does not spend the budget of another");
     budgets.set_daemons(50);
     let mut sent = 0;
     for _ in 0..1000 {
@@ -51,11 +51,11 @@
     while budgets.for_shard(&one).spend_retry() {
         sent += 1;
     }
-    assert_eq!(sent, 1, "fifty daemons share fifty, and some is kept for those that start");
+    assert_eq!(sent, 1, "50 daemons share a slack of 50, of which a part is left for restarts");
 }
 
-/// Returns how much is in hand for a service after much was earned.
-fn in_hand(budgets: &mut Budgets, shard: &str) -> u32 {
+/// Returns how many retries a service's budget permits once it has accumulated its cap.
+fn available(budgets: &mut Budgets, shard: &str) -> u32 {
     let shard = shard.into();
     for _ in 0..1000 {
         budgets.for_shard(&shard).earn();
@@ -72,18 +72,19 @@
     let fleet = FleetSlack { share: 0.2, slack: 160.0 };
     let mut budgets = Budgets::per_service(fleet, 60);
     budgets.set_clients(["s"].into_iter(), 12, 3);
-    let member = in_hand(&mut budgets, "s/all");
-    assert_eq!(member, 8, "three fifths of the slack over twelve members");
+    let member = available(&mut budgets, "s/all");
+    assert_eq!(member, 8, "60 % of the slack over 12 members");
     let reruns = rerun_quota(fleet.slack, 12, 3) * 12.0;
-    assert!(f64::from(member) * 12.0 + reruns <= fleet.slack, "{reruns} for requests handed on again");
+    assert!(f64::from(member) * 12.0 + reruns <= fleet.slack, "{reruns} for requests forwarded again");
     budgets.set_clients(["s"].into_iter(), 6, 3);
-    assert_eq!(in_hand(&mut budgets, "s/all"), 8, "members that are not seen now may spend all the same");
-    assert_eq!(in_hand(&mut budgets, "other/all"), 2, "four fifths over all sixty");
+    assert_eq!(available(&mut budgets, "s/all"), 8, "members that are not visible now may send all the same");
+    assert_eq!(available(&mut budgets, "other/all"), 2, "80 % of the slack over all 60 daemons");
 }
 
 #[test]
-fn parts_within_slack() {
-    // A floor of one request for each daemon came to 1,168 of 640 at 584 daemons.
+fn quotas_within_slack() {
+    // A minimum quota of one request for each daemon exceeded the slack: 584 daemons could send
+    // 1,168 requests where 640 are allowed.
     for daemons in [1, 3, 24, 584, 2700, 7154_u32] {
         for slack in [0.0, 0.5, 10.0, 54.0, 640.0] {
             let all = (0..daemons).map(|rank| quota(slack, daemons, rank));
@@ -94,15 +95,15 @@
 
 #[test]
 fn all_budgets_within_slack() {
-    // What daemons have in hand together, those that run requests again among them.
+    // The budgets of all daemons together, including the quotas for requests that are run again.
     let fleet = FleetSlack { share: 0.2, slack: 54.0 };
     for (daemons, sharers) in [(24, 24), (584, 24), (584, 584), (7154, 2700)] {
-        let mut together = 0.0;
+        let mut total = 0.0;
         for rank in 0..sharers {
             let mut budgets = Budgets::per_service(fleet, daemons);
             budgets.set_clients(["s"].into_iter(), sharers, rank);
-            together += f64::from(in_hand(&mut budgets, "s/all")) + rerun_quota(fleet.slack, sharers, rank);
+            total += f64::from(available(&mut budgets, "s/all")) + rerun_quota(fleet.slack, sharers, rank);
         }
-        assert!(together <= fleet.slack, "{together} of {} among {sharers} of {daemons}", fleet.slack);
+        assert!(total <= fleet.slack, "{total} of {} among {sharers} of {daemons}", fleet.slack);
     }
 }
--- a/crates/harefield/tests/decisions/cold.rs
+++ b/crates/harefield/tests/decisions/cold.rs
@@ -1,5 +1,5 @@
-//! What cold upstreams are sent over the whole fleet, whatever its daemons know of each
-//! other.
+//! The rate limit for cold upstreams over the whole fleet, whatever its daemons know of
+//! each other.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -38,27 +38,27 @@
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// The fleet's own bounds.
+/// The bounds that the operator set for the fleet.
 const BOUND: ColdBounds = ColdBounds { overage: 1.5, slack: 5.0 };
 
-/// The most members of a cell: two in each zone, so that most daemons are none.
+/// The most members of a cell: two in each zone, so that most daemons aren't members.
 const MEMBERS: usize = 6;
 
-/// How long others take to hear of a daemon that joins or leaves.
-const HEARD_AFTER: u64 = 1500;
+/// How long others take to learn of a daemon that joins or leaves, in milliseconds.
+const GOSSIP_DELAY: u64 = 1500;
 
-/// How long the fleet is watched, in milliseconds.
-const WATCHED: u64 = 9000;
+/// How long the fleet runs, in milliseconds.
+const DURATION: u64 = 9000;
 
-/// How often each daemon tries to send.
-const TRY_EVERY: u64 = 50;
+/// The interval at which each daemon tries to send, in milliseconds.
+const SEND_INTERVAL: u64 = 50;
 
 fn places(zone: &str) -> Places {
     let regions = ZONES.iter().map(|zone| ((*zone).into(), (*zone).into())).collect();
     Places { zone: zone.into(), regions }
 }
 
-/// Returns a set of one shard with one upstream, which is cold and bears `per_s`.
+/// Returns a set of one shard with one upstream, which is cold and can handle `per_s`.
 fn set(per_s: f64, cold_ms: u64) -> Arc<ResourceSet> {
     let mut all = values(1, 1, &[1]);
     let upstream = all.get_mut(&format!("upstreams/{}", replica(0, 0))).expect("it is there");
@@ -68,7 +68,7 @@
     Arc::new(ResourceSet::parse(&items(all)).expect("the values are valid"))
 }
 
-/// A daemon of the fleet, from when on and until when it runs.
+/// The time in which a daemon of the fleet runs, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 struct Life {
     number: usize,
@@ -82,9 +82,9 @@
         Candidate { host: row.host, zone: row.zone, capacity: 1000, live }
     }
 
-    /// Says whether another daemon knows it at a time: it hears of joins and ends late.
+    /// Returns whether another daemon knows it at a time: joins and ends are learned of late.
     fn known_at(self, now: u64) -> bool {
-        (self.from == 0 || now >= self.from + HEARD_AFTER) && now < self.until.saturating_add(HEARD_AFTER)
+        (self.from == 0 || now >= self.from + GOSSIP_DELAY) && now < self.until.saturating_add(GOSSIP_DELAY)
     }
 
     fn runs_at(self, now: u64) -> bool {
@@ -92,7 +92,7 @@
     }
 }
 
-/// One daemon, and what it knows.
+/// One daemon with its view and router.
 struct Node {
     life: Life,
     host: HostId,
@@ -111,7 +111,7 @@
         Self { life, host, view: View::default(), router }
     }
 
-    /// Takes a view of those that it knows, whom it sees to answer or not.
+    /// Applies the view of a fleet in which some candidates may not be live.
     fn learn(&mut self, fleet: &[Candidate], set: &Arc<ResourceSet>, now: Instant) {
         self.view = self.view.next(&ViewSources {
             own: &self.host,
@@ -132,33 +132,34 @@
         self.router.update_daemons(&rows);
     }
 
-    /// Sends if it may; returns whether it did.
+    /// Sends a request if one may be sent; returns whether it did.
     fn send(&mut self, now: Instant) -> bool {
         self.router.lease_mut().renew(now);
         let Some(plan) = self.view.lookups["l"].plans.first() else { return false };
         let kind = "l".into();
-        let ask = ChoiceRequest::first(&plan.shards[0].replicas, 1, &kind);
-        let Ok(choice) = self.router.choose(&ask, now) else { return false };
+        let request = ChoiceRequest::first(&plan.shards[0].replicas, 1, &kind);
+        let Ok(choice) = self.router.choose(&request, now) else { return false };
         self.router.begin(&choice.upstream, now);
         self.router.end(&choice.upstream, now, AttemptOutcome::Succeeded, &Report::default(), now);
         true
     }
 }
 
-/// Returns the most sends within one second.
+/// Returns the most requests within any second.
 fn most_within_second(sent: &[u64]) -> usize {
     let within = |from: &u64| sent.iter().filter(|at| (*from..from + 1000).contains(at)).count();
     sent.iter().map(within).max().unwrap_or(0)
 }
 
-/// Lets all daemons try to send at any time; `answers` says whom each sees to answer.
-fn play(lives: &[Life], per_s: f64, mut answers: impl FnMut() -> bool) -> Vec<u64> {
+/// Runs a fleet whose daemons all try to send all the time; returns the times of the requests.
+/// `answers` decides for each pair of daemons and each update whether the other one is live.
+fn simulate(lives: &[Life], per_s: f64, mut answers: impl FnMut() -> bool) -> Vec<u64> {
     let start = Instant::now();
     let published = set(per_s, 60_000);
     let mut nodes: Vec<Node> = lives.iter().map(|life| Node::new(*life, start)).collect();
     let mut sent = Vec::new();
-    for step in 0..WATCHED / TRY_EVERY {
-        let now = step * TRY_EVERY;
+    for step in 0..DURATION / SEND_INTERVAL {
+        let now = step * SEND_INTERVAL;
         for node in &mut nodes {
             if !node.life.runs_at(now) {
                 continue;
@@ -197,7 +198,7 @@
             .map(|(number, from, until)| Life { number, from, until })
             .collect();
         let mut turn = 0;
-        let sent = play(&lives, per_s, || {
+        let sent = simulate(&lives, per_s, || {
             turn += 1;
             seeds[turn % seeds.len()]
         });
@@ -211,24 +212,25 @@
 #[test]
 fn allowance_is_used() {
     let lives: Vec<Life> = (0..9).map(|number| Life { number, from: 0, until: u64::MAX }).collect();
-    let sent = play(&lives, 25.0, || true);
+    let sent = simulate(&lives, 25.0, || true);
     let late = sent.iter().filter(|at| **at >= 4000).count();
-    assert!(late >= 75, "{late} sends in 5 s of some 105 that are given out");
-    assert!(sent.iter().all(|at| *at >= 3000), "daemons that start keep away");
+    assert!(late >= 75, "{late} requests in 5 s of about 105 that are distributed");
+    assert!(sent.iter().all(|at| *at >= 3000), "daemons that have just started send nothing");
 }
 
 #[test]
 fn each_cut_off() {
-    // Daemons that see nobody else answer are members of every cell in their own eyes.
+    // A daemon that sees no other one answer takes itself for a member of every cell.
     let lives: Vec<Life> = (0..36).map(|number| Life { number, from: 0, until: u64::MAX }).collect();
-    let most = most_within_second(&play(&lives, 6.0, || false));
-    assert!(most <= 14, "{most} where 14 may come");
+    let most = most_within_second(&simulate(&lives, 6.0, || false));
+    assert!(most <= 14, "{most} requests where 14 are allowed");
     assert!(most > 0, "some of the allowance is used");
 }
 
 #[test]
-fn cut_off_starter_abstains() {
-    // One that starts and hears of nobody has no part, however long that lasts.
+fn isolated_start_abstains() {
+    // A daemon that has learned of no other one since its start has no quota, however long that
+    // lasts.
     let start = Instant::now();
     let life = Life { number: 0, from: 0, until: u64::MAX };
     let mut node = Node::new(life, start);
@@ -240,32 +242,32 @@
 }
 
 #[test]
-fn spell_ends() {
+fn period_ends() {
     let start = Instant::now();
-    let mut spell = ColdPeriod::default();
-    spell.record_cold(Duration::from_secs(3), start);
-    assert!(!spell.is_cold(start), "nothing bounds it");
-    spell.set_allowance(Some(Allowance { quota: 2, assumed_cold: Duration::from_secs(3) }));
-    assert!(spell.is_cold(at(start, 2999)) && !spell.is_cold(at(start, 3000)));
+    let mut period = ColdPeriod::default();
+    period.record_cold(Duration::from_secs(3), start);
+    assert!(!period.is_cold(start), "no limit is set");
+    period.set_allowance(Some(Allowance { quota: 2, assumed_cold: Duration::from_secs(3) }));
+    assert!(period.is_cold(at(start, 2999)) && !period.is_cold(at(start, 3000)));
     for millis in [0, 100] {
-        assert_eq!(spell.excluded_until(at(start, millis)), None);
-        spell.record_send(at(start, millis));
+        assert_eq!(period.excluded_until(at(start, millis)), None);
+        period.record_send(at(start, millis));
     }
-    assert_eq!(spell.excluded_until(at(start, 200)), Some(at(start, 1000)));
-    assert_eq!(spell.excluded_until(at(start, 1000)), None);
-    spell.record_cold(Duration::ZERO, at(start, 1500));
-    assert!(!spell.is_cold(at(start, 1500)));
-    spell.assume_cold(at(start, 2000));
-    assert!(spell.is_cold(at(start, 4999)), "it may have started again");
+    assert_eq!(period.excluded_until(at(start, 200)), Some(at(start, 1000)));
+    assert_eq!(period.excluded_until(at(start, 1000)), None);
+    period.record_cold(Duration::ZERO, at(start, 1500));
+    assert!(!period.is_cold(at(start, 1500)));
+    period.assume_cold(at(start, 2000));
+    assert!(period.is_cold(at(start, 4999)), "it may have restarted");
 }
 
 #[test]
-fn without_part_missing() {
+fn no_quota_excluded() {
     let start = Instant::now();
     let lives: Vec<Life> = (0..9).map(|number| Life { number, from: 0, until: u64::MAX }).collect();
     let fleet: Vec<Candidate> = lives.iter().map(|life| life.candidate(true)).collect();
     let set = set(6.0, 60_000);
-    // It stands elsewhere than those that share what the upstream bears.
+    // The daemon isn't in the zone of those that share the quota.
     let mut node = Node::new(lives[1], start);
     node.learn(&fleet, &set, start);
     let now = at(start, 5000);
@@ -273,6 +275,6 @@
     node.router.lease_mut().confirm(now, now);
     let plan = Arc::clone(&node.view.lookups["l"].plans[0]);
     let kind = "l".into();
-    let ask = ChoiceRequest::first(&plan.shards[0].replicas, 1, &kind);
-    assert!(node.router.choose(&ask, now).is_err_and(|bar| bar.gap == Gap::Cold));
+    let request = ChoiceRequest::first(&plan.shards[0].replicas, 1, &kind);
+    assert!(node.router.choose(&request, now).is_err_and(|exclusion| exclusion.gap == Gap::Cold));
 }
--- a/crates/harefield/tests/decisions/carriers.rs
+++ b/crates/harefield/tests/decisions/delegates.rs
@@ -1,4 +1,5 @@
-//! Daemons that ask replicas for another daemon: they choose, within the attempts of both.
+//! A daemon that queries replicas for another one (a delegate) selects them itself, and both
+//! together stay within the attempts of the request.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -21,8 +22,8 @@
 
 const SHARDS: usize = 4;
 
-/// A fan-out of one of two daemons that may ask the first replica of each shard, and `free`
-/// others.
+/// Returns a fan-out of one of two daemons that may query the first replica of each shard and
+/// `free` others.
 fn daemon(replicas: usize, attempts: u32, free: u32) -> World {
     let limit = |shard| Some(ReplicaLimit { named: vec![replica(shard, 0)], free });
     World::limited(SHARDS, replicas, true, limit, |rules, _| {
@@ -31,8 +32,8 @@
     })
 }
 
-/// Returns the replicas of a shard that were asked.
-fn asked(world: &World, shard: usize) -> BTreeSet<UpstreamId> {
+/// Returns the replicas of a shard that got an attempt.
+fn queried(world: &World, shard: usize) -> BTreeSet<UpstreamId> {
     let sent = world.sent.iter().filter(|send| send.shard == shard);
     sent.map(|send| Arc::clone(&send.upstream)).collect()
 }
@@ -40,31 +41,32 @@
 proptest! {
     #![proptest_config(cases(200))]
 
-    /// Whatever becomes of the attempts of either daemon, both together ask no more
-    /// replicas of a shard than its attempts.
+    /// However the attempts of either daemon end, both together query at most as many replicas of
+    /// a shard as it has attempts.
     #[test]
     fn both_within_attempts(
         replicas in 2_usize..13,
         attempts in 1_u32..5,
-        carried in prop::collection::vec(step(), 0..60),
-        kept in prop::collection::vec(step(), 0..60),
+        delegate_steps in prop::collection::vec(step(), 0..60),
+        sender_steps in prop::collection::vec(step(), 0..60),
     ) {
-        let mut carrier = daemon(replicas, attempts, attempts - 1);
+        let mut delegate = daemon(replicas, attempts, attempts - 1);
         let mut sender = daemon(replicas, attempts, 0);
         let leaves = |step: &&Step| !matches!(step, Step::Pause | Step::Drain(..));
-        carried.iter().filter(leaves).for_each(|step| carrier.take(*step));
-        kept.iter().filter(leaves).for_each(|step| sender.take(*step));
+        delegate_steps.iter().filter(leaves).for_each(|step| delegate.take(*step));
+        sender_steps.iter().filter(leaves).for_each(|step| sender.take(*step));
         for shard in 0..SHARDS {
-            let mut both = asked(&carrier, shard);
-            both.append(&mut asked(&sender, shard));
+            let mut both = queried(&delegate, shard);
+            both.append(&mut queried(&sender, shard));
             prop_assert!(both.len() <= attempts as usize, "{:?}", both);
         }
     }
 }
 
 #[test]
-fn carrier_chooses() {
-    // The replica that the other daemon would ask rejects: who knows it asks another.
+fn delegate_chooses() {
+    // The replica that the other daemon would query rejects: a delegate that knows this selects
+    // another one.
     let rejecting = replica(0, 0);
     let limit = Some(ReplicaLimit { named: vec![Arc::clone(&rejecting)], free: 1 });
     let first = World::limited(
@@ -96,6 +98,6 @@
         world.end(place, end, AttemptOutcome::Rejected(None));
     }
     for shard in 0..SHARDS {
-        assert!(asked(&world, shard).contains(&replica(shard, 0)), "the only one left to ask");
+        assert!(queried(&world, shard).contains(&replica(shard, 0)), "it is the only replica left");
     }
 }
--- a/crates/harefield/tests/decisions/rejecting_model.rs
+++ b/crates/harefield/tests/decisions/rejecting_model.rs
@@ -1,8 +1,8 @@
-//! A model of daemons that carry shards of which most upstreams begin to reject.
+//! A model of a daemon with upstreams most of which begin to reject requests.
 //!
-//! The load: of each shard's twelve replicas, four in each of three regions, four of five
-//! reject three requests in five from one moment on, and report that they are idle. A request
-//! asks two of a shard's replicas at the most, and needs nearly all shards.
+//! The load: each shard has twelve replicas, four in each of three regions. From some moment on
+//! four of five replicas reject three requests in five, and report that they are idle. A request
+//! queries at most two replicas of each shard, and needs nearly all shards.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -44,33 +44,33 @@
 const SHARDS: usize = 100;
 const REPLICAS: usize = 12;
 
-/// What the fleet may send beyond a share of the first requests: 640 a shard, each of which
-/// is a service by itself at the users' site.
+/// The extra requests that the fleet may send on top of a share of the first ones: 640 for each
+/// shard, each of which is a service of its own at the users' site.
 const SLACK: f64 = 64_000.0;
 
-/// The members of a cell, which share that.
+/// The members of a cell, which share the slack.
 const MEMBERS: u32 = 24;
 
 /// How long an attempt takes, in milliseconds.
 const ANSWERED_MS: u64 = 2;
 
-/// The share of the shards that an answer needs.
+/// The share of the shards that a useful answer contains.
 const NEEDED: f64 = 0.95;
 
-/// One daemon that carries shards.
-struct Carrier {
+/// One daemon that queries shards for others.
+struct Daemon {
     router: Router,
     plan: Arc<Plan>,
     now: Instant,
     draw: u64,
-    /// How many requests a second it carries of each shard.
-    carried: u64,
+    /// Requests for each shard in a second.
+    rate: u64,
     rejecting: bool,
-    asked: Vec<UpstreamId>,
+    queried: Vec<UpstreamId>,
 }
 
-impl Carrier {
-    fn start(seed: u64, carried: u64) -> Self {
+impl Daemon {
+    fn start(seed: u64, rate: u64) -> Self {
         let now = Instant::now();
         let mut values = values(SHARDS, REPLICAS, &[7]);
         for shard in 0..SHARDS {
@@ -92,7 +92,7 @@
         let mut router = Router::new(Policy::Cost, budgets, seed, now).with_places(places);
         router.apply(&view, now);
         let plan = Arc::clone(&view.lookups["l"].plans[0]);
-        Self { router, plan, now, draw: seed, carried, rejecting: false, asked: Vec::new() }
+        Self { router, plan, now, draw: seed, rate, rejecting: false, queried: Vec::new() }
     }
 
     /// Draws a number below 1000.
@@ -106,8 +106,8 @@
         self.rejecting && bad && self.draw() < 600
     }
 
-    /// Returns the plan as one of four daemons hands it on: each keeps a near replica of each
-    /// shard.
+    /// Returns the plan as one of four daemons delegates it: each of them names one near replica
+    /// of each shard and leaves one choice free.
     fn group(&mut self) -> Plan {
         let sender = self.draw() % 4;
         let mut plan = (*self.plan).clone();
@@ -120,7 +120,7 @@
         plan
     }
 
-    /// Runs one request; returns the share of the shards that were had.
+    /// Runs one request; returns the share of the shards that contributed.
     fn run(&mut self) -> f64 {
         let rules = Rules {
             kind: "l".into(),
@@ -150,11 +150,11 @@
                     flying.push(send);
                     continue;
                 }
-                self.asked.push(Arc::clone(&send.upstream));
+                self.queried.push(Arc::clone(&send.upstream));
                 let report =
                     Report { load: Some(Load { active: 0, queued: 0, slowness: None }), announcement: None };
                 let rejected = self.rejects(&send.upstream);
-                let (end, verdict) = if rejected {
+                let (end, outcome) = if rejected {
                     (
                         AttemptEnd::Refused { why: Gap::Overloaded, begun: false },
                         AttemptOutcome::Rejected(None),
@@ -162,7 +162,7 @@
                 } else {
                     (answer(), AttemptOutcome::Succeeded)
                 };
-                self.router.end(&send.upstream, send.start, verdict, &report, now);
+                self.router.end(&send.upstream, send.start, outcome, &report, now);
                 let place = (send.shard, send.attempt);
                 flying.extend(sends(fanout.on_end(place, end, now, &mut self.router, &mut events)));
             }
@@ -172,11 +172,11 @@
         ratio(finished.parts.len(), SHARDS)
     }
 
-    /// Runs requests for a time; returns the share of them that had enough.
+    /// Runs requests for some time; returns the share of them with enough shards.
     fn serve(&mut self, millis: u64) -> f64 {
-        let (mut served, count) = (0, millis * self.carried / 1000);
+        let (mut served, count) = (0, millis * self.rate / 1000);
         for _ in 0..count {
-            self.now += Duration::from_millis(1000 / self.carried);
+            self.now += Duration::from_millis(1000 / self.rate);
             self.router.lease_mut().renew(self.now);
             served += usize::from(self.run() >= NEEDED);
         }
@@ -193,11 +193,11 @@
     AttemptEnd::Answered(Reply::Bytes(Arc::new(reply)))
 }
 
-/// Returns the shares served in each second after upstreams began to reject.
+/// Returns the share of useful answers in each second after upstreams began to reject.
 fn after_onset(windows: usize, rate: u64) -> Vec<f64> {
     let mut all = vec![0.0; windows];
     for seed in [1, 2] {
-        let mut daemon = Carrier::start(seed, rate);
+        let mut daemon = Daemon::start(seed, rate);
         let before = daemon.serve(4000);
         assert!(before > 0.99, "{before}");
         daemon.rejecting = true;
@@ -214,32 +214,36 @@
 
 #[test]
 fn known_soon() {
-    // Which upstreams reject is known after some requests, and stays known: those that reject
-    // are checked by few requests, and not by the choice that is left free.
+    // Rejecting upstreams are detected after a few requests and stay detected: few requests check
+    // them, and the choice that is left free doesn't go to them.
     let served = after_onset(10, 9);
     assert!(served[2] > 0.8, "from 2 s on: {served:.2?}");
     assert!(mean(&served[3..]) > 0.9, "{served:.2?}");
 }
 
 #[test]
-fn known_where_few_come() {
-    // Of a shard that gets four requests a second, too.
+fn known_at_low_rate() {
+    // The same holds with only four requests a second for each shard.
     let served = after_onset(10, 4);
     assert!(mean(&served[4..]) > 0.8, "{served:.2?}");
 }
 
 #[test]
-fn back_when_well() {
-    // Once they take all requests, those that rejected are asked again, the near ones first.
-    let mut carrier = Carrier::start(1, 9);
-    carrier.serve(2000);
-    carrier.rejecting = true;
-    carrier.serve(4000);
-    carrier.rejecting = false;
-    carrier.serve(12_000);
-    carrier.asked.clear();
-    carrier.serve(2000);
+fn used_after_recovery() {
+    // Upstreams that accept all requests again are used again, near ones first.
+    let mut daemon = Daemon::start(1, 9);
+    daemon.serve(2000);
+    daemon.rejecting = true;
+    daemon.serve(4000);
+    daemon.rejecting = false;
+    daemon.serve(12_000);
+    daemon.queried.clear();
+    daemon.serve(2000);
     let is_near = |name: &&UpstreamId| (0..4).any(|number| name.ends_with(&format!("-{number}")));
-    let near = carrier.asked.iter().filter(is_near).count();
-    assert!(near * 10 > carrier.asked.len() * 8, "{near} of {} to near ones", carrier.asked.len());
+    let near = daemon.queried.iter().filter(is_near).count();
+    assert!(
+        near * 10 > daemon.queried.len() * 8,
+        "{near} of {} attempts to near replicas",
+        daemon.queried.len()
+    );
 }
--- a/crates/harefield/tests/decisions/routing.rs
+++ b/crates/harefield/tests/decisions/routing.rs
@@ -1,4 +1,4 @@
-//! Choice among replicas, limits and the budget of extra load.
+//! Replica selection, concurrency limits and the budget of extra load.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -33,11 +33,11 @@
 
 fn choose(router: &mut Router, replicas: &[UpstreamId], now: Instant) -> Result<UpstreamId, Gap> {
     let index: Arc<str> = "i".into();
-    let ask = ChoiceRequest::first(replicas, 1, &index);
-    router.choose(&ask, now).map(|choice| choice.upstream).map_err(|bar| bar.gap)
+    let request = ChoiceRequest::first(replicas, 1, &index);
+    router.choose(&request, now).map(|choice| choice.upstream).map_err(|exclusion| exclusion.gap)
 }
 
-/// Lets a replica answer `count` requests, each after `millis`.
+/// Records that a replica answered `count` requests, each after `millis`.
 fn serve(router: &mut Router, name: &UpstreamId, millis: u64, count: usize, now: Instant, report: &Report) {
     for _ in 0..count {
         router.begin(name, now);
@@ -66,18 +66,18 @@
     serve(&mut router, &names[0], 40, 10, now, &idle);
     serve(&mut router, &names[1], 4, 10, now, &busy);
     let chosen = choose(&mut router, &names, at(now, 41));
-    assert_eq!(chosen, Ok(Arc::clone(&names[1])), "own requests weigh more than reports");
+    assert_eq!(chosen, Ok(Arc::clone(&names[1])), "observed times weigh more than reports");
 }
 
 #[test]
-fn silent_replica_ages() {
+fn silent_replica_avoided() {
     let now = Instant::now();
     let (mut router, names) = two(now);
     serve(&mut router, &names[0], 4, 10, now, &Report::default());
     serve(&mut router, &names[1], 5, 10, now, &Report::default());
     router.begin(&names[0], now);
     let chosen = choose(&mut router, &names, at(now, 500));
-    assert_eq!(chosen, Ok(Arc::clone(&names[1])), "a request out for long tells of a pause");
+    assert_eq!(chosen, Ok(Arc::clone(&names[1])), "a request without a reply for long shows a pause");
 }
 
 #[test]
@@ -87,19 +87,19 @@
     serve(&mut router, &names[0], 40, 40, now, &Report::default());
     serve(&mut router, &names[1], 4, 30, now, &Report::default());
     let index: Arc<str> = "i".into();
-    let ask = ChoiceRequest::first(&names, 1, &index);
-    let soon = router.probe(&ask, &names[1], at(now, 200));
-    assert_eq!(soon, None, "it was heard of a moment ago");
+    let request = ChoiceRequest::first(&names, 1, &index);
+    let soon = router.probe(&request, &names[1], at(now, 200));
+    assert_eq!(soon, None, "it answered a moment ago");
     router.lease_mut().renew(at(now, 600));
     router.lease_mut().renew(at(now, 1041));
-    let later = router.probe(&ask, &names[1], at(now, 1041));
-    assert_eq!(later, Some(Arc::clone(&names[0])), "it is looked at off the path");
+    let later = router.probe(&request, &names[1], at(now, 1041));
+    assert_eq!(later, Some(Arc::clone(&names[0])), "it is probed beside the request");
     serve(&mut router, &names[0], 4, 30, at(now, 1041), &Report::default());
     let mut chosen = 0;
     for _ in 0..100 {
         chosen += u32::from(choose(&mut router, &names, at(now, 1060)) == Ok(Arc::clone(&names[0])));
     }
-    assert!(chosen > 20, "{chosen}: it is asked again once it does well");
+    assert!(chosen > 20, "{chosen}: it is used again once it is quick");
 }
 
 #[test]
@@ -112,9 +112,9 @@
         router.begin(&names[1], at(now, 50));
     }
     let index: Arc<str> = "i".into();
-    let ask = ChoiceRequest::first(&names[1..], 1, &index);
-    let bar = router.choose(&ask, at(now, 50)).expect_err("the quick one has no room now");
-    assert_eq!((bar.gap, bar.until), (Gap::Overloaded, ExclusionEnd::Soon));
+    let request = ChoiceRequest::first(&names[1..], 1, &index);
+    let exclusion = router.choose(&request, at(now, 50)).expect_err("the window of the quick one is full");
+    assert_eq!((exclusion.gap, exclusion.until), (Gap::Overloaded, ExclusionEnd::Soon));
     assert!(choose(&mut router, &names, at(now, 50)).is_ok_and(|name| name == names[0]));
 }
 
@@ -124,12 +124,12 @@
     let (mut router, names) = two(now);
     serve(&mut router, &names[0], 8, 30, now, &Report::default());
     serve(&mut router, &names[0], 1000, 1, now, &Report::default());
-    let searcher = router.upstream(&names[0]).expect("it is known");
-    assert!(searcher.observed_time(0.0) < 0.0095, "{}", searcher.observed_time(0.0));
+    let upstream = router.upstream(&names[0]).expect("it is known");
+    assert!(upstream.observed_time(0.0) < 0.0095, "{}", upstream.observed_time(0.0));
 }
 
 #[test]
-fn given_up_counts() {
+fn abandoned_counts() {
     let now = Instant::now();
     let (mut router, names) = two(now);
     serve(&mut router, &names[0], 8, 30, now, &Report::default());
@@ -137,9 +137,9 @@
         router.begin(&names[0], now);
         router.end(&names[0], now, AttemptOutcome::Abandoned, &Report::default(), at(now, 20));
     }
-    let searcher = router.upstream(&names[0]).expect("it is known");
-    let observed = searcher.observed_time(0.0);
-    assert!(observed > 0.030, "{observed}: hedges that win must not hide how slow it is");
+    let upstream = router.upstream(&names[0]).expect("it is known");
+    let observed = upstream.observed_time(0.0);
+    assert!(observed > 0.030, "{observed}: winning hedges must not hide how slow it is");
     assert!(observed <= 0.040, "{observed}");
 }
 
@@ -166,7 +166,7 @@
     router.end(&names[0], now, AttemptOutcome::Failed, &Report::default(), now);
     for _ in 0..50 {
         let chosen = choose(&mut router, &names, at(now, 500));
-        assert_eq!(chosen, Ok(Arc::clone(&names[1])), "one that failed last comes after all others");
+        assert_eq!(chosen, Ok(Arc::clone(&names[1])), "a replica that failed last is selected last");
     }
     assert_eq!(choose(&mut router, &names[..1], at(now, 500)), Ok(Arc::clone(&names[0])));
 }
@@ -180,14 +180,14 @@
     let queue = Report { load: Some(Load { active: 2, queued: 6, slowness: None }), announcement: None };
     serve(&mut router, &names[0], 8, 20, now, &queue);
     let same = router.upstream(&names[0]).expect("it is known").window().size();
-    assert!((same - full).abs() < 1e-9, "a queue that costs no time is a lie");
+    assert!((same - full).abs() < 1e-9, "a queue that takes no time is not plausible");
     serve(&mut router, &names[0], 32, 20, now, &queue);
     let shrunk = router.upstream(&names[0]).expect("it is known").window().size();
-    assert!(shrunk < full, "a queue that costs time shrinks the window");
+    assert!(shrunk < full, "a plausible queue shrinks the window");
 }
 
 #[test]
-fn shed_kept() {
+fn retry_after_honored() {
     let now = Instant::now();
     let (mut router, names) = two(now);
     for name in &names {
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn broken_backs_off() {
+fn failed_backs_off() {
     let now = Instant::now();
     let (mut router, names) = two(now);
     let only = &names[..1];
@@ -211,10 +211,10 @@
         router.begin(&names[0], time);
         router.end(&names[0], time, AttemptOutcome::Failed, &Report::default(), time);
         let index: Arc<str> = "i".into();
-        let ask = ChoiceRequest::first(only, 1, &index);
+        let request = ChoiceRequest::first(only, 1, &index);
         router.lease_mut().renew(time);
-        let bar = router.choose(&ask, time).expect_err("it is backed off");
-        let ExclusionEnd::At(until) = bar.until else { panic!("{bar:?}") };
+        let exclusion = router.choose(&request, time).expect_err("it is backed off");
+        let ExclusionEnd::At(until) = exclusion.until else { panic!("{exclusion:?}") };
         pauses.push(until - time);
         time = until;
     }
@@ -226,12 +226,12 @@
 fn leaving_never_chosen() {
     let now = Instant::now();
     let (mut router, names) = two(now);
-    let word = Word { stamp: WordStamp { start: 1, change: 1 }, draining: true, held: None };
-    router.merge_announcement(&names[0], &word);
+    let announcement = Word { stamp: WordStamp { start: 1, change: 1 }, draining: true, held: None };
+    router.merge_announcement(&names[0], &announcement);
     for _ in 0..20 {
         assert_eq!(choose(&mut router, &names, now), Ok(Arc::clone(&names[1])));
     }
-    router.merge_announcement(&names[1], &word);
+    router.merge_announcement(&names[1], &announcement);
     assert_eq!(choose(&mut router, &names, now), Err(Gap::Leaving));
 }
 
@@ -247,8 +247,9 @@
 fn version_held() {
     let now = Instant::now();
     let (mut router, names) = two(now);
-    let word = Word { stamp: WordStamp { start: 1, change: 1 }, draining: false, held: Some(vec![2]) };
-    router.merge_announcement(&names[0], &word);
+    let announcement =
+        Word { stamp: WordStamp { start: 1, change: 1 }, draining: false, held: Some(vec![2]) };
+    router.merge_announcement(&names[0], &announcement);
     assert_eq!(choose(&mut router, &names, now), Ok(Arc::clone(&names[1])));
     assert_eq!(choose(&mut router, &names[..1], now), Err(Gap::SnapshotMissing));
 }
@@ -256,7 +257,7 @@
 proptest! {
     #![proptest_config(cases(200))]
 
-    /// A window keeps within the share of the connections, and halves.
+    /// A window stays within the share of the connections, and halves on a rejection.
     #[test]
     fn window_bounded(slots in 1_u32..8, sharers in 1_u32..30, most in 1_u32..20, good in prop::collection::vec(any::<bool>(), 0..100)) {
         let mut window = Window::new(slots, sharers, most);
@@ -275,7 +276,7 @@
         }
     }
 
-    /// Hedges stay within their share of the requests, plus what was saved up.
+    /// Hedges stay within their share of the requests plus the initial tokens.
     #[test]
     fn budget_kept(requests in 0_u32..2000) {
         let mut budget = Budget::new(0.05);
@@ -297,24 +298,24 @@
     while budget.spend_retry() {
         retries += 1;
     }
-    assert!((200..300).contains(&retries), "{retries}: the reserve has an end");
+    assert!((200..300).contains(&retries), "{retries}: the overdraft is limited");
 }
 
 #[test]
-fn pace_follows() {
-    let mut pace = LatencyStats::default();
+fn latency_follows() {
+    let mut latency = LatencyStats::default();
     for n in 0..4000 {
         let millis = if n % 10 == 0 { 30 } else { 5 };
-        pace.record(Duration::from_millis(millis));
+        latency.record(Duration::from_millis(millis));
     }
-    assert!(pace.mean() > Duration::from_millis(6) && pace.mean() < Duration::from_millis(10));
-    assert!(pace.slow() > Duration::from_millis(20), "{:?}", pace.slow());
+    assert!(latency.mean() > Duration::from_millis(6) && latency.mean() < Duration::from_millis(10));
+    assert!(latency.slow() > Duration::from_millis(20), "{:?}", latency.slow());
 }
 
 #[test]
-fn shedding_passed_over() {
-    // One that refuses a part of its requests, and says nothing of when to come
-    // back, is passed over beside one that takes them, until a probe is answered.
+fn shedding_deprioritized() {
+    // A replica that rejects some requests without a retry-after ranks behind one that accepts
+    // them, until a probe is answered.
     let now = Instant::now();
     let (mut router, names) = two(now);
     serve(&mut router, &names[0], 4, 20, now, &Report::default());
@@ -326,41 +327,41 @@
     }
 }
 
-/// How often one of two replicas is asked first, of 100 requests 20 ms apart, that takes two
-/// requests of five and reports that it has room; the other one takes all.
-fn asked_though_rejecting(load: Load) -> u32 {
+/// Returns how many of 100 requests, 20 ms apart, are sent first to one of two replicas: one that
+/// accepts two requests in five and reports `load`. The other one accepts all.
+fn sent_to_rejecting(load: Load) -> u32 {
     let now = Instant::now();
     let (mut router, names) = two(now);
     let report = Report { load: Some(load), announcement: None };
     serve(&mut router, &names[0], 4, 20, now, &Report::default());
     serve(&mut router, &names[1], 4, 20, now, &Report::default());
-    let mut asked = 0;
+    let mut chosen = 0;
     for n in 0..100_u64 {
         let now = at(now, 20 * n);
         router.lease_mut().renew(now);
         if n % 10 == 0 {
-            // As many probes as there are twice a second.
-            let verdict =
+            // The outcome of a probe, of which there are five a second here.
+            let outcome =
                 if n % 50 < 20 { AttemptOutcome::Succeeded } else { AttemptOutcome::Rejected(None) };
             router.begin(&names[0], now);
-            router.end(&names[0], now, verdict, &report, at(now, 4));
+            router.end(&names[0], now, outcome, &report, at(now, 4));
         }
         if choose(&mut router, &names, at(now, 5)) == Ok(Arc::clone(&names[0])) {
-            asked += 1;
+            chosen += 1;
         }
     }
-    asked
+    chosen
 }
 
 #[test]
-fn often_rejecting_passed_over() {
+fn rejecting_deprioritized() {
     let idle = Load { active: 0, queued: 0, slowness: None };
-    let asked = asked_though_rejecting(idle);
-    assert!(asked <= 15, "{asked} of 100 are sent to one that rejects three in five");
+    let chosen = sent_to_rejecting(idle);
+    assert!(chosen <= 15, "{chosen} of 100 are sent to a replica that rejects three in five");
 }
 
 #[test]
-fn asked_again_once_well() {
+fn used_after_recovery() {
     let now = Instant::now();
     let (mut router, names) = two(now);
     serve(&mut router, &names[1], 4, 20, now, &Report::default());
@@ -370,13 +371,13 @@
     }
     serve(&mut router, &names[0], 4, 8, at(now, 20), &Report::default());
     let chosen = (0..100).filter(|_| choose(&mut router, &names, at(now, 30)) == Ok(Arc::clone(&names[0])));
-    assert!(chosen.count() > 20, "eight answers in a row show that it takes its requests");
+    assert!(chosen.count() > 20, "eight answers in a row show that it accepts requests");
 }
 
 #[test]
 fn begun_before_move() {
-    // A request waits for room while its cell moves to another daemon: it goes on, by what
-    // the upstreams' own state allows.
+    // A request waits for a free slot while its cell moves to another daemon. It continues as far
+    // as the state of the upstreams permits.
     let now = Instant::now();
     let set = set(1, 2, &[1]);
     let held = view(&set);
@@ -389,14 +390,14 @@
         router.apply(view, at(now, millis));
         choose(&mut router, &names, at(now, millis))
     };
-    after(&moved, 50).expect("they may be asked still");
+    after(&moved, 50).expect("requests that began before may continue");
     let address = |name: &UpstreamId| set.upstreams[name].address;
     let mut leaving = moved.clone();
     leaving.leaving = names.iter().map(address).collect();
     assert_eq!(after(&leaving, 50), Err(Gap::Leaving));
     let mut gone = moved.clone();
     gone.set = Arc::default();
-    assert_eq!(after(&gone, 50), Err(Gap::NoReplica), "nobody names them any more");
+    assert_eq!(after(&gone, 50), Err(Gap::NoReplica), "the configuration does not contain them any more");
     let longest = held.lookups["l"].lookup.deadline_ms;
-    assert_eq!(after(&moved, longest), Err(Gap::NoReplica), "no such request is left");
+    assert_eq!(after(&moved, longest), Err(Gap::NoReplica), "the deadlines of such requests have passed");
 }
--- a/crates/harefield/tests/decisions/sharing.rs
+++ b/crates/harefield/tests/decisions/sharing.rs
@@ -1,4 +1,4 @@
-//! Wide fan-outs that several daemons carry, on hosts with a small part of a core.
+//! Wide fan-outs that are shared by several daemons, on hosts with a fraction of a core.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -38,14 +38,14 @@
 /// The time of one shard on a whole core, in the model.
 const SHARD_TIME: Duration = Duration::from_micros(60);
 
-/// What handing a group on costs its sender in the model, in shards.
+/// The cost of delegating a group for its sender in the model, in shards.
 const GROUP_COST: usize = 4;
 
 /// A small host, in thousandths of a core: a shard takes it half a millisecond.
 const SMALL: u32 = 120;
 
-/// A fleet in which zones `a` and `b` are one region and `c` another; all replicas stand in
-/// `a`, or those of every other shard in `b`.
+/// A fleet in which zones `a` and `b` are one region and `c` another. All replicas are in `a`,
+/// or with `spread` those of every other shard in `b`.
 struct Fleet {
     rows: Vec<Row>,
     shards: usize,
@@ -53,7 +53,7 @@
     spread: bool,
 }
 
-/// A request under way at one daemon.
+/// A request in flight at one daemon.
 struct World {
     now: Instant,
     router: Router,
@@ -62,7 +62,7 @@
 }
 
 impl World {
-    /// Lets time pass; returns how many groups were taken back, and shards asked.
+    /// Advances the time; returns how many groups were revoked and how many attempts were sent.
     fn pass(&mut self, millis: u64) -> (usize, usize) {
         self.now = at(self.now, millis);
         self.router.lease_mut().renew(self.now);
@@ -73,7 +73,8 @@
     }
 }
 
-/// What one request made of its shards: by daemon, in the order of leaving.
+/// How the shards of one request were shared: those of the daemon itself, and the groups in the
+/// order in which they were sent.
 struct Shared {
     own: usize,
     groups: Vec<(HostId, Vec<usize>)>,
@@ -88,8 +89,8 @@
         Self { rows: zones.iter().enumerate().map(row).collect(), shards, objective, spread: false }
     }
 
-    /// Asks a daemon; those in `silent` have left groups unanswered.
-    fn ask(&self, daemon: usize, silent: &[usize]) -> Shared {
+    /// Sends a request to a daemon; those in `silent` haven't answered a group for long.
+    fn request(&self, daemon: usize, silent: &[usize]) -> Shared {
         let mut shared = Shared { own: 0, groups: Vec::new() };
         for action in self.start(daemon, silent).actions {
             match action {
@@ -101,7 +102,7 @@
         shared
     }
 
-    /// Starts a request at a daemon.
+    /// Starts a request at a daemon, see [`Self::request`].
     fn start(&self, daemon: usize, silent: &[usize]) -> World {
         let now = Instant::now();
         let mut values = values(self.shards, 1, &[7]);
@@ -151,15 +152,15 @@
         World { now, router, fanout, actions }
     }
 
-    /// Returns when the last request of all daemons has left, by their own pace alone.
+    /// Returns when the last attempt of all daemons is sent, by their CPU time alone.
     fn last_sent(&self, daemon: usize, shared: &Shared) -> Duration {
-        let pace = |row: &Row, shards: usize| {
+        let cpu_time = |row: &Row, shards: usize| {
             SHARD_TIME * u32::try_from(shards).expect("they are few") * 1000 / row.capacity
         };
-        let own = pace(&self.rows[daemon], shared.own + GROUP_COST * shared.groups.len());
+        let own = cpu_time(&self.rows[daemon], shared.own + GROUP_COST * shared.groups.len());
         let others = shared.groups.iter().enumerate().map(|(number, (host, shards))| {
             let row = self.rows.iter().find(|row| row.host == *host).expect("it is of the fleet");
-            pace(&self.rows[daemon], GROUP_COST * (number + 1)) + pace(row, shards.len())
+            cpu_time(&self.rows[daemon], GROUP_COST * (number + 1)) + cpu_time(row, shards.len())
         });
         others.fold(own, Duration::max)
     }
@@ -173,10 +174,10 @@
 
 #[test]
 fn quick_kind_in_time() {
-    // 180 shards on one small host take 90 ms of an objective of 100.
+    // 180 shards on one small host would take 90 ms of an objective of 100 ms.
     let fleet = small_fleet(180, 86);
     for daemon in 0..6 {
-        let shared = fleet.ask(daemon, &[]);
+        let shared = fleet.request(daemon, &[]);
         let took = fleet.last_sent(daemon, &shared);
         assert!(took < Duration::from_millis(35), "{daemon}: {took:?}");
     }
@@ -185,44 +186,46 @@
 #[test]
 fn widest_in_time() {
     let fleet = small_fleet(270, 86);
-    let took = fleet.last_sent(0, &fleet.ask(0, &[]));
+    let took = fleet.last_sent(0, &fleet.request(0, &[]));
     assert!(took < Duration::from_millis(45), "{took:?}");
 }
 
 #[test]
-fn slow_kind_stays_beside() {
-    // With 286 ms the daemons beside the replicas are enough: bytes stay in the zone.
+fn slow_kind_stays_local() {
+    // Within 286 ms the daemons in the zone of the replicas are enough, so that no bytes leave
+    // the zone.
     let fleet = small_fleet(120, 286);
-    let shared = fleet.ask(0, &[]);
-    let beside = |host: &HostId| fleet.rows[..3].iter().any(|row| row.host == *host);
+    let shared = fleet.request(0, &[]);
+    let nearby = |host: &HostId| fleet.rows[..3].iter().any(|row| row.host == *host);
     assert_eq!(shared.groups.len(), 2);
-    assert!(shared.groups.iter().all(|(host, _)| beside(host)));
+    assert!(shared.groups.iter().all(|(host, _)| nearby(host)));
 }
 
 #[test]
 fn narrow_stays_alone() {
     let zones = ["a", "a", "b", "b", "c", "c"].map(|zone| (zone, 250));
     for shards in [20, 30] {
-        let shared = Fleet::new(shards, 60, &zones).ask(0, &[]);
+        let shared = Fleet::new(shards, 60, &zones).request(0, &[]);
         assert_eq!((shared.own, shared.groups.len()), (shards, 0));
     }
 }
 
 #[test]
 fn other_zone_shared() {
-    // A daemon without replicas beside it hands all on, to more than one.
+    // A daemon without replicas in its zone delegates all shards, to several daemons.
     let fleet = small_fleet(60, 200);
-    let shared = fleet.ask(3, &[]);
+    let shared = fleet.request(3, &[]);
     assert_eq!((shared.own, shared.groups.len()), (0, 3));
-    let far = fleet.ask(6, &[]);
-    assert_eq!((far.own, far.groups.len()), (0, 3), "nor one of another region");
+    let far = fleet.request(6, &[]);
+    assert_eq!((far.own, far.groups.len()), (0, 3), "the same for a daemon of another region");
 }
 
 #[test]
 fn one_message_each() {
-    // Shards of two availability zones of a region are shared out together.
+    // Shards in two availability zones of a region are assigned together, with one group for each
+    // daemon.
     let fleet = Fleet { spread: true, ..small_fleet(180, 86) };
-    let shared = fleet.ask(0, &[]);
+    let shared = fleet.request(0, &[]);
     let hosts: BTreeSet<&HostId> = shared.groups.iter().map(|(host, _)| host).collect();
     assert_eq!((shared.groups.len(), hosts.len()), (5, 5));
     assert!(fleet.last_sent(0, &shared) < Duration::from_millis(35));
@@ -230,21 +233,21 @@
 
 #[test]
 fn backlog_not_doubled() {
-    // All groups are overdue at once: asking 150 shards again from one small host takes 75 ms
-    // more, and whatever else it has to do waits behind them.
+    // All groups are overdue at once. Querying 150 shards again from one small host takes another
+    // 75 ms, and all its other work waits behind them.
     let mut world = small_fleet(180, 86).start(0, &[]);
     let (revoked, _) = world.pass(150);
     assert_eq!(revoked, 0);
     let (_, sent) = world.pass(5);
     assert_eq!(sent, 0);
     let (revoked, _) = world.pass(200);
-    assert!(revoked > 0, "a daemon that is gone is not awaited for long");
+    assert!(revoked > 0, "groups of a daemon that is gone are revoked");
 }
 
 #[test]
 fn by_capacity() {
     let fleet = Fleet::new(270, 86, &[("a", 500), ("a", 500), ("a", SMALL), ("b", 500), ("b", SMALL)]);
-    let shared = fleet.ask(0, &[]);
+    let shared = fleet.request(0, &[]);
     let count = |number: usize| {
         let host = &fleet.rows[number].host;
         shared.groups.iter().find(|(other, _)| other == host).map_or(0, |(_, shards)| shards.len())
@@ -256,44 +259,45 @@
 #[test]
 fn silent_takes_none() {
     let fleet = small_fleet(180, 86);
-    let shared = fleet.ask(0, &[1]);
+    let shared = fleet.request(0, &[1]);
     assert!(shared.groups.iter().all(|(host, _)| *host != fleet.rows[1].host));
     assert_eq!(shared.own + shared.groups.iter().map(|(_, shards)| shards.len()).sum::<usize>(), 180);
 }
 
 #[test]
-fn same_daemon_whoever_asks() {
-    // Else each daemon needs connections to all replicas, of which most rest.
+fn same_daemon_assigned() {
+    // Otherwise each daemon would need connections to all replicas, most of them idle.
     let fleet = small_fleet(180, 86);
     let places = |shared: &Shared| -> BTreeMap<usize, HostId> {
         let pairs = shared.groups.iter().flat_map(|(host, shards)| shards.iter().map(move |at| (*at, host)));
         pairs.map(|(at, host)| (at, Arc::clone(host))).collect()
     };
-    let (one, other) = (places(&fleet.ask(0, &[])), places(&fleet.ask(1, &[])));
+    let (one, other) = (places(&fleet.request(0, &[])), places(&fleet.request(1, &[])));
     let both: Vec<_> = one.keys().filter(|at| other.contains_key(at)).collect();
     let same = both.iter().filter(|at| one[**at] == other[**at]).count();
     assert!(same * 10 >= both.len() * 8, "{same} of {}", both.len());
 }
 
 #[test]
-fn effort_is_learnt() {
+fn shard_time_learned() {
     let mut router = Router::new(Policy::Cost, Budgets::single(0.05), 7, Instant::now())
         .with_local(LocalDaemon { host: "10.0.0.1:1".into(), capacity: 500, ..LocalDaemon::default() });
     for _ in 0..100 {
         router.record_sending(100, Duration::from_millis(20));
         router.record_sending(2, Duration::from_secs(1));
     }
-    // 0.2 ms a shard on half a core are 0.1 ms on a whole one, and as much for its reply.
-    let learnt = router.shard_time();
-    assert!(learnt > Duration::from_micros(190) && learnt < Duration::from_micros(210), "{learnt:?}");
+    // Sending takes 0.2 ms for a shard on half a core, 0.1 ms on a whole one, and reading its
+    // reply as much again.
+    let learned = router.shard_time();
+    assert!(learned > Duration::from_micros(190) && learned < Duration::from_micros(210), "{learned:?}");
     router.record_sending(100, Duration::from_secs(10));
-    assert!(router.shard_time() < Duration::from_micros(300), "a pause shows little");
+    assert!(router.shard_time() < Duration::from_micros(300), "a pause of the daemon changes little");
 }
 
 proptest! {
     #![proptest_config(cases(200))]
 
-    /// Whatever daemons there are, each shard goes to exactly one of them.
+    /// Whatever the daemons are, each shard goes to exactly one of them.
     #[test]
     fn each_shard_once(
         shards in 0_usize..300,
@@ -301,20 +305,20 @@
         own in any::<Option<u32>>(),
         micros in 0_u64..40_000,
     ) {
-        let carrier = |number: usize, capacity: u32, own: bool, beside: bool| Delegate {
-            host: format!("10.0.0.{number}:1").into(), local: own, capacity, zone: if beside { "a" } else { "b" }.into(),
+        let delegate = |number: usize, capacity: u32, local: bool, nearby: bool| Delegate {
+            host: format!("10.0.0.{number}:1").into(), local, capacity, zone: if nearby { "a" } else { "b" }.into(),
         };
-        let mut carriers: Vec<Delegate> = capacities.iter().enumerate()
-            .map(|(number, (capacity, beside))| carrier(number, *capacity, false, *beside)).collect();
-        carriers.extend(own.map(|draw| carrier(99, draw % 1000, true, draw % 2 == 0)));
-        let wanted = |at: usize| PendingShard {
-            index: at, shard: format!("s/{at:03}").into(), zone: if at.is_multiple_of(3) { "c" } else { "a" }.into(),
+        let mut candidates: Vec<Delegate> = capacities.iter().enumerate()
+            .map(|(number, (capacity, nearby))| delegate(number, *capacity, false, *nearby)).collect();
+        candidates.extend(own.map(|draw| delegate(99, draw % 1000, true, draw % 2 == 0)));
+        let pending = |index: usize| PendingShard {
+            index, shard: format!("s/{index:03}").into(), zone: if index.is_multiple_of(3) { "c" } else { "a" }.into(),
         };
-        let wanted: Vec<PendingShard> = (0..shards).map(wanted).collect();
-        let allowance =
+        let pending: Vec<PendingShard> = (0..shards).map(pending).collect();
+        let limits =
             DelegationLimits { shard_time: SHARD_TIME, send_limit: Duration::from_micros(micros), affinity: false };
-        if let Some(portions) = assign_shards(&wanted, &carriers, allowance) {
-            let places: Vec<usize> = portions.iter().flat_map(|portion| portion.shards.iter().map(|wanted| wanted.index)).collect();
+        if let Some(assignments) = assign_shards(&pending, &candidates, limits) {
+            let places: Vec<usize> = assignments.iter().flat_map(|assignment| assignment.shards.iter().map(|pending| pending.index)).collect();
             prop_assert_eq!(places.len(), shards);
             prop_assert_eq!(places.iter().collect::<BTreeSet<_>>().len(), shards);
         }
@@ -323,33 +327,34 @@
 
 #[test]
 fn shard_affinity() {
-    // Strong daemons that could each carry a fan-out alone: a shard's requests go to the
-    // same one of them, whoever sends them, where it has more replicas than may be asked.
+    // Each of the daemons could send the fan-out alone. Where shards have more replicas than may
+    // be tried, the requests for a shard go to the same daemon nonetheless, whichever daemon
+    // received them.
     let zones = ["a", "a", "a", "a", "b", "b", "b", "b"];
-    let allowance = DelegationLimits::new(Duration::from_micros(40), Duration::from_millis(300));
-    let wanted: Vec<PendingShard> = (0..180)
-        .map(|at| PendingShard { index: at, shard: format!("s{at}/all").into(), zone: "a".into() })
+    let limits = DelegationLimits::new(Duration::from_micros(40), Duration::from_millis(300));
+    let pending: Vec<PendingShard> = (0..180)
+        .map(|index| PendingShard { index, shard: format!("s{index}/all").into(), zone: "a".into() })
         .collect();
-    let carriers = |sender: usize| -> Vec<Delegate> {
-        let carrier = |(number, zone): (usize, &&str)| Delegate {
+    let candidates = |sender: usize| -> Vec<Delegate> {
+        let delegate = |(number, zone): (usize, &&str)| Delegate {
             host: format!("10.1.0.{number}:8503").into(),
             local: number == sender,
             capacity: 500,
             zone: (*zone).into(),
         };
-        zones.iter().enumerate().map(carrier).collect()
+        zones.iter().enumerate().map(delegate).collect()
     };
-    let mut met: Vec<BTreeMap<HostId, usize>> = vec![BTreeMap::new(); wanted.len()];
+    let mut met: Vec<BTreeMap<HostId, usize>> = vec![BTreeMap::new(); pending.len()];
     for sender in 0..zones.len() {
-        let carriers = carriers(sender);
-        assert!(assign_shards(&wanted, &carriers, allowance).is_none(), "one of them could carry it");
-        let portions = assign_shards(&wanted, &carriers, DelegationLimits { affinity: true, ..allowance });
-        for Assignment { delegate: carrier, shards } in portions.expect("it is shared") {
+        let candidates = candidates(sender);
+        assert!(assign_shards(&pending, &candidates, limits).is_none(), "one daemon can send it alone");
+        let assignments = assign_shards(&pending, &candidates, DelegationLimits { affinity: true, ..limits });
+        for Assignment { delegate, shards } in assignments.expect("it is shared") {
             for shard in shards {
-                *met[shard.index].entry(Arc::clone(&carrier.host)).or_default() += 1;
+                *met[shard.index].entry(Arc::clone(&delegate.host)).or_default() += 1;
             }
         }
     }
     let most: usize = met.iter().filter_map(|hosts| hosts.values().max()).sum();
-    assert!(most * 100 >= wanted.len() * zones.len() * 90, "{most} of {}", wanted.len() * zones.len());
+    assert!(most * 100 >= pending.len() * zones.len() * 90, "{most} of {}", pending.len() * zones.len());
 }
--- a/crates/harefield/tests/decisions/starts.rs
+++ b/crates/harefield/tests/decisions/starts.rs
@@ -1,5 +1,4 @@
-//! An upstream that starts again under its name: what was learnt of the former start is
-//! forgotten.
+//! An upstream that restarts under its name: the state of its former incarnation is dropped.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -26,42 +25,46 @@
     })
 }
 
-/// Returns an upstream that failed a few times in a row.
+/// Returns the state of an upstream that failed several times in a row.
 fn failed(spec: &Arc<Upstream>, now: Instant) -> UpstreamState {
-    let mut searcher = UpstreamState::new(Arc::clone(spec), 1, SHARE);
+    let mut upstream = UpstreamState::new(Arc::clone(spec), 1, SHARE);
     for millis in 0..6 {
         let start = at(now, millis);
-        searcher.begin(start);
-        searcher.end(start, AttemptOutcome::Failed, &Report::default(), start);
+        upstream.begin(start);
+        upstream.end(start, AttemptOutcome::Failed, &Report::default(), start);
     }
-    searcher
+    upstream
 }
 
 #[test]
 fn new_start_is_asked() {
     let now = Instant::now();
     for (before, after) in [(Some(1), Some(2)), (Some(2), Some(1)), (None, Some(1))] {
-        let mut searcher = failed(&spec(before, 80), now);
-        assert!(searcher.is_backed_off(at(now, 10)));
-        searcher.update(&spec(before, 80), SHARE, now);
-        assert!(searcher.is_backed_off(at(now, 10)), "its entry was written again");
-        searcher.update(&spec(after, 80), SHARE, now);
-        assert!(!searcher.is_backed_off(at(now, 10)), "{before:?} to {after:?}");
+        let mut upstream = failed(&spec(before, 80), now);
+        assert!(upstream.is_backed_off(at(now, 10)));
+        upstream.update(&spec(before, 80), SHARE, now);
+        assert!(
+            upstream.is_backed_off(at(now, 10)),
+            "the same incarnation stays backed off when its entry is written again"
+        );
+        upstream.update(&spec(after, 80), SHARE, now);
+        assert!(!upstream.is_backed_off(at(now, 10)), "{before:?} to {after:?}");
     }
 }
 
 #[test]
 fn former_start_says_nothing() {
-    // What was under way at the former start ends later, and tells nothing of the new one.
+    // Requests to the former incarnation end after the restart. They must not back off the
+    // new one.
     let now = Instant::now();
-    let mut searcher = UpstreamState::new(spec(Some(1), 80), 1, SHARE);
+    let mut upstream = UpstreamState::new(spec(Some(1), 80), 1, SHARE);
     for _ in 0..6 {
-        searcher.begin(now);
+        upstream.begin(now);
     }
-    searcher.update(&spec(Some(2), 80), SHARE, now);
-    assert_eq!(searcher.in_flight(), 0);
+    upstream.update(&spec(Some(2), 80), SHARE, now);
+    assert_eq!(upstream.in_flight(), 0);
     for _ in 0..6 {
-        searcher.end(now, AttemptOutcome::Failed, &Report::default(), at(now, 5));
+        upstream.end(now, AttemptOutcome::Failed, &Report::default(), at(now, 5));
     }
-    assert!(!searcher.is_backed_off(at(now, 10)));
+    assert!(!upstream.is_backed_off(at(now, 10)));
 }
