--- a/crates/harefield/tests/decisions/sharing.rs
+++ b/crates/harefield/tests/decisions/sharing.rs
@@ -305,14 +305,14 @@
         own in any::<Option<u32>>(),
         micros in 0_u64..40_000,
     ) {
-        let delegate = |number: usize, capacity: u32, own: bool, nearby: bool| Delegate {
-            host: format!("10.0.0.{number}:1").into(), local: own, capacity, zone: if nearby { "a" } else { "b" }.into(),
+        let delegate = |number: usize, capacity: u32, local: bool, nearby: bool| Delegate {
+            host: format!("10.0.0.{number}:1").into(), local, capacity, zone: if nearby { "a" } else { "b" }.into(),
         };
         let mut candidates: Vec<Delegate> = capacities.iter().enumerate()
             .map(|(number, (capacity, nearby))| delegate(number, *capacity, false, *nearby)).collect();
         candidates.extend(own.map(|draw| delegate(99, draw % 1000, true, draw % 2 == 0)));
-        let pending = |at: usize| PendingShard {
-            index: at, shard: format!("s/{at:03}").into(), zone: if at.is_multiple_of(3) { "c" } else { "a" }.into(),
+        let pending = |index: usize| PendingShard {
+            index, shard: format!("s/{index:03}").into(), zone: if index.is_multiple_of(3) { "c" } else { "a" }.into(),
         };
         let pending: Vec<PendingShard> = (0..shards).map(pending).collect();
         let limits =
@@ -333,7 +333,7 @@
     let zones = ["a", "a", "a", "a", "b", "b", "b", "b"];
     let limits = DelegationLimits::new(Duration::from_micros(40), Duration::from_millis(300));
     let pending: Vec<PendingShard> = (0..180)
-        .map(|at| PendingShard { index: at, shard: format!("s{at}/all").into(), zone: "a".into() })
+        .map(|index| PendingShard { index, shard: format!("s{index}/all").into(), zone: "a".into() })
         .collect();
     let candidates = |sender: usize| -> Vec<Delegate> {
         let delegate = |(number, zone): (usize, &&str)| Delegate {
