--- a/crates/harefield/src/adapters/callers.rs
+++ b/crates/harefield/src/adapters/callers.rs
@@ -102,7 +102,7 @@
         limit: body.deadline_ms.map(Duration::from_millis),
         origin: Origin::Caller,
         credential,
-        asker: Asker::default(),
+        requester: Asker::default(),
     };
     let mut answer = worker.lookup(request).await;
     answer.id = body.id;
--- a/crates/harefield/src/adapters/peer_server.rs
+++ b/crates/harefield/src/adapters/peer_server.rs
@@ -30,9 +30,9 @@
 use crate::domain::code::Code;
 use crate::domain::key::Credential;
 use crate::domain::query::Query;
+use crate::engine::ForwardTerms;
 use crate::engine::LookupRequest;
 use crate::engine::Origin;
-use crate::engine::Terms;
 use crate::engine::ToControl;
 use crate::engine::Worker;
 use crate::memory::Memory;
@@ -111,7 +111,7 @@
         Err(error) => return http::refusal(Code::MalformedBody, &error.to_string()),
     };
     let opaque = message.opaque.is_some();
-    worker.hear_reports(&message.suspects);
+    worker.merge_reports(&message.suspects);
     let answer = worker.lookup(handed_request(message)).await;
     let answer = if opaque {
         Travelling::Opaque(Box::new(OpaqueAnswer::new(&answer)))
@@ -123,7 +123,7 @@
 }
 
 fn handed_request(message: Forward) -> LookupRequest {
-    let terms = Terms {
+    let terms = ForwardTerms {
         gather: message.gather.map(Duration::from_micros),
         edition: message.edition,
         again: message.again,
@@ -140,7 +140,7 @@
         limit: Some(Duration::from_millis(message.remaining)),
         origin: Origin::Peer { host: message.from, stamp: message.stamp, terms },
         credential: Credential::Missing,
-        asker: message.asker,
+        requester: message.asker,
     }
 }
 
--- a/crates/harefield/src/control/confirm.rs
+++ b/crates/harefield/src/control/confirm.rs
@@ -48,7 +48,7 @@
             let asking = Asking { hosts, platform: true, make: Self::message, limit: ROUND_LIMIT };
             this.ask_round(asking, || false).await;
             this.confirming.set(false);
-            this.tell(&ToWorker::Confirmed(Confirmed { asked }));
+            this.tell(&ToWorker::Confirmed(Confirmed { started: asked }));
         };
         self.executor.spawn(round).detach();
     }
--- a/crates/harefield/src/control/inbox.rs
+++ b/crates/harefield/src/control/inbox.rs
@@ -26,15 +26,15 @@
             ToControl::Pull(pull, reply) => {
                 drop(reply.try_send(self.news(&pull)));
             }
-            ToControl::Word(named) => {
+            ToControl::Announcement(named) => {
                 let words = [named];
                 self.hear(&words);
                 self.relay();
             }
             ToControl::Suspect(suspect) => self.take_suspect(&suspect),
-            ToControl::Woke => self.start_confirming(),
+            ToControl::Unconfirmed => self.start_confirming(),
             ToControl::Refresh(reply) => self.refresh(reply),
-            ToControl::Silent(host) => self.unanswered(&host),
+            ToControl::Unresponsive(host) => self.unanswered(&host),
             ToControl::Seeds(seeds) => *self.seeds.borrow_mut() = seeds,
             ToControl::Stop => {
                 self.members.borrow_mut().leave();
--- a/crates/harefield/src/control/publish.rs
+++ b/crates/harefield/src/control/publish.rs
@@ -101,7 +101,7 @@
     pub(super) fn hear(&self, words: &[NamedWord]) {
         let news = self.words.borrow_mut().join(words);
         if !news.is_empty() {
-            self.tell(&ToWorker::Words(news.into()));
+            self.tell(&ToWorker::Announcements(news.into()));
         }
     }
 
--- a/crates/harefield/src/daemon/threads.rs
+++ b/crates/harefield/src/daemon/threads.rs
@@ -156,7 +156,7 @@
         incarnation: context.incarnation,
         number,
         workers: u32::try_from(settings.limits.workers).unwrap_or(u32::MAX),
-        others: settings.peers.seeds.iter().any(|seed| seed.to_string() != *context.host),
+        expects_peers: settings.peers.seeds.iter().any(|seed| seed.to_string() != *context.host),
         gate: GateLimits { running: settings.limits.running, waiting: settings.limits.waiting },
         policy: routing.policy,
         extra: routing.extra_load,
@@ -165,12 +165,12 @@
         places: places(context),
         margin: Duration::from_millis(routing.margin_ms),
         hedge: routing.hedge.then_some(routing.hedge_factor),
-        fixed: routing.fixed_ms.map(Duration::from_millis),
+        fixed_hedge: routing.fixed_ms.map(Duration::from_millis),
         drain: Duration::from_millis(routing.drain_ms),
         detail: settings.events.detail_every,
         seed: rand::random(),
         overage: settings.accounts.overage(),
-        strict: settings.accounts.proof_limit(),
+        max_proof_age: settings.accounts.proof_limit(),
     }
 }
 
--- a/crates/harefield/src/engine/attempt.rs
+++ b/crates/harefield/src/engine/attempt.rs
@@ -11,7 +11,7 @@
 use futures_lite::FutureExt;
 use futures_lite::future;
 
-use super::gate::Permit;
+use super::gate::GatePermit;
 use super::job::Job;
 use super::message::ToControl;
 use super::worker::Worker;
@@ -48,7 +48,7 @@
 use crate::telemetry::Trace;
 
 /// The end of an attempt, on its way to the fan-out.
-pub(super) enum Landed {
+pub(super) enum CompletedAttempt {
     /// Of one shard.
     Shard { shard: usize, attempt: AttemptId, end: AttemptEnd },
     /// Of a group of shards.
@@ -93,15 +93,15 @@
 
 /// An attempt under way, which is taken off its upstream's account when its
 /// task is dropped half-way.
-struct Underway<'a, U: Upstreams, P: Peers, C: Clock> {
+struct AttemptGuard<'a, U: Upstreams, P: Peers, C: Clock> {
     worker: &'a Worker<U, P, C>,
     attempt: &'a Attempt,
-    settled: bool,
+    completed: bool,
 }
 
-impl<U: Upstreams, P: Peers, C: Clock> std::ops::Drop for Underway<'_, U, P, C> {
+impl<U: Upstreams, P: Peers, C: Clock> std::ops::Drop for AttemptGuard<'_, U, P, C> {
     fn drop(&mut self) {
-        if self.settled {
+        if self.completed {
             return;
         }
         let Send { upstream, start, .. } = &self.attempt.send;
@@ -127,51 +127,53 @@
         plan: &Arc<Plan>,
         rules: &Rules,
         first: AttemptId,
-        (permit, trace): (&mut Option<Permit<U, P, C>>, &mut Trace<C>),
+        (permit, trace): (&mut Option<GatePermit<U, P, C>>, &mut Trace<C>),
     ) -> FanoutEnd {
-        let ring = plan.shards.len().max(1) * 4;
-        let (sender, landed) = async_channel::bounded(ring);
+        let capacity = plan.shards.len().max(1) * 4;
+        let (sender, completed) = async_channel::bounded(capacity);
         let mut fanout = Fanout::new(Arc::clone(plan), rules.clone(), first);
         // Dropped with this future when the caller goes away, which ends them.
         let mut tasks = Tasks::default();
         let now = self.ports.clock.now();
         let actions = fanout.start_groups(now, &mut self.router.borrow_mut(), trace);
         if !actions.is_empty() {
-            self.act(job, plan, rules, actions, (&sender, &mut tasks));
+            self.apply_actions(job, plan, rules, actions, (&sender, &mut tasks));
             // Lets the groups' tasks write before this one goes on.
             future::yield_now().await;
         }
         let now = self.ports.clock.now();
         let actions = fanout.start(now, &mut self.router.borrow_mut(), trace);
         let sent = actions.len();
-        self.act(job, plan, rules, actions, (&sender, &mut tasks));
+        self.apply_actions(job, plan, rules, actions, (&sender, &mut tasks));
         self.measure_sending(sent, now);
         while !fanout.is_done() {
             let wake = fanout.next_wake();
-            let next = self.next_landing(&landed, wake).await;
+            let next = self.next_completion(&completed, wake).await;
             let mut actions = Vec::new();
             let mut ready = next;
             while let Some(end) = ready {
-                if self.standing(&job.work) != Standing::Free {
+                if self.clearance(&job.work) != Standing::Free {
                     fanout.leave_trials();
                 }
                 let now = self.ports.clock.now();
                 let mut router = self.router.borrow_mut();
                 actions.extend(match end {
-                    Landed::Shard { shard, attempt, end } => {
+                    CompletedAttempt::Shard { shard, attempt, end } => {
                         fanout.on_end((shard, attempt), end, now, &mut router, trace)
                     }
-                    Landed::Group(hand, end) => fanout.on_group_end(&hand, &end, now, &mut router, trace),
+                    CompletedAttempt::Group(hand, end) => {
+                        fanout.on_group_end(&hand, &end, now, &mut router, trace)
+                    }
                 });
-                ready = landed.try_recv().ok();
+                ready = completed.try_recv().ok();
             }
             let now = self.ports.clock.now();
             actions.extend(fanout.on_time(now, &mut self.router.borrow_mut(), trace));
-            self.act(job, plan, rules, actions, (&sender, &mut tasks));
+            self.apply_actions(job, plan, rules, actions, (&sender, &mut tasks));
             if fanout.is_straggling(now)
                 && let Some(permit) = permit.take_if(|permit| !permit.late)
             {
-                permit.leave(fanout.crowd(now));
+                permit.release(fanout.crowd(now));
             }
         }
         // What is still out keeps its connection, and shows how its upstream does.
@@ -195,31 +197,35 @@
         self.executor.spawn(measure).detach();
     }
 
-    async fn next_landing(&self, landed: &Receiver<Landed>, wake: Instant) -> Option<Landed> {
+    async fn next_completion(
+        &self,
+        completed: &Receiver<CompletedAttempt>,
+        wake: Instant,
+    ) -> Option<CompletedAttempt> {
         let timed = async {
             self.ports.clock.sleep_until(wake).await;
             None
         };
-        async { landed.recv().await.ok() }.or(timed).await
+        async { completed.recv().await.ok() }.or(timed).await
     }
 
-    fn act(
+    fn apply_actions(
         self: &Rc<Self>,
         job: &Job,
         plan: &Arc<Plan>,
         rules: &Rules,
         actions: Vec<Action>,
-        (sender, tasks): (&Sender<Landed>, &mut Tasks),
+        (sender, tasks): (&Sender<CompletedAttempt>, &mut Tasks),
     ) {
         for action in actions {
             match action {
                 Action::Send(send) => {
                     let attempt = Attempt { job: job.clone(), plan: Arc::clone(plan), send };
-                    tasks.attempts.push(self.launch(attempt, sender.clone()));
+                    tasks.attempts.push(self.spawn_attempt(attempt, sender.clone()));
                 }
                 Action::Hand(hand) => {
                     let number = hand.attempt;
-                    let task = self.launch_group(job, plan, rules, hand, sender.clone());
+                    let task = self.spawn_group(job, plan, rules, hand, sender.clone());
                     tasks.groups.push((number, task));
                 }
                 Action::Revoke(number) => tasks.groups.retain(|(held, _)| *held != number),
@@ -231,35 +237,35 @@
         }
     }
 
-    fn launch(self: &Rc<Self>, attempt: Attempt, sender: Sender<Landed>) -> Task<()> {
+    fn spawn_attempt(self: &Rc<Self>, attempt: Attempt, sender: Sender<CompletedAttempt>) -> Task<()> {
         self.count(|counts| match attempt.send.cause {
             Cause::First => counts.first += 1,
             Cause::Retry | Cause::Hedge | Cause::Probe => counts.extra += 1,
         });
         let this = Rc::clone(self);
-        let out = attempt.job.shown.begin();
+        let pending = attempt.job.evidence.begin();
         let task = async move {
-            let mut underway = Underway { worker: &this, attempt: &attempt, settled: false };
-            let end = this.ask(&attempt).await;
-            let end = this.judge_end(&attempt, &out, end).await;
-            drop(out);
-            underway.settled = true;
-            this.learn(&attempt, &end);
+            let mut guard = AttemptGuard { worker: &this, attempt: &attempt, completed: false };
+            let end = this.query_upstream(&attempt).await;
+            let end = this.classify_end(&attempt, &pending, end).await;
+            drop(pending);
+            guard.completed = true;
+            this.record_outcome(&attempt, &end);
             let (shard, number) = (attempt.send.shard, attempt.send.attempt);
             let (failure, ran) = (end.end.gap(), end.end.may_have_run());
-            let landed = Landed::Shard { shard, attempt: number, end: end.end };
-            if sender.try_send(landed).is_err() {
-                this.note_late(&attempt, failure, ran);
+            let completed = CompletedAttempt::Shard { shard, attempt: number, end: end.end };
+            if sender.try_send(completed).is_err() {
+                this.record_late(&attempt, failure, ran);
             }
         };
         self.executor.spawn(task)
     }
 
-    async fn ask(&self, attempt: &Attempt) -> CallEnd {
+    async fn query_upstream(&self, attempt: &Attempt) -> CallEnd {
         let upstream = Arc::clone(&attempt.send.upstream);
         let now = self.ports.clock.now();
-        let found = self.router.borrow().searcher(&upstream).map(|s| (s.spec().address, s.share()));
-        let Some((address, share)) = found else {
+        let target = self.router.borrow().searcher(&upstream).map(|s| (s.spec().address, s.share()));
+        let Some((address, share)) = target else {
             return CallEnd {
                 end: AttemptEnd::NotSent { why: Gap::NoReplica },
                 verdict: Verdict::Declined,
@@ -274,11 +280,11 @@
             drain: self.settings.drain,
             once: attempt.job.once,
             query: attempt.job.query.clone(),
-            asker: attempt.job.asker.clone(),
+            asker: attempt.job.requester.clone(),
         };
         let permit = || {
             let now = self.ports.clock.now();
-            let withheld = matches!(self.standing(&attempt.job.work), Standing::Withheld(_));
+            let withheld = matches!(self.clearance(&attempt.job.work), Standing::Withheld(_));
             let router = self.router.borrow();
             // One may have begun to leave, or its zone to be evacuated, while a connection
             // was opened.
@@ -290,7 +296,7 @@
 
     /// Takes what an attempt showed into the routing, and tells other daemons
     /// of a changed word.
-    fn learn(&self, attempt: &Attempt, end: &CallEnd) {
+    fn record_outcome(&self, attempt: &Attempt, end: &CallEnd) {
         let now = self.ports.clock.now();
         let Send { upstream, start, .. } = &attempt.send;
         let mut router = self.router.borrow_mut();
@@ -306,22 +312,22 @@
             router.note_down(upstream, now);
         }
         if end.verdict == Verdict::Good && attempt.send.cause != Cause::Probe {
-            router.sample(&attempt.job.kind, upstream, now.saturating_duration_since(*start));
+            router.sample(&attempt.job.lookup, upstream, now.saturating_duration_since(*start));
         }
         router.set_idle(upstream, self.ports.upstreams.idle(upstream));
-        let Some(word) = end.report.word.as_ref().filter(|word| router.hear(upstream, word)) else {
+        let Some(announcement) = end.report.word.as_ref().filter(|word| router.hear(upstream, word)) else {
             return;
         };
         drop(router);
-        let named = NamedWord { upstream: Arc::clone(upstream), word: word.clone() };
-        let (draining, held) = (word.draining, word.held.clone().unwrap_or_default());
+        let named = NamedWord { upstream: Arc::clone(upstream), word: announcement.clone() };
+        let (draining, held) = (announcement.draining, announcement.held.clone().unwrap_or_default());
         self.duty_trace().emit(Event::UpstreamWord { upstream: Arc::clone(upstream), draining, held });
-        drop(self.control.try_send(ToControl::Word(named)));
+        drop(self.control.try_send(ToControl::Announcement(named)));
     }
 
     /// Tells how an attempt ended after its request was answered: what came was dropped,
     /// or why nothing did.
-    fn note_late(&self, attempt: &Attempt, failure: Option<Gap>, ran: bool) {
+    fn record_late(&self, attempt: &Attempt, failure: Option<Gap>, ran: bool) {
         let stamp = self.stamp();
         let (shard, number) = (attempt.shard(), attempt.send.attempt);
         let upstream = Arc::clone(&attempt.send.upstream);
--- a/crates/harefield/src/engine/find.rs
+++ b/crates/harefield/src/engine/find.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use super::message::ForwardTerms;
 use super::message::LookupRequest;
-use super::message::Terms;
 use super::worker::Worker;
 use crate::domain::accounts::Asker;
 use crate::domain::admission::Arrival;
@@ -27,7 +27,7 @@
 
 /// A request that found its plan.
 #[derive(Clone)]
-pub(super) struct Found {
+pub(super) struct ResolvedRequest {
     pub plan: Arc<LookupPlan>,
     /// What is asked, and for whom.
     pub work: Work,
@@ -40,22 +40,22 @@
     /// Whether its objective had passed when it came.
     pub late: bool,
     /// Whose request it is.
-    pub asker: Asker,
+    pub requester: Asker,
     /// The only regions in which it may be served, by its lookup and its account; everywhere
     /// where empty.
     pub regions: Regions,
 }
 
-impl Found {
+impl ResolvedRequest {
     /// Takes whose request it is.
     ///
     /// # Errors
     ///
     /// Returns that its account and its lookup have no region in common.
-    pub fn asked_by(mut self, asker: &Asker, request: &LookupRequest) -> Result<Self, Code> {
-        self.regions = regions_of(&self.plan, asker)?;
-        self.work = Work::new(&request.lookup, asker.account.as_ref(), &request.query);
-        self.asker = asker.clone();
+    pub fn with_requester(mut self, requester: &Asker, request: &LookupRequest) -> Result<Self, Code> {
+        self.regions = allowed_regions(&self.plan, requester)?;
+        self.work = Work::new(&request.lookup, requester.account.as_ref(), &request.query);
+        self.requester = requester.clone();
         Ok(self)
     }
 
@@ -63,8 +63,8 @@
     pub fn arrival(&self) -> Arrival {
         let Lookup { urgency, team, .. } = &*self.plan.lookup;
         Arrival {
-            urgency: self.asker.urgency.unwrap_or(*urgency),
-            team: self.asker.share_of(team),
+            urgency: self.requester.urgency.unwrap_or(*urgency),
+            team: self.requester.share_of(team),
             deadline: self.deadline,
             due: self.objective.filter(|_| !self.late),
             late: self.late,
@@ -80,38 +80,42 @@
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
     /// Finds the plan of a request. After a pause it is found again, since
     /// what was in force before may no longer be.
-    pub(super) async fn find_confirmed(
+    pub(super) async fn resolve_confirmed(
         &self,
         request: &LookupRequest,
         start: Instant,
-    ) -> Result<Found, Code> {
-        let found = self.find(request, start)?;
+    ) -> Result<ResolvedRequest, Code> {
+        let resolved = self.resolve(request, start)?;
         if self.is_confirmed() {
-            return self.find_current(request, found).await;
+            return self.resolve_current(request, resolved).await;
         }
-        if !self.wait_confirmed(&found).await {
+        if !self.wait_confirmed(&resolved).await {
             return Err(Code::Unconfirmed);
         }
-        self.find(request, start)
+        self.resolve(request, start)
     }
 
     /// Finds the plan again where callers have seen a newer edition here than the one
     /// in force, which is on its way: nothing runs here under the older one, nor does a key
     /// open anything by it that another daemon would run.
-    async fn find_current(&self, request: &LookupRequest, found: Found) -> Result<Found, Code> {
+    async fn resolve_current(
+        &self,
+        request: &LookupRequest,
+        resolved: ResolvedRequest,
+    ) -> Result<ResolvedRequest, Code> {
         let is_current = || self.edition() >= self.seen_edition();
-        let decides = found.plan.member || self.view.borrow().directory.is_required();
+        let decides = resolved.plan.member || self.view.borrow().directory.is_required();
         if is_current() || !decides {
-            return Ok(found);
+            return Ok(resolved);
         }
-        let until = found.deadline.min(found.start + CONFIRM_WAIT);
+        let until = resolved.deadline.min(resolved.start + CONFIRM_WAIT);
         while !is_current() {
             if self.ports.clock.now() >= until {
                 return Err(Code::OlderView);
             }
             self.ports.clock.sleep(CONFIRM_POLL).await;
         }
-        self.find(request, found.start)
+        self.resolve(request, resolved.start)
     }
 
     fn is_confirmed(&self) -> bool {
@@ -119,62 +123,62 @@
         self.router.borrow().lease().held(now)
     }
 
-    fn find(&self, request: &LookupRequest, start: Instant) -> Result<Found, Code> {
+    fn resolve(&self, request: &LookupRequest, start: Instant) -> Result<ResolvedRequest, Code> {
         let view = self.view.borrow();
         if view.revision.is_none() {
             return Err(Code::NoConfiguration);
         }
         let plan = view.lookups.get(request.lookup.as_str()).ok_or(Code::UnknownLookup)?;
-        let plan = self.part_of(plan);
+        let plan = self.choose_part(plan);
         let own = Duration::from_millis(plan.lookup.deadline_ms);
-        let time = request.limit.map_or(own, |limit| limit.min(own)).saturating_sub(self.held_up());
-        let Terms { gather, again, late, .. } = request.origin.terms();
-        let aim = match gather {
-            Some(gather) => Some(Aim { time: gather, late }),
-            None => self.aim(&plan, request.limit),
+        let time = request.limit.map_or(own, |limit| limit.min(own)).saturating_sub(self.possible_delay());
+        let ForwardTerms { gather, again, late, .. } = request.origin.terms();
+        let target = match gather {
+            Some(gather) => Some(AnswerTarget { time: gather, late }),
+            None => self.answer_target(&plan, request.limit),
         };
-        let objective = aim.map(|aim| start + aim.time);
-        let late = aim.is_some_and(|aim| aim.late);
+        let objective = target.map(|target| start + target.time);
+        let late = target.is_some_and(|target| target.late);
         let deadline = start + time;
-        let asker = request.asker.clone();
-        let regions = regions_of(&plan, &asker)?;
-        let work = Work::new(&request.lookup, asker.account.as_ref(), &request.query);
-        Ok(Found { plan, work, start, deadline, objective, again, late, asker, regions })
+        let requester = request.requester.clone();
+        let regions = allowed_regions(&plan, &requester)?;
+        let work = Work::new(&request.lookup, requester.account.as_ref(), &request.query);
+        Ok(ResolvedRequest { plan, work, start, deadline, objective, again, late, requester, regions })
     }
 
     /// Returns for how long what is read now may have waited here.
-    pub(super) fn held_up(&self) -> Duration {
+    pub(super) fn possible_delay(&self) -> Duration {
         let now = self.ports.clock.now();
         self.router.borrow().lease().held_up(now)
     }
 
     /// Returns within which time an answer with enough shards is given to a caller that
     /// has `limit` left; none without an objective.
-    fn aim(&self, plan: &LookupPlan, limit: Option<Duration>) -> Option<Aim> {
+    fn answer_target(&self, plan: &LookupPlan, limit: Option<Duration>) -> Option<AnswerTarget> {
         let objective = Duration::from_millis(plan.lookup.objective_ms?);
-        let used = limit.map_or(Duration::ZERO, |left| self.used_time(&plan.name, left));
-        Some(aim(objective, used, self.settings.margin))
+        let elapsed = limit.map_or(Duration::ZERO, |left| self.elapsed_time(&plan.name, left));
+        Some(answer_target(objective, elapsed, self.settings.margin))
     }
 
     /// Picks the part of a divided lookup whose turn it is, so that each gets
     /// its share of any few requests.
-    fn part_of(&self, plan: &Arc<LookupPlan>) -> Arc<LookupPlan> {
+    fn choose_part(&self, plan: &Arc<LookupPlan>) -> Arc<LookupPlan> {
         let total: i64 = plan.parts.iter().map(|part| i64::from(part.weight)).sum();
-        let mut turns = self.turns.borrow_mut();
-        let turns = turns.entry(Arc::clone(&plan.name)).or_default();
-        turns.resize(plan.parts.len(), 0);
-        for (turn, part) in turns.iter_mut().zip(&plan.parts) {
-            *turn += i64::from(part.weight);
+        let mut credits = self.part_credits.borrow_mut();
+        let credits = credits.entry(Arc::clone(&plan.name)).or_default();
+        credits.resize(plan.parts.len(), 0);
+        for (credit, part) in credits.iter_mut().zip(&plan.parts) {
+            *credit += i64::from(part.weight);
         }
-        let next = turns.iter().enumerate().max_by_key(|(_, turn)| **turn).map(|(at, _)| at);
+        let next = credits.iter().enumerate().max_by_key(|(_, credit)| **credit).map(|(at, _)| at);
         let Some(next) = next else { return Arc::clone(plan) };
-        turns[next] -= total;
+        credits[next] -= total;
         Arc::clone(&plan.parts[next].plan)
     }
 
     /// Returns how much of its caller's time a request had used when it came:
     /// what is left lacks that much of what its kind usually comes with.
-    fn used_time(&self, name: &Arc<str>, left: Duration) -> Duration {
+    fn elapsed_time(&self, name: &Arc<str>, left: Duration) -> Duration {
         let mut time_limits = self.time_limits.borrow_mut();
         let usual = time_limits.entry(Arc::clone(name)).or_default();
         usual.take(left);
@@ -183,14 +187,14 @@
 
     /// Waits for the lease after a pause; a once-only request does not wait,
     /// since its bytes may be older than the pause.
-    async fn wait_confirmed(&self, found: &Found) -> bool {
-        let until = found.deadline.min(found.start + CONFIRM_WAIT);
+    async fn wait_confirmed(&self, resolved: &ResolvedRequest) -> bool {
+        let until = resolved.deadline.min(resolved.start + CONFIRM_WAIT);
         loop {
             if self.is_confirmed() {
                 return true;
             }
             let now = self.ports.clock.now();
-            if now >= until || !found.plan.lookup.repeatable {
+            if now >= until || !resolved.plan.lookup.repeatable {
                 return false;
             }
             self.ports.clock.sleep(CONFIRM_POLL).await;
@@ -199,13 +203,13 @@
 }
 
 /// Returns the regions in which an asker's requests for a lookup may be served.
-fn regions_of(plan: &LookupPlan, asker: &Asker) -> Result<Regions, Code> {
-    both(&plan.lookup.regions, &asker.regions).ok_or(Code::NoRegion)
+fn allowed_regions(plan: &LookupPlan, requester: &Asker) -> Result<Regions, Code> {
+    both(&plan.lookup.regions, &requester.regions).ok_or(Code::NoRegion)
 }
 
 /// Within which time an answer is given that has enough shards.
 #[derive(Clone, Copy)]
-struct Aim {
+struct AnswerTarget {
     time: Duration,
     /// Whether its objective has passed.
     late: bool,
@@ -215,8 +219,8 @@
 /// less what was used before, and less a margin for the way back. Where the
 /// objective can no longer be met, what is left of it has no meaning, and the
 /// answer has the whole objective to gather shards.
-fn aim(objective: Duration, used: Duration, margin: Duration) -> Aim {
-    let left = objective.saturating_sub(used + margin);
+fn answer_target(objective: Duration, elapsed: Duration, margin: Duration) -> AnswerTarget {
+    let left = objective.saturating_sub(elapsed + margin);
     let late = left.is_zero();
-    Aim { time: if late { objective } else { left }, late }
+    AnswerTarget { time: if late { objective } else { left }, late }
 }
--- a/crates/harefield/src/engine/forward.rs
+++ b/crates/harefield/src/engine/forward.rs
@@ -7,13 +7,13 @@
 
 use futures_lite::FutureExt;
 
-use super::find::Found;
-use super::handing::Ended;
-use super::handing::Handed;
-use super::handing::MOST_TRIES;
-use super::handing::is_elsewhere;
+use super::find::ResolvedRequest;
+use super::forward_attempt::ForwardOutcome;
+use super::forward_attempt::ForwardState;
+use super::forward_attempt::MAX_TRIES;
+use super::forward_attempt::is_redirect;
 use super::message::LookupRequest;
-use super::run::CHANGE_AWAITED;
+use super::run::CONFIG_RETRY;
 use super::run::may_have_run;
 use super::run::refuse;
 use super::worker::Worker;
@@ -25,10 +25,10 @@
 use crate::telemetry::Trace;
 
 /// When to come back where no member could be reached.
-const COME_BACK: Duration = Duration::from_millis(500);
+const RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// How often a request is handed on again while views of the cell differ.
-const AGREE_EVERY: Duration = Duration::from_millis(20);
+const REFORWARD_EVERY: Duration = Duration::from_millis(20);
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
     /// Hands a request to a member of the cell, and to others where that one
@@ -39,51 +39,51 @@
     pub(super) async fn forward(
         self: &Rc<Self>,
         request: &LookupRequest,
-        found: &Found,
+        resolved: &ResolvedRequest,
         trace: &mut Trace<C>,
     ) -> Answer {
         loop {
-            let answer = self.forward_once(request, found, trace).await;
+            let answer = self.forward_once(request, resolved, trace).await;
             // Those asked have another view of the cell or an older configuration:
             // one of the two is about to change, and nothing has run.
-            if !is_elsewhere(answer.code) || self.ports.clock.now() >= found.halfway() {
+            if !is_redirect(answer.code) || self.ports.clock.now() >= resolved.halfway() {
                 return answer;
             }
-            self.ports.clock.sleep(AGREE_EVERY).await;
+            self.ports.clock.sleep(REFORWARD_EVERY).await;
         }
     }
 
     async fn forward_once(
         self: &Rc<Self>,
         request: &LookupRequest,
-        found: &Found,
+        resolved: &ResolvedRequest,
         trace: &mut Trace<C>,
     ) -> Answer {
-        let mut handed = Handed::new();
-        self.hand_on(&mut handed, request, found, trace);
+        let mut state = ForwardState::new();
+        self.forward_next(&mut state, request, resolved, trace);
         // Once that time has passed, only ends are awaited, which come by themselves.
-        let mut hedge_at = Some(found.halfway());
-        while handed.under_way > 0 {
-            let Some(ended) = self.next_end(&handed, hedge_at).await else {
+        let mut hedge_at = Some(resolved.halfway());
+        while state.in_flight > 0 {
+            let Some(outcome) = self.next_outcome(&state, hedge_at).await else {
                 hedge_at = None;
-                if self.may_hedge(found) {
-                    self.hand_on(&mut handed, request, found, trace);
+                if self.may_hedge(resolved) {
+                    self.forward_next(&mut state, request, resolved, trace);
                 }
                 continue;
             };
-            self.note_end(&ended, trace);
-            if let Some(answer) = handed.take(ended.result) {
+            self.record_end(&outcome, trace);
+            if let Some(answer) = state.record(outcome.result) {
                 return answer;
             }
-            if self.may_retry(&handed, found) {
-                self.hand_on(&mut handed, request, found, trace);
+            if self.may_retry(&state, resolved) {
+                self.forward_next(&mut state, request, resolved, trace);
             }
         }
-        unanswered(&handed, found, trace)
+        unanswered(&state, resolved, trace)
     }
 
     /// Returns the next end; none where `until` passes first.
-    async fn next_end(&self, handed: &Handed, until: Option<Instant>) -> Option<Ended> {
+    async fn next_outcome(&self, state: &ForwardState, until: Option<Instant>) -> Option<ForwardOutcome> {
         let timed = async {
             match until {
                 Some(until) => self.ports.clock.sleep_until(until).await,
@@ -91,50 +91,50 @@
             }
             None
         };
-        async { handed.ends.recv().await.ok() }.or(timed).await
+        async { state.outcomes.recv().await.ok() }.or(timed).await
     }
 
     /// Says whether a request may be handed to a second member while the first has
     /// it: not where its lookup bounds the upstreams asked, since the two members
     /// would choose theirs apart.
-    fn may_hedge(&self, found: &Found) -> bool {
-        let in_time = self.ports.clock.now() < found.deadline;
-        let lookup = &found.plan.lookup;
+    fn may_hedge(&self, resolved: &ResolvedRequest) -> bool {
+        let in_time = self.ports.clock.now() < resolved.deadline;
+        let lookup = &resolved.plan.lookup;
         let may = lookup.repeatable && lookup.attempts.is_none();
         in_time && may
     }
 
-    fn may_retry(&self, handed: &Handed, found: &Found) -> bool {
-        let in_time = self.ports.clock.now() < found.deadline;
-        let safe = found.plan.lookup.repeatable || !handed.sent;
-        in_time && safe && handed.under_way == 0
+    fn may_retry(&self, state: &ForwardState, resolved: &ResolvedRequest) -> bool {
+        let in_time = self.ports.clock.now() < resolved.deadline;
+        let safe = resolved.plan.lookup.repeatable || !state.unanswered;
+        in_time && safe && state.in_flight == 0
     }
 
     /// Hands a request to one more member, if there is one.
-    fn hand_on(
+    fn forward_next(
         self: &Rc<Self>,
-        handed: &mut Handed,
+        state: &mut ForwardState,
         request: &LookupRequest,
-        found: &Found,
+        resolved: &ResolvedRequest,
         trace: &mut Trace<C>,
     ) {
-        if handed.tried.len() >= MOST_TRIES {
+        if state.tried.len() >= MAX_TRIES {
             return;
         }
-        if let Some(host) = self.pick_member(found, &handed.tried) {
-            self.start_handing(handed, host, request, found, trace);
+        if let Some(host) = self.choose_member(resolved, &state.tried) {
+            self.start_forward(state, host, request, resolved, trace);
         }
     }
 }
 
 /// Returns the answer of a request that no member answered.
-fn unanswered<C: Clock>(handed: &Handed, found: &Found, trace: &mut Trace<C>) -> Answer {
-    if handed.sent {
+fn unanswered<C: Clock>(state: &ForwardState, resolved: &ResolvedRequest, trace: &mut Trace<C>) -> Answer {
+    if state.unanswered {
         return may_have_run(trace, Code::PeerSilent);
     }
-    if handed.tried.is_empty() && !found.regions.is_empty() {
-        return refuse(trace, Code::NoRegion, CHANGE_AWAITED);
+    if state.tried.is_empty() && !resolved.regions.is_empty() {
+        return refuse(trace, Code::NoRegion, CONFIG_RETRY);
     }
-    let code = if handed.disagreed { Code::NotMember } else { Code::NoMember };
-    refuse(trace, code, COME_BACK)
+    let code = if state.redirected { Code::NotMember } else { Code::NoMember };
+    refuse(trace, code, RETRY_AFTER)
 }
--- a/crates/harefield/src/engine/handing.rs
+++ b/crates/harefield/src/engine/forward_attempt.rs
@@ -10,7 +10,7 @@
 use async_channel::Sender;
 use async_executor::Task;
 
-use super::find::Found;
+use super::find::ResolvedRequest;
 use super::message::LookupRequest;
 use super::message::ToControl;
 use super::worker::Worker;
@@ -33,84 +33,84 @@
 use crate::telemetry::Trace;
 
 /// How many members are tried.
-pub(super) const MOST_TRIES: usize = 3;
+pub(super) const MAX_TRIES: usize = 3;
 
 /// Spare time that another daemon's answer has to travel past the deadline.
-pub(super) const TRAVEL: Duration = Duration::from_millis(50);
+pub(super) const TRANSIT_ALLOWANCE: Duration = Duration::from_millis(50);
 
 /// How long an edition that was seen elsewhere holds requests up here. The users' bound
 /// for a configuration that travels by other daemons is 15 s.
-const SEEN_FOR: Duration = Duration::from_secs(15);
+const EDITION_EXPIRY: Duration = Duration::from_secs(15);
 
 /// How a request handed to one daemon ended.
-pub(super) struct Ended {
+pub(super) struct ForwardOutcome {
     pub host: HostId,
     pub result: Result<Answer, PeerError>,
 }
 
 /// A request on its way through members of the cell.
-pub(super) struct Handed {
+pub(super) struct ForwardState {
     pub tried: Vec<HostId>,
     tasks: Vec<Task<()>>,
-    pub under_way: usize,
+    pub in_flight: usize,
     /// Whether a member was sent it, and did not answer.
-    pub sent: bool,
+    pub unanswered: bool,
     /// Whether a member left it to others.
-    pub disagreed: bool,
-    sender: Sender<Ended>,
-    pub ends: Receiver<Ended>,
+    pub redirected: bool,
+    sender: Sender<ForwardOutcome>,
+    pub outcomes: Receiver<ForwardOutcome>,
 }
 
 /// Counts a request as handed to a daemon until dropped.
-struct Outgoing<U: Upstreams, P: Peers, C: Clock> {
+struct ForwardGuard<U: Upstreams, P: Peers, C: Clock> {
     worker: Rc<Worker<U, P, C>>,
     host: HostId,
     start: Instant,
 }
 
-impl<U: Upstreams, P: Peers, C: Clock> Drop for Outgoing<U, P, C> {
+impl<U: Upstreams, P: Peers, C: Clock> Drop for ForwardGuard<U, P, C> {
     fn drop(&mut self) {
-        self.worker.forget_forward(&self.host, self.start);
+        self.worker.remove_forward(&self.host, self.start);
     }
 }
 
 /// Says whether a daemon that answered with a code leaves the request to others.
-pub(super) fn is_elsewhere(code: Code) -> bool {
+pub(super) fn is_redirect(code: Code) -> bool {
     matches!(code, Code::NotMember | Code::OlderView)
 }
 
-impl Handed {
+impl ForwardState {
     /// Creates the account of a request that nobody has yet.
     pub fn new() -> Self {
-        let (sender, ends) = async_channel::bounded(MOST_TRIES);
+        let (sender, outcomes) = async_channel::bounded(MAX_TRIES);
         Self {
             tried: Vec::new(),
             tasks: Vec::new(),
-            under_way: 0,
-            sent: false,
-            disagreed: false,
+            in_flight: 0,
+            unanswered: false,
+            redirected: false,
             sender,
-            ends,
+            outcomes,
         }
     }
 
     /// Says whether an answer says "not run" of a request that another member may have run,
     /// or may be running.
     fn may_contradict(&self, answer: &Answer) -> bool {
-        answer.outcome == Outcome::NotRun && (self.sent || self.under_way > 0)
+        answer.outcome == Outcome::NotRun && (self.unanswered || self.in_flight > 0)
     }
 
     /// Takes how one handing ended; returns the answer where there is one that is
     /// not left to others.
-    pub fn take(&mut self, result: Result<Answer, PeerError>) -> Option<Answer> {
-        self.under_way -= 1;
+    pub fn record(&mut self, result: Result<Answer, PeerError>) -> Option<Answer> {
+        self.in_flight -= 1;
         match result {
-            Ok(answer) if is_elsewhere(answer.code) || self.may_contradict(&answer) => {
-                self.disagreed = true;
+            Ok(answer) if is_redirect(answer.code) || self.may_contradict(&answer) => {
+                self.redirected = true;
             }
             Ok(answer) => return Some(answer),
             Err(PeerError::Unreachable) => {}
-            Err(PeerError::Silent) => self.sent = true,
+            Err(PeerError::Silent) => self.unanswered = true,
         }
         None
     }
@@ -118,58 +118,58 @@
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
     /// Hands a request to one daemon and no other.
-    pub(super) async fn hand_to(
+    pub(super) async fn forward_to(
         self: &Rc<Self>,
         host: &HostId,
         request: &LookupRequest,
-        found: &Found,
+        resolved: &ResolvedRequest,
         trace: &mut Trace<C>,
     ) -> Result<Answer, PeerError> {
-        let mut handed = Handed::new();
-        self.start_handing(&mut handed, Arc::clone(host), request, found, trace);
-        let ended = handed.ends.recv().await.map_err(|_closed| PeerError::Silent)?;
-        self.note_end(&ended, trace);
-        ended.result
+        let mut state = ForwardState::new();
+        self.start_forward(&mut state, Arc::clone(host), request, resolved, trace);
+        let outcome = state.outcomes.recv().await.map_err(|_closed| PeerError::Silent)?;
+        self.record_end(&outcome, trace);
+        outcome.result
     }
 
     /// Hands a request to a daemon, as a task of its own.
-    pub(super) fn start_handing(
+    pub(super) fn start_forward(
         self: &Rc<Self>,
-        handed: &mut Handed,
+        state: &mut ForwardState,
         host: HostId,
         request: &LookupRequest,
-        found: &Found,
+        resolved: &ResolvedRequest,
         trace: &mut Trace<C>,
     ) {
-        let left = found.deadline.saturating_duration_since(self.ports.clock.now());
+        let left = resolved.deadline.saturating_duration_since(self.ports.clock.now());
         trace.emit(Event::Forwarded { to: Arc::clone(&host) });
-        let message = self.forward_message(request, found, &host, handed, trace);
-        handed.tried.push(Arc::clone(&host));
-        handed.under_way += 1;
+        let message = self.forward_message(request, resolved, &host, state, trace);
+        state.tried.push(Arc::clone(&host));
+        state.in_flight += 1;
         let start = self.ports.clock.now();
         self.forwards.borrow_mut().entry(Arc::clone(&host)).or_default().push(start);
-        let outgoing = Outgoing { worker: Rc::clone(self), host, start };
-        let sender = handed.sender.clone();
+        let guard = ForwardGuard { worker: Rc::clone(self), host, start };
+        let sender = state.sender.clone();
         let task = async move {
-            let Outgoing { worker, host, .. } = &outgoing;
-            let result = worker.ports.peers.forward(host, &message, left + TRAVEL).await;
+            let ForwardGuard { worker, host, .. } = &guard;
+            let result = worker.ports.peers.forward(host, &message, left + TRANSIT_ALLOWANCE).await;
             let result = result.map(|forwarded| {
-                worker.receive(forwarded.stamp);
-                worker.note_edition(&forwarded);
+                worker.receive_stamp(forwarded.stamp);
+                worker.record_edition(&forwarded);
                 forwarded.answer
             });
-            let ended = Ended { host: Arc::clone(host), result };
-            let _ = sender.try_send(ended).is_ok();
+            let outcome = ForwardOutcome { host: Arc::clone(host), result };
+            let _ = sender.try_send(outcome).is_ok();
         };
-        handed.tasks.push(self.executor.spawn(task));
+        state.tasks.push(self.executor.spawn(task));
     }
 
     fn forward_message(
         &self,
         request: &LookupRequest,
-        found: &Found,
+        resolved: &ResolvedRequest,
         host: &HostId,
-        handed: &Handed,
+        state: &ForwardState,
         trace: &Trace<C>,
     ) -> Forward {
         let now = self.ports.clock.now();
@@ -177,23 +177,23 @@
             Query::Bytes(query) => Some((**query).clone()),
             Query::Json(_) => None,
         };
-        let back = self.time_back(host);
-        let gather = |objective: Instant| micros(objective.saturating_duration_since(now + back));
+        let return_time = self.return_allowance(host);
+        let gather = |objective: Instant| micros(objective.saturating_duration_since(now + return_time));
         Forward {
             from: Arc::clone(&self.settings.host),
             stamp: trace.stamp(),
             request: trace.request().map(ToString::to_string).unwrap_or_default(),
             lookup: request.lookup.clone(),
             query: request.query.json().to_vec(),
-            gather: found.objective.filter(|_| opaque.is_some()).map(gather),
+            gather: resolved.objective.filter(|_| opaque.is_some()).map(gather),
             opaque,
             ticket: request.ticket.clone(),
-            remaining: millis(found.deadline.saturating_duration_since(now)),
+            remaining: millis(resolved.deadline.saturating_duration_since(now)),
             edition: self.newest_edition(),
-            again: handed.sent || handed.under_way > 0,
-            late: found.late,
-            suspects: self.reports(&found.work),
-            asker: found.asker.clone(),
+            again: state.unanswered || state.in_flight > 0,
+            late: resolved.late,
+            suspects: self.reports(&resolved.work),
+            asker: resolved.requester.clone(),
         }
     }
 
@@ -207,34 +207,34 @@
     pub(super) fn seen_edition(&self) -> Edition {
         let now = self.ports.clock.now();
         let seen = self.seen_edition.get();
-        let recent = seen.filter(|(_, at)| now.saturating_duration_since(*at) < SEEN_FOR);
+        let recent = seen.filter(|(_, at)| now.saturating_duration_since(*at) < EDITION_EXPIRY);
         recent.map_or(0, |(edition, _)| edition)
     }
 
     /// Notes the edition that another daemon ran a request of this one under: callers
     /// have seen it here, and must not see an older one here any more.
-    fn note_edition(&self, forwarded: &Forwarded) {
-        if !is_elsewhere(forwarded.answer.code) {
+    fn record_edition(&self, forwarded: &Forwarded) {
+        if !is_redirect(forwarded.answer.code) {
             let newest = self.seen_edition().max(forwarded.edition);
             self.seen_edition.set(Some((newest, self.ports.clock.now())));
         }
     }
 
     /// Notes how a handing ended, and whether the daemon was silent.
-    pub(super) fn note_end(&self, ended: &Ended, trace: &mut Trace<C>) {
-        let (outcome, code) = match &ended.result {
+    pub(super) fn record_end(&self, end: &ForwardOutcome, trace: &mut Trace<C>) {
+        let (outcome, code) = match &end.result {
             Ok(answer) => (answer.outcome, answer.code),
             Err(PeerError::Unreachable) => (Outcome::NotRun, Code::NoMember),
             Err(PeerError::Silent) => (Outcome::MayHaveRun, Code::PeerSilent),
         };
-        trace.emit(Event::ForwardEnded { to: Arc::clone(&ended.host), outcome, code });
-        if ended.result.is_err() {
-            drop(self.control.try_send(ToControl::Silent(Arc::clone(&ended.host))));
+        trace.emit(Event::ForwardEnded { to: Arc::clone(&end.host), outcome, code });
+        if end.result.is_err() {
+            drop(self.control.try_send(ToControl::Unresponsive(Arc::clone(&end.host))));
         }
     }
 
     /// Takes one request less as handed to a daemon.
-    fn forget_forward(&self, host: &HostId, start: Instant) {
+    fn remove_forward(&self, host: &HostId, start: Instant) {
         let mut forwards = self.forwards.borrow_mut();
         let Some(starts) = forwards.get_mut(host) else { return };
         if let Some(at) = starts.iter().position(|held| *held == start) {
--- a/crates/harefield/src/engine/gate.rs
+++ b/crates/harefield/src/engine/gate.rs
@@ -28,7 +28,7 @@
 }
 
 /// A permit to run that a gate gave, given back when dropped.
-pub(super) struct Permit<U: Upstreams, P: Peers, C: Clock> {
+pub(super) struct GatePermit<U: Upstreams, P: Peers, C: Clock> {
     worker: Rc<Worker<U, P, C>>,
     index: Arc<str>,
     team: Arc<str>,
@@ -40,14 +40,14 @@
     crowd: Option<Crowd>,
 }
 
-impl<U: Upstreams, P: Peers, C: Clock> Permit<U, P, C> {
+impl<U: Upstreams, P: Peers, C: Clock> GatePermit<U, P, C> {
     /// Gives the permit back, with how crowded the upstreams were.
-    pub fn leave(mut self, crowd: Crowd) {
+    pub fn release(mut self, crowd: Crowd) {
         self.crowd = Some(crowd);
     }
 }
 
-impl<U: Upstreams, P: Peers, C: Clock> Drop for Permit<U, P, C> {
+impl<U: Upstreams, P: Peers, C: Clock> Drop for GatePermit<U, P, C> {
     fn drop(&mut self) {
         let now = self.worker.ports.clock.now();
         let took = now.saturating_duration_since(self.entered);
@@ -56,18 +56,18 @@
 }
 
 /// A place in a gate's queue, given up when dropped.
-struct Waiting<U: Upstreams, P: Peers, C: Clock> {
+struct QueueGuard<U: Upstreams, P: Peers, C: Clock> {
     worker: Rc<Worker<U, P, C>>,
     index: Arc<str>,
     team: Arc<str>,
     id: WaiterId,
     calls: Receiver<Called>,
-    settled: bool,
+    completed: bool,
 }
 
-impl<U: Upstreams, P: Peers, C: Clock> Drop for Waiting<U, P, C> {
+impl<U: Upstreams, P: Peers, C: Clock> Drop for QueueGuard<U, P, C> {
     fn drop(&mut self) {
-        if self.settled {
+        if self.completed {
             return;
         }
         let worker = &self.worker;
@@ -88,7 +88,7 @@
         self: &Rc<Self>,
         index: &Arc<str>,
         arrival: Arrival,
-    ) -> Result<Permit<U, P, C>, GateRefusal> {
+    ) -> Result<GatePermit<U, P, C>, GateRefusal> {
         let now = self.ports.clock.now();
         let entry = {
             let mut gates = self.gates.borrow_mut();
@@ -102,8 +102,8 @@
         }
     }
 
-    fn permit(self: &Rc<Self>, index: &Arc<str>, arrival: &Arrival) -> Permit<U, P, C> {
-        Permit {
+    fn permit(self: &Rc<Self>, index: &Arc<str>, arrival: &Arrival) -> GatePermit<U, P, C> {
+        GatePermit {
             worker: Rc::clone(self),
             index: Arc::clone(index),
             team: Arc::clone(&arrival.team),
@@ -118,16 +118,16 @@
         index: &Arc<str>,
         arrival: &Arrival,
         id: WaiterId,
-    ) -> Result<Permit<U, P, C>, GateRefusal> {
+    ) -> Result<GatePermit<U, P, C>, GateRefusal> {
         let (sender, calls) = async_channel::bounded(1);
         self.waiters.borrow_mut().insert((Arc::clone(index), id), sender);
-        let mut waiting = Waiting {
+        let mut waiting = QueueGuard {
             worker: Rc::clone(self),
             index: Arc::clone(index),
             team: Arc::clone(&arrival.team),
             id,
             calls: calls.clone(),
-            settled: false,
+            completed: false,
         };
         let until = self.gates.borrow().get(index).map_or(arrival.deadline, |gate| gate.leaves_at(arrival));
         let expired = async {
@@ -137,18 +137,18 @@
         let called = async { calls.recv().await.ok() }.or(expired).await;
         match called {
             Some(Called::Run(_)) => {
-                waiting.settled = true;
+                waiting.completed = true;
                 Ok(self.permit(index, arrival))
             }
             Some(Called::Refuse(_, wait)) => {
-                waiting.settled = true;
+                waiting.completed = true;
                 Err(GateRefusal { code: Code::TooLate, wait })
             }
-            None => Err(GateRefusal { code: Code::TooLate, wait: self.next_turn(index) }),
+            None => Err(GateRefusal { code: Code::TooLate, wait: self.next_opening(index) }),
         }
     }
 
-    fn next_turn(&self, index: &Arc<str>) -> Duration {
+    fn next_opening(&self, index: &Arc<str>) -> Duration {
         let now = self.ports.clock.now();
         self.gates.borrow_mut().get_mut(index).map_or(Duration::ZERO, |gate| gate.turn(now))
     }
--- a/crates/harefield/src/engine/group.rs
+++ b/crates/harefield/src/engine/group.rs
@@ -8,8 +8,8 @@
 use async_channel::Sender;
 use async_executor::Task;
 
-use super::attempt::Landed;
-use super::handing::TRAVEL;
+use super::attempt::CompletedAttempt;
+use super::forward_attempt::TRANSIT_ALLOWANCE;
 use super::job::Job;
 use super::worker::Worker;
 use crate::domain::event::Event;
@@ -37,49 +37,50 @@
 
 /// A group under way, which is taken off its daemon's account when its task is
 /// dropped half-way.
-struct Underway<'a, U: Upstreams, P: Peers, C: Clock> {
+struct GroupGuard<'a, U: Upstreams, P: Peers, C: Clock> {
     worker: &'a Worker<U, P, C>,
-    kind: &'a Arc<str>,
-    hand: &'a Hand,
-    settled: bool,
+    lookup: &'a Arc<str>,
+    group: &'a Hand,
+    completed: bool,
 }
 
-impl<U: Upstreams, P: Peers, C: Clock> Drop for Underway<'_, U, P, C> {
+impl<U: Upstreams, P: Peers, C: Clock> Drop for GroupGuard<'_, U, P, C> {
     fn drop(&mut self) {
-        if !self.settled {
-            self.worker.end_relay(self.kind, self.hand, RelayVerdict::Abandoned);
+        if !self.completed {
+            self.worker.release_relay(self.lookup, self.group, RelayVerdict::Abandoned);
         }
     }
 }
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
     /// Hands a group to its daemon as a task of its own.
-    pub(super) fn launch_group(
+    pub(super) fn spawn_group(
         self: &Rc<Self>,
         job: &Job,
         plan: &Arc<Plan>,
         rules: &Rules,
-        hand: Hand,
-        sender: Sender<Landed>,
+        group: Hand,
+        sender: Sender<CompletedAttempt>,
     ) -> Task<()> {
-        let message = self.group_message(job, plan, rules, &hand);
+        let message = self.group_message(job, plan, rules, &group);
         let (this, job) = (Rc::clone(self), job.clone());
-        let out = job.shown.begin();
+        let pending = job.evidence.begin();
         let task = async move {
-            let _out = out;
-            let mut underway = Underway { worker: &this, kind: &job.kind, hand: &hand, settled: false };
+            let _pending = pending;
+            let mut guard =
+                GroupGuard { worker: &this, lookup: &job.lookup, group: &group, completed: false };
             let left = job.deadline.saturating_duration_since(this.ports.clock.now());
-            let result = this.ports.peers.group(&hand.host, &message, left + TRAVEL).await;
-            underway.settled = true;
-            let (verdict, end) = this.group_end(&hand, result);
-            this.end_relay(&job.kind, &hand, verdict);
-            this.note_group(&job, &hand, verdict, &end);
-            let _ = sender.try_send(Landed::Group(hand.clone(), end)).is_ok();
+            let result = this.ports.peers.group(&group.host, &message, left + TRANSIT_ALLOWANCE).await;
+            guard.completed = true;
+            let (verdict, end) = this.group_outcome(&group, result);
+            this.release_relay(&job.lookup, &group, verdict);
+            this.record_group(&job, &group, verdict, &end);
+            let _ = sender.try_send(CompletedAttempt::Group(group.clone(), end)).is_ok();
         };
         self.executor.spawn(task)
     }
 
-    fn group_message(&self, job: &Job, plan: &Plan, rules: &Rules, hand: &Hand) -> Group {
+    fn group_message(&self, job: &Job, plan: &Plan, rules: &Rules, group: &Hand) -> Group {
         let left = job.deadline.saturating_duration_since(self.ports.clock.now());
         let query = match &job.query {
             Query::Bytes(query) => (**query).clone(),
@@ -89,60 +90,60 @@
             from: Arc::clone(&self.settings.host),
             stamp: self.stamp(),
             request: job.request.to_string(),
-            lookup: job.kind.to_string(),
+            lookup: job.lookup.to_string(),
             index: plan.index.to_string(),
-            only: limits(hand),
-            shards: hand.shards.iter().map(|at| Arc::clone(&plan.shards[*at].shard)).collect(),
+            only: replica_limits(group),
+            shards: group.shards.iter().map(|at| Arc::clone(&plan.shards[*at].shard)).collect(),
             query,
             most: job.merge.unwrap_or(usize::MAX),
-            needed: rules.needed(hand.shards.len(), plan.shards.len()),
+            needed: rules.needed(group.shards.len(), plan.shards.len()),
             remaining: micros(left),
-            gather: hand.gather.map(micros),
+            gather: group.gather.map(micros),
             again: rules.again,
-            possible: Some(rules.possible(hand.shards.len(), plan.shards.len())),
+            possible: Some(rules.possible(group.shards.len(), plan.shards.len())),
             suspects: self.reports(&job.work),
             regions: Arc::clone(&job.regions),
-            asker: job.asker.clone(),
+            asker: job.requester.clone(),
         }
     }
 
-    fn end_relay(&self, kind: &Arc<str>, hand: &Hand, verdict: RelayVerdict) {
+    fn release_relay(&self, lookup: &Arc<str>, group: &Hand, verdict: RelayVerdict) {
         let now = self.ports.clock.now();
-        self.router.borrow_mut().relays_mut().end(&hand.host, kind, hand.start, verdict, now);
+        self.router.borrow_mut().relays_mut().end(&group.host, lookup, group.start, verdict, now);
     }
 
-    fn group_end(&self, hand: &Hand, result: Result<GroupReply, PeerError>) -> (RelayVerdict, GroupEnd) {
+    fn group_outcome(&self, group: &Hand, result: Result<GroupReply, PeerError>) -> (RelayVerdict, GroupEnd) {
         let reply = match result {
             Ok(reply) if !reply.declined => reply,
             Ok(_declined) => return (RelayVerdict::Declined, GroupEnd::NotSent),
             Err(PeerError::Unreachable) => return (RelayVerdict::Silent, GroupEnd::NotSent),
             Err(PeerError::Silent) => return (RelayVerdict::Silent, GroupEnd::Silent),
         };
-        self.receive(reply.stamp);
-        let total = self.ports.clock.now().saturating_duration_since(hand.start);
-        let way = total.saturating_sub(Duration::from_micros(reply.took));
-        (RelayVerdict::Answered(way), GroupEnd::Brought(brought(hand, reply)))
+        self.receive_stamp(reply.stamp);
+        let total = self.ports.clock.now().saturating_duration_since(group.start);
+        let round_trip = total.saturating_sub(Duration::from_micros(reply.took));
+        (RelayVerdict::Answered(round_trip), GroupEnd::Brought(shard_results(group, reply)))
     }
 
-    fn note_group(&self, job: &Job, hand: &Hand, verdict: RelayVerdict, end: &GroupEnd) {
+    fn record_group(&self, job: &Job, group: &Hand, verdict: RelayVerdict, end: &GroupEnd) {
         let parts = match end {
             GroupEnd::Brought(all) => {
-                all.iter().filter(|(_, brought)| matches!(brought, Brought::Part(_))).count()
+                all.iter().filter(|(_, result)| matches!(result, Brought::Part(_))).count()
             }
             GroupEnd::NotSent | GroupEnd::Silent => 0,
         };
-        let way = match verdict {
-            RelayVerdict::Answered(way) => micros(way),
+        let round_trip = match verdict {
+            RelayVerdict::Answered(round_trip) => micros(round_trip),
             RelayVerdict::Declined | RelayVerdict::Silent | RelayVerdict::Abandoned => 0,
         };
-        let took = self.ports.clock.now().saturating_duration_since(hand.start);
+        let took = self.ports.clock.now().saturating_duration_since(group.start);
         let event = Event::GroupEnded {
-            to: Arc::clone(&hand.host),
-            attempt: hand.attempt,
+            to: Arc::clone(&group.host),
+            attempt: group.attempt,
             contributed: parts,
-            missing: hand.shards.len() - parts,
+            missing: group.shards.len() - parts,
             micros: micros(took),
-            way,
+            way: round_trip,
         };
         let request = Some(Arc::clone(&job.request));
         self.telemetry.send(Batch { request, events: vec![(self.stamp(), event)] });
@@ -150,24 +151,24 @@
 }
 
 /// Returns which replicas may be asked, by the shards' places in the group.
-fn limits(hand: &Hand) -> Vec<(usize, Vec<UpstreamId>)> {
-    let place = |shard: usize| hand.shards.iter().position(|other| *other == shard);
-    let free = (0..hand.free).map(|_| UpstreamId::from(""));
+fn replica_limits(group: &Hand) -> Vec<(usize, Vec<UpstreamId>)> {
+    let place = |shard: usize| group.shards.iter().position(|other| *other == shard);
+    let free = (0..group.free).map(|_| UpstreamId::from(""));
     let names = |fallback: &UpstreamId| std::iter::once(Arc::clone(fallback)).chain(free.clone()).collect();
-    hand.fallbacks.iter().filter_map(|(shard, fallback)| Some((place(*shard)?, names(fallback)))).collect()
+    group.fallbacks.iter().filter_map(|(shard, fallback)| Some((place(*shard)?, names(fallback)))).collect()
 }
 
 /// Returns which replicas may be asked, from their names in a message.
-pub(super) fn limit_of(replicas: &[UpstreamId]) -> ReplicaLimit {
+pub(super) fn parse_limit(replicas: &[UpstreamId]) -> ReplicaLimit {
     let (free, named): (Vec<_>, Vec<_>) = replicas.iter().map(Arc::clone).partition(|name| name.is_empty());
     ReplicaLimit { named, free: u32::try_from(free.len()).unwrap_or(u32::MAX) }
 }
 
 /// Sorts a reply by the shards of the group, each once. The merged records go
 /// with the first part.
-fn brought(hand: &Hand, reply: GroupReply) -> Vec<(usize, Brought)> {
+fn shard_results(group: &Hand, reply: GroupReply) -> Vec<(usize, Brought)> {
     let mut records = Some(reply.records.into_vec());
-    let mut all: Vec<Option<Brought>> = hand.shards.iter().map(|_| None).collect();
+    let mut all: Vec<Option<Brought>> = group.shards.iter().map(|_| None).collect();
     for part in reply.parts {
         let Some(slot) = all.get_mut(part.at).filter(|slot| slot.is_none()) else { continue };
         let body = records.take().unwrap_or_default();
@@ -183,7 +184,7 @@
         let Some(slot) = all.get_mut(gap.at).filter(|slot| slot.is_none()) else { continue };
         *slot = Some(Brought::Missing { why: gap.why, ran: gap.ran, sent: gap.sent });
     }
-    let unsaid = Brought::Missing { why: Gap::ReplyLost, ran: true, sent: u32::MAX };
-    let places = hand.shards.iter().copied();
-    places.zip(all.into_iter().map(|brought| brought.unwrap_or_else(|| unsaid.clone()))).collect()
+    let absent = Brought::Missing { why: Gap::ReplyLost, ran: true, sent: u32::MAX };
+    let places = group.shards.iter().copied();
+    places.zip(all.into_iter().map(|result| result.unwrap_or_else(|| absent.clone()))).collect()
 }
--- a/crates/harefield/src/engine/identity.rs
+++ b/crates/harefield/src/engine/identity.rs
@@ -5,14 +5,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::find::Found;
+use super::find::ResolvedRequest;
 use super::message::LookupRequest;
 use super::message::Origin;
 use super::message::ToControl;
-use super::permits::Permit;
+use super::permits::LimitPermit;
 use super::run::refuse;
-use super::run::turn_away;
-use super::run::wait_for;
+use super::run::reject_caller;
+use super::run::retry_wait;
 use super::worker::Worker;
 use crate::domain::accounts::Asker;
 use crate::domain::accounts::Asking;
@@ -32,7 +32,7 @@
 use crate::telemetry::Trace;
 
 /// When to come back where this daemon cannot make sure of a key.
-const COME_BACK: Duration = Duration::from_millis(200);
+const RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// Why a caller may not ask, and after which time that may have changed.
 #[derive(Clone, Copy, Debug)]
@@ -42,23 +42,23 @@
 }
 
 /// Nobody can say now whether a key opens anything; another daemon may.
-const UNCONFIRMED: Refusal = Refusal { code: Code::KeyUnconfirmed, wait: Some(COME_BACK) };
+const UNCONFIRMED: Refusal = Refusal { code: Code::KeyUnconfirmed, wait: Some(RETRY_AFTER) };
 
 /// Whose request it is.
 #[derive(Debug)]
-pub(super) enum Whose {
+pub(super) enum Authorization {
     /// Anyone's, or of one that another daemon named.
-    Anyone(Asker),
+    Unlimited(Asker),
     /// An account's.
     Account(Arc<Client>),
 }
 
 /// A request that asks for what is newer, until dropped: its caller may go away meanwhile.
-struct Ask<'a> {
+struct RefreshGuard<'a> {
     keys: &'a RefCell<UnknownKeys>,
 }
 
-impl Drop for Ask<'_> {
+impl Drop for RefreshGuard<'_> {
     fn drop(&mut self) {
         self.keys.borrow_mut().end();
     }
@@ -73,24 +73,28 @@
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
     /// Returns whose request it is; one from another daemon goes on as it came, since that
     /// one has looked.
-    pub(super) async fn identify(&self, request: &LookupRequest, found: &Found) -> Result<Whose, Refusal> {
+    pub(super) async fn identify(
+        &self,
+        request: &LookupRequest,
+        resolved: &ResolvedRequest,
+    ) -> Result<Authorization, Refusal> {
         if request.origin != Origin::Caller {
-            return Ok(Whose::Anyone(request.asker.clone()));
+            return Ok(Authorization::Unlimited(request.requester.clone()));
         }
-        match self.identity(request, found) {
-            Identity::Unknown(key) => self.identify_newer(request, found, key).await,
-            identity => self.admit(identity),
+        match self.identity(request, resolved) {
+            Identity::Unknown(key) => self.identify_refreshed(request, resolved, key).await,
+            identity => self.authorize(identity),
         }
     }
 
-    fn identity(&self, request: &LookupRequest, found: &Found) -> Identity {
-        self.view.borrow().directory.identify(request.credential, found.plan.lookup.public)
+    fn identity(&self, request: &LookupRequest, resolved: &ResolvedRequest) -> Identity {
+        self.view.borrow().directory.identify(request.credential, resolved.plan.lookup.public)
     }
 
-    fn admit(&self, identity: Identity) -> Result<Whose, Refusal> {
+    fn authorize(&self, identity: Identity) -> Result<Authorization, Refusal> {
         match identity {
-            Identity::Anyone(asker) => Ok(Whose::Anyone(asker)),
-            Identity::Known(client) if self.vouches_for_keys() => Ok(Whose::Account(client)),
+            Identity::Anyone(requester) => Ok(Authorization::Unlimited(requester)),
+            Identity::Known(client) if self.accepts_keys() => Ok(Authorization::Account(client)),
             Identity::Known(_) => Err(UNCONFIRMED),
             Identity::Missing => Err(Refusal::for_good(Code::KeyRequired)),
             Identity::Unknown(_) => Err(Refusal::for_good(Code::KeyUnknown)),
@@ -99,92 +103,92 @@
 
     /// Makes sure that a key which is not known is not newer than what is held, and looks
     /// again; the key is said to be unknown only where that is sure.
-    async fn identify_newer(
+    async fn identify_refreshed(
         &self,
         request: &LookupRequest,
-        found: &Found,
+        resolved: &ResolvedRequest,
         key: KeyDigest,
-    ) -> Result<Whose, Refusal> {
+    ) -> Result<Authorization, Refusal> {
         match self.unknown_keys.borrow_mut().begin(&key) {
             Asking::Known => return Err(Refusal::for_good(Code::KeyUnknown)),
             Asking::Crowded => return Err(UNCONFIRMED),
             Asking::Begun => {}
         }
-        let _asking = Ask { keys: &self.unknown_keys };
+        let _refreshing = RefreshGuard { keys: &self.unknown_keys };
         let (sender, refreshed) = async_channel::bounded(1);
-        let asked = self.control.try_send(ToControl::Refresh(sender)).is_ok();
-        let sure = asked && refreshed.recv().await.unwrap_or(false);
-        let identity = self.identity(request, found);
+        let sent = self.control.try_send(ToControl::Refresh(sender)).is_ok();
+        let current = sent && refreshed.recv().await.unwrap_or(false);
+        let identity = self.identity(request, resolved);
         let unknown = matches!(identity, Identity::Unknown(_));
-        if unknown && !sure {
+        if unknown && !current {
             return Err(UNCONFIRMED);
         }
         if unknown {
             self.unknown_keys.borrow_mut().remember(key);
         }
-        self.admit(identity)
+        self.authorize(identity)
     }
 
     /// Says whether what is held is new enough for keys to open anything.
-    fn vouches_for_keys(&self) -> bool {
-        let Some(most) = self.settings.strict else { return true };
+    fn accepts_keys(&self) -> bool {
+        let Some(max_age) = self.settings.max_proof_age else { return true };
         let now = self.ports.clock.now();
-        self.proven.get().is_some_and(|proven| now.saturating_duration_since(proven) <= most)
+        self.proven.get().is_some_and(|proven| now.saturating_duration_since(proven) <= max_age)
     }
 
     /// Answers a request whose caller may ask.
-    pub(super) async fn answer_for(
+    pub(super) async fn answer_authorized(
         self: &Rc<Self>,
-        whose: Whose,
+        authorization: Authorization,
         request: &LookupRequest,
-        found: Found,
+        resolved: ResolvedRequest,
         trace: &mut Trace<C>,
     ) -> Answer {
-        let asker = match &whose {
-            Whose::Anyone(asker) if *asker == request.asker => {
-                return self.answer_found(request, &found, trace).await;
+        let requester = match &authorization {
+            Authorization::Unlimited(requester) if *requester == request.requester => {
+                return self.answer_resolved(request, &resolved, trace).await;
             }
-            Whose::Anyone(asker) => asker.clone(),
-            Whose::Account(client) => client.asker(),
+            Authorization::Unlimited(requester) => requester.clone(),
+            Authorization::Account(client) => client.asker(),
         };
         let query = request.query.without_claims();
-        let request = LookupRequest { query, asker: asker.clone(), ..request.clone() };
-        let found = match found.asked_by(&asker, &request) {
-            Ok(found) => found,
-            Err(code) => return refuse(trace, code, wait_for(code)),
+        let request = LookupRequest { query, requester: requester.clone(), ..request.clone() };
+        let resolved = match resolved.with_requester(&requester, &request) {
+            Ok(resolved) => resolved,
+            Err(code) => return refuse(trace, code, retry_wait(code)),
         };
-        match whose {
-            Whose::Account(client) => self.answer_within(&client, &request, &found, trace).await,
-            Whose::Anyone(_) => self.answer_found(&request, &found, trace).await,
+        match authorization {
+            Authorization::Account(client) => self.answer_limited(&client, &request, &resolved, trace).await,
+            Authorization::Unlimited(_) => self.answer_resolved(&request, &resolved, trace).await,
         }
     }
 
     /// Answers a request of an account, within its limit.
-    async fn answer_within(
+    async fn answer_limited(
         self: &Rc<Self>,
         client: &Client,
         request: &LookupRequest,
-        found: &Found,
+        resolved: &ResolvedRequest,
         trace: &mut Trace<C>,
     ) -> Answer {
-        let permit = match self.permit_for(client, found).await {
+        let permit = match self.acquire_permit(client, resolved).await {
             Ok(permit) => permit,
             Err(refusal) => {
                 let account = Arc::clone(&client.name);
                 let retry_after = millis(refusal.wait.unwrap_or_default());
                 trace.emit(Event::LimitRefused { account, code: refusal.code, retry_after });
-                return turn_away(trace, &refusal);
+                return reject_caller(trace, &refusal);
             }
         };
-        let answer = self.answer_found(request, found, trace).await;
+        let answer = self.answer_resolved(request, resolved, trace).await;
         if answer.outcome == Outcome::NotRun {
-            self.give_back(client, permit);
+            self.release_permit(client, permit);
         }
         answer
     }
 
-    fn give_back(&self, client: &Client, permit: Permit) {
-        if let (Permit::Until(until), Some(reserve)) =
+    fn release_permit(&self, client: &Client, permit: LimitPermit) {
+        if let (LimitPermit::Until(until), Some(reserve)) =
             (permit, self.reserves.borrow_mut().get_mut(&client.name))
         {
             reserve.give_back(until);
--- a/crates/harefield/src/engine/job.rs
+++ b/crates/harefield/src/engine/job.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use super::find::Found;
+use super::find::ResolvedRequest;
 use super::message::LookupRequest;
 use crate::domain::accounts::Asker;
 use crate::domain::ids::RequestId;
@@ -17,7 +17,7 @@
 #[derive(Clone)]
 pub(super) struct Job {
     pub request: RequestId,
-    pub kind: Arc<str>,
+    pub lookup: Arc<str>,
     pub query: Query,
     pub deadline: Instant,
     pub once: bool,
@@ -26,69 +26,69 @@
     /// Whether it is the whole request, and no group of another daemon's.
     pub whole: bool,
     /// What the attempts have shown of the work.
-    pub shown: Shown,
+    pub evidence: WorkEvidence,
     /// How many records are kept where replies are merged.
     pub merge: Option<usize>,
     /// The only regions in which it may be served; everywhere where empty.
     pub regions: Regions,
     /// Whose request it is.
-    pub asker: Asker,
+    pub requester: Asker,
 }
 
 impl Job {
     /// Creates what all attempts of a request share.
-    pub fn new(request: &LookupRequest, found: &Found, id: Option<&Arc<str>>) -> Self {
-        let lookup = &found.plan.lookup;
+    pub fn new(request: &LookupRequest, resolved: &ResolvedRequest, id: Option<&Arc<str>>) -> Self {
+        let lookup = &resolved.plan.lookup;
         Self {
             request: id.map(Arc::clone).unwrap_or_default(),
-            kind: Arc::clone(&found.plan.name),
-            work: found.work,
+            lookup: Arc::clone(&resolved.plan.name),
+            work: resolved.work,
             query: request.query.clone(),
-            deadline: found.deadline,
+            deadline: resolved.deadline,
             once: !lookup.repeatable,
             merge: lookup.merge,
-            regions: Arc::clone(&found.regions),
-            asker: found.asker.clone(),
+            regions: Arc::clone(&resolved.regions),
+            requester: resolved.requester.clone(),
             whole: true,
-            shown: Shown::default(),
+            evidence: WorkEvidence::default(),
         }
     }
 }
 
 /// What the attempts of one fan-out show of its work.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Shown {
+pub(super) struct WorkEvidence {
     /// How many attempts and groups are out.
-    out: Rc<Cell<u32>>,
+    pending: Rc<Cell<u32>>,
     /// Whether an upstream has answered.
     pub answered: Rc<Cell<bool>>,
 }
 
 /// An attempt or group that is out.
 #[derive(Debug)]
-pub(super) struct Out {
-    out: Rc<Cell<u32>>,
+pub(super) struct PendingAttempt {
+    pending: Rc<Cell<u32>>,
     began_alone: bool,
 }
 
-impl Shown {
+impl WorkEvidence {
     /// Counts an attempt or group as out until dropped.
-    pub fn begin(&self) -> Out {
-        let others = self.out.get();
-        self.out.set(others + 1);
-        Out { out: Rc::clone(&self.out), began_alone: others == 0 }
+    pub fn begin(&self) -> PendingAttempt {
+        let others = self.pending.get();
+        self.pending.set(others + 1);
+        PendingAttempt { pending: Rc::clone(&self.pending), began_alone: others == 0 }
     }
 }
 
-impl Out {
+impl PendingAttempt {
     /// Says whether nothing else of the fan-out was out when it began, nor is now.
     pub fn is_alone(&self) -> bool {
-        self.began_alone && self.out.get() == 1
+        self.began_alone && self.pending.get() == 1
     }
 }
 
-impl Drop for Out {
+impl Drop for PendingAttempt {
     fn drop(&mut self) {
-        self.out.set(self.out.get() - 1);
+        self.pending.set(self.pending.get() - 1);
     }
 }
--- a/crates/harefield/src/engine/members.rs
+++ b/crates/harefield/src/engine/members.rs
@@ -5,7 +5,7 @@
 
 use rand::Rng;
 
-use super::find::Found;
+use super::find::ResolvedRequest;
 use super::worker::Worker;
 use crate::domain::ids::HostId;
 use crate::domain::membership::PeerState;
@@ -23,19 +23,19 @@
 /// What a request and its answer take between daemons of one region, the messages
 /// packed and read: twice 0.9 ms of way at the users' sites, and 2 ms of work on
 /// their smallest hosts.
-const TIME_BACK: Duration = Duration::from_millis(4);
+const RETURN_TIME: Duration = Duration::from_millis(4);
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
     /// Picks a member: not known to be gone nor silent, the nearest there is, the
     /// one of two with fewer requests handed to it.
-    pub(super) fn pick_member(&self, found: &Found, tried: &[HostId]) -> Option<HostId> {
+    pub(super) fn choose_member(&self, resolved: &ResolvedRequest, tried: &[HostId]) -> Option<HostId> {
         let view = self.view.borrow();
-        let cell = view.cells.get(found.plan.lookup.index.as_str())?;
+        let cell = view.cells.get(resolved.plan.lookup.index.as_str())?;
         let others = cell.iter().filter(|host| **host != self.settings.host);
-        let untried = others.filter(|host| !tried.contains(host) && self.may_serve(host, &found.regions));
+        let untried = others.filter(|host| !tried.contains(host) && self.may_serve(host, &resolved.regions));
         let untried: Vec<&HostId> = untried.collect();
         let near = self.nearest_live(&untried);
-        self.less_busy(if near.is_empty() { &untried } else { &near })
+        self.less_loaded(if near.is_empty() { &untried } else { &near })
     }
 
     /// Says whether a daemon stands where a request may be served, and may be handed it.
@@ -62,7 +62,7 @@
     }
 
     /// Draws two daemons and returns the one with fewer requests handed to it.
-    fn less_busy(&self, pool: &[&HostId]) -> Option<HostId> {
+    fn less_loaded(&self, pool: &[&HostId]) -> Option<HostId> {
         if pool.is_empty() {
             return None;
         }
@@ -74,13 +74,13 @@
     }
 
     /// Returns how much of an objective is kept for an answer's way back here.
-    pub(super) fn time_back(&self, host: &HostId) -> Duration {
+    pub(super) fn return_allowance(&self, host: &HostId) -> Duration {
         let peers = self.peers.borrow();
-        let Some(row) = peers.row(host) else { return TIME_BACK };
+        let Some(row) = peers.row(host) else { return RETURN_TIME };
         let router = self.router.borrow();
         match self.distance_to(Some(row)) {
-            Distance::Far => TIME_BACK + router.relays().way_to(&row.zone),
-            Distance::Near | Distance::Region => TIME_BACK,
+            Distance::Far => RETURN_TIME + router.relays().way_to(&row.zone),
+            Distance::Near | Distance::Region => RETURN_TIME,
         }
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// Says whether a daemon is neither known to be gone nor silent.
-    pub(super) fn is_answering(&self, host: &HostId) -> bool {
+    pub(super) fn is_responsive(&self, host: &HostId) -> bool {
         is_live(self.peers.borrow().row(host)) && !self.is_silent(host)
     }
 
--- a/crates/harefield/src/engine/message.rs
+++ b/crates/harefield/src/engine/message.rs
@@ -31,13 +31,13 @@
         /// When it handed the request on, in hybrid logical time.
         stamp: Stamp,
         /// What it asks for besides.
-        terms: Terms,
+        terms: ForwardTerms,
     },
 }
 
 /// What a daemon that hands a request on asks for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Terms {
+pub struct ForwardTerms {
     /// After this time an answer with enough shards goes out.
     pub gather: Option<Duration>,
     /// The least edition that the request may run under.
@@ -53,9 +53,9 @@
     /// Returns what the daemon that handed the request on asks for; nothing
     /// where it came from a caller.
     #[must_use]
-    pub fn terms(&self) -> Terms {
+    pub fn terms(&self) -> ForwardTerms {
         match self {
-            Self::Caller => Terms::default(),
+            Self::Caller => ForwardTerms::default(),
             Self::Peer { terms, .. } => *terms,
         }
     }
@@ -79,7 +79,7 @@
     /// What it shows of who sends it, where it came from a caller.
     pub credential: Credential,
     /// Whose request it is, where it came from another daemon.
-    pub asker: Asker,
+    pub requester: Asker,
 }
 
 /// The daemons as the control duty sees them.
@@ -102,7 +102,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Confirmed {
     /// When the round began.
-    pub asked: Instant,
+    pub started: Instant,
 }
 
 /// From the control duty to a worker.
@@ -111,7 +111,7 @@
     /// A new view to act on.
     View(Arc<View>),
     /// Upstreams' words that peers passed on.
-    Words(Arc<[NamedWord]>),
+    Announcements(Arc<[NamedWord]>),
     /// What is known of works under which upstreams ended.
     Suspects(Arc<[Suspect]>),
     /// The daemons as seen now.
@@ -132,18 +132,18 @@
     /// A peer asks for news; the reply is awaited.
     Pull(Pull, async_channel::Sender<News>),
     /// An upstream's word changed.
-    Word(NamedWord),
+    Announcement(NamedWord),
     /// What is known of a work under which upstreams ended has changed.
     Suspect(Suspect),
     /// A worker woke from a pause and wants its knowledge confirmed.
-    Woke,
+    Unconfirmed,
     /// A worker wants whatever is newer than what is held; told whether nothing that was
     /// confirmed by now is missing then.
     Refresh(async_channel::Sender<bool>),
     /// The settings name other daemons to ask.
     Seeds(Vec<HostId>),
     /// A daemon did not answer a request handed to it.
-    Silent(HostId),
+    Unresponsive(HostId),
     /// A planned stop has begun.
     Stop,
 }
--- a/crates/harefield/src/engine/mod.rs
+++ b/crates/harefield/src/engine/mod.rs
@@ -11,12 +11,11 @@
 //! a request; once-only requests share one ledger between workers.
 
 mod attempt;
-mod caution;
 mod find;
 mod forward;
+mod forward_attempt;
 mod gate;
 mod group;
-mod handing;
 mod identity;
 mod job;
 mod members;
@@ -27,15 +26,16 @@
 mod room;
 mod run;
 mod status;
+mod suspects;
 mod updates;
 mod warm;
 mod worker;
 
 pub use message::Confirmed;
+pub use message::ForwardTerms;
 pub use message::LookupRequest;
 pub use message::Origin;
 pub use message::PeerView;
-pub use message::Terms;
 pub use message::ToControl;
 pub use message::ToWorker;
 pub use worker::Ports;
--- a/crates/harefield/src/engine/once.rs
+++ b/crates/harefield/src/engine/once.rs
@@ -5,7 +5,7 @@
 use std::sync::PoisonError;
 use std::time::Duration;
 
-use super::find::Found;
+use super::find::ResolvedRequest;
 use super::message::LookupRequest;
 use super::message::Origin;
 use super::run::may_have_run;
@@ -30,7 +30,7 @@
 const POLL_EVERY: Duration = Duration::from_millis(2);
 
 /// When to come back for a ticket from another daemon.
-const COME_BACK: Duration = Duration::from_millis(50);
+const RETRY_AFTER: Duration = Duration::from_millis(50);
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
     /// Takes a once-only request: issues its ticket, hands it to the daemon
@@ -38,11 +38,11 @@
     pub(super) async fn once(
         self: &Rc<Self>,
         request: &LookupRequest,
-        found: &Found,
+        resolved: &ResolvedRequest,
         trace: &mut Trace<C>,
     ) -> Answer {
         let Some(text) = &request.ticket else {
-            return self.without_ticket(request, found, trace).await;
+            return self.without_ticket(request, resolved, trace).await;
         };
         let Ok(ticket) = text.parse::<Ticket>() else {
             return refuse(trace, Code::MalformedTicket, Duration::ZERO);
@@ -50,13 +50,13 @@
         let own = self.lock_ledger().owns(&ticket);
         let named_here = ticket.host == self.settings.host;
         if own || named_here || request.origin != Origin::Caller {
-            return self.under_ticket(request, found, &ticket, trace).await;
+            return self.under_ticket(request, resolved, &ticket, trace).await;
         }
-        if !self.may_serve(&ticket.host, &found.regions) {
+        if !self.may_serve(&ticket.host, &resolved.regions) {
             // It was issued where the lookup may no longer be served, and may have run there.
             return may_have_run(trace, Code::TicketGone);
         }
-        match self.hand_to(&ticket.host, request, found, trace).await {
+        match self.forward_to(&ticket.host, request, resolved, trace).await {
             Ok(answer) => answer,
             Err(PeerError::Unreachable) => may_have_run(trace, Code::TicketGone),
             Err(PeerError::Silent) => may_have_run(trace, Code::PeerSilent),
@@ -66,22 +66,22 @@
     async fn without_ticket(
         self: &Rc<Self>,
         request: &LookupRequest,
-        found: &Found,
+        resolved: &ResolvedRequest,
         trace: &mut Trace<C>,
     ) -> Answer {
         // Whoever issues a ticket is handed its request from wherever that comes to.
-        let runs_here = found.plan.member && self.may_serve(&self.settings.host, &found.regions);
+        let runs_here = resolved.plan.member && self.may_serve(&self.settings.host, &resolved.regions);
         match (runs_here, &request.origin) {
             (true, _) => {}
-            (false, Origin::Caller) => return self.forward(request, found, trace).await,
+            (false, Origin::Caller) => return self.forward(request, resolved, trace).await,
             (false, Origin::Peer { .. }) => return refuse(trace, Code::NotMember, Duration::ZERO),
         }
         if self.is_stopping() {
-            return refuse(trace, Code::Stopping, COME_BACK);
+            return refuse(trace, Code::Stopping, RETRY_AFTER);
         }
         let issued = self.lock_ledger().issue(self.ports.clock.now());
         let Some(ticket) = issued else {
-            return refuse(trace, Code::QueueFull, COME_BACK);
+            return refuse(trace, Code::QueueFull, RETRY_AFTER);
         };
         trace.emit(Event::TicketIssued { ticket: ticket.to_string() });
         let mut answer = refuse(trace, Code::TicketRequired, Duration::ZERO);
@@ -92,25 +92,25 @@
     async fn under_ticket(
         self: &Rc<Self>,
         request: &LookupRequest,
-        found: &Found,
+        resolved: &ResolvedRequest,
         ticket: &Ticket,
         trace: &mut Trace<C>,
     ) -> Answer {
-        if !found.plan.member {
+        if !resolved.plan.member {
             return refuse(trace, Code::NotMember, Duration::ZERO);
         }
         let binding = Binding::new(&request.lookup, request.query.json());
         loop {
             let begin = self.lock_ledger().begin(ticket, binding, self.ports.clock.now());
             match begin {
-                Begin::Run => return self.run_once(request, found, ticket.number, trace).await,
+                Begin::Run => return self.run_once(request, resolved, ticket.number, trace).await,
                 Begin::Replay(answer) => {
                     trace.emit(Event::TicketReplayed { ticket: ticket.to_string() });
                     return *answer;
                 }
                 Begin::Refuse(Outcome::NotRun, code) => return refuse(trace, code, Duration::ZERO),
                 Begin::Refuse(_, code) => return may_have_run(trace, code),
-                Begin::Wait if self.ports.clock.now() >= found.deadline => {
+                Begin::Wait if self.ports.clock.now() >= resolved.deadline => {
                     return may_have_run(trace, Code::DeadlinePassed);
                 }
                 Begin::Wait => self.ports.clock.sleep(POLL_EVERY).await,
@@ -123,18 +123,18 @@
     async fn run_once(
         self: &Rc<Self>,
         request: &LookupRequest,
-        found: &Found,
+        resolved: &ResolvedRequest,
         number: u64,
         trace: &mut Trace<C>,
     ) -> Answer {
         let (sender, receiver) = async_channel::bounded(1);
         let this = Rc::clone(self);
         let request = request.clone();
-        let found = found.clone();
+        let resolved = resolved.clone();
         let mut own = self.request_trace(trace.request().map(|id| &**id));
         self.running.set(self.running.get() + 1);
         let task = async move {
-            let answer = this.run(&request, &found, &mut own).await;
+            let answer = this.run(&request, &resolved, &mut own).await;
             this.lock_ledger().finish(number, &answer, this.ports.clock.now());
             this.running.set(this.running.get() - 1);
             drop(sender.try_send(answer));
--- a/crates/harefield/src/engine/permits.rs
+++ b/crates/harefield/src/engine/permits.rs
@@ -9,7 +9,7 @@
 
 use log::debug;
 
-use super::find::Found;
+use super::find::ResolvedRequest;
 use super::identity::Refusal;
 use super::worker::Worker;
 use crate::domain::accounts::Client;
@@ -29,20 +29,20 @@
 use crate::ports::Upstreams;
 
 /// How long a holder may take to answer; far more than a round trip between regions.
-const ASK_LIMIT: Duration = Duration::from_millis(150);
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// For how long a holder that did not answer is passed over.
-const QUIET_FOR: Duration = Duration::from_secs(1);
+const UNRESPONSIVE_FOR: Duration = Duration::from_secs(1);
 
 /// When to come back where no holder answers: another daemon may reach one.
-const COME_BACK: Duration = Duration::from_millis(50);
+const RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// The most accounts whose permits are kept before those are dropped that matter no more.
-const MOST_KEPT: usize = 1024;
+const MAX_RESERVES: usize = 1024;
 
 /// What lets a request of an account go on.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Permit {
+pub(super) enum LimitPermit {
     /// The account has no limit.
     Free,
     /// A permit that holds until then.
@@ -50,7 +50,7 @@
 }
 
 /// What asking the holder of one part brought.
-enum Asked {
+enum PermitOutcome {
     Granted,
     Empty,
     NoAnswer,
@@ -59,21 +59,25 @@
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
     /// Returns a permit for one request of an account, asking those that hold the parts of
     /// its limit, the nearest first.
-    pub(super) async fn permit_for(&self, client: &Client, found: &Found) -> Result<Permit, Refusal> {
+    pub(super) async fn acquire_permit(
+        &self,
+        client: &Client,
+        resolved: &ResolvedRequest,
+    ) -> Result<LimitPermit, Refusal> {
         let Some(limit) = FleetLimit::of(&client.account, &self.settings.overage) else {
-            return Ok(Permit::Free);
+            return Ok(LimitPermit::Free);
         };
         let now = self.ports.clock.now();
         if let Some(until) = self.with_reserve(client, |reserve| {
             reserve.count(now);
             reserve.take(now)
         }) {
-            return Ok(Permit::Until(until));
+            return Ok(LimitPermit::Until(until));
         }
         let parts = limit.parts(self.holders.borrow().wanted());
-        let until = found.objective.unwrap_or(found.deadline).min(found.halfway());
+        let until = resolved.objective.unwrap_or(resolved.deadline).min(resolved.halfway());
         let mut empty = false;
-        for part in self.by_distance(parts) {
+        for part in self.parts_by_distance(parts) {
             let now = self.ports.clock.now();
             if self.with_reserve(client, |reserve| reserve.empty_for(part, now)).is_some() {
                 empty = true;
@@ -82,36 +86,36 @@
             if now >= until {
                 break;
             }
-            match self.ask_part(client, &limit, part).await {
-                Asked::Granted => {
+            match self.request_permits(client, &limit, part).await {
+                PermitOutcome::Granted => {
                     let now = self.ports.clock.now();
                     if let Some(until) = self.with_reserve(client, |reserve| reserve.take(now)) {
-                        return Ok(Permit::Until(until));
+                        return Ok(LimitPermit::Until(until));
                     }
                 }
-                Asked::Empty => empty = true,
-                Asked::NoAnswer => {}
+                PermitOutcome::Empty => empty = true,
+                PermitOutcome::NoAnswer => {}
             }
         }
-        Err(self.over_limit(client, parts, empty))
+        Err(self.limit_refusal(client, parts, empty))
     }
 
     /// Says that an account asks more than it may, or that nobody could be asked.
-    fn over_limit(&self, client: &Client, parts: u32, empty: bool) -> Refusal {
+    fn limit_refusal(&self, client: &Client, parts: u32, empty: bool) -> Refusal {
         let now = self.ports.clock.now();
         if !empty {
             // Where this daemon does not know the others yet, they may not know each other.
-            let wait = self.unsettled_for(now).unwrap_or(COME_BACK);
+            let wait = self.startup_wait(now).unwrap_or(RETRY_AFTER);
             return Refusal { code: Code::LimitUnknown, wait: Some(wait) };
         }
         let wait = self
             .with_reserve(client, |reserve| (0..parts).filter_map(|part| reserve.empty_for(part, now)).min());
-        Refusal { code: Code::LimitReached, wait: Some(wait.unwrap_or(COME_BACK)) }
+        Refusal { code: Code::LimitReached, wait: Some(wait.unwrap_or(RETRY_AFTER)) }
     }
 
     fn with_reserve<R>(&self, client: &Client, act: impl FnOnce(&mut Reserve) -> R) -> R {
         let mut reserves = self.reserves.borrow_mut();
-        if reserves.len() >= MOST_KEPT && !reserves.contains_key(&client.name) {
+        if reserves.len() >= MAX_RESERVES && !reserves.contains_key(&client.name) {
             let now = self.ports.clock.now();
             reserves.retain(|_, reserve| !reserve.is_idle(now));
         }
@@ -119,7 +123,7 @@
     }
 
     /// Returns the parts of a limit, those of near availability zones first.
-    fn by_distance(&self, parts: u32) -> Vec<u32> {
+    fn parts_by_distance(&self, parts: u32) -> Vec<u32> {
         let holders = self.holders.borrow();
         let places = &self.settings.places;
         let distance =
@@ -130,47 +134,49 @@
     }
 
     /// Asks the holder of a part for permits, and keeps what it grants.
-    async fn ask_part(&self, client: &Client, limit: &FleetLimit, part: u32) -> Asked {
+    async fn request_permits(&self, client: &Client, limit: &FleetLimit, part: u32) -> PermitOutcome {
         let now = self.ports.clock.now();
         let slot = (Arc::clone(&client.name), part);
         let holder = self.holders.borrow().holder(&slot, now);
-        let Some(host) = holder.filter(|host| self.may_ask(host, now)) else { return Asked::NoAnswer };
+        let Some(host) = holder.filter(|host| self.is_available(host, now)) else {
+            return PermitOutcome::NoAnswer;
+        };
         let wanted = self.with_reserve(client, |reserve| reserve.wanted());
         let ask = PermitAsk { account: slot.0, part, wanted };
         let reply = if host == self.settings.host {
-            self.grant_own(&ask, limit)
+            self.grant_local(&ask, limit)
         } else {
-            let asked = self.ports.peers.permits(&host, &ask, ASK_LIMIT).await;
-            asked.unwrap_or_else(|error| self.note_quiet(&host, error))
+            let answered = self.ports.peers.permits(&host, &ask, PERMIT_TIMEOUT).await;
+            answered.unwrap_or_else(|error| self.record_unresponsive(&host, error))
         };
         // Permits hold from when they were asked for: the answer may have taken a while.
         match reply {
             PermitReply::Granted(permits) => {
                 self.with_reserve(client, |reserve| reserve.put(permits, now));
-                Asked::Granted
+                PermitOutcome::Granted
             }
             PermitReply::Empty(wait) => {
                 let wait = Duration::from_millis(wait);
                 let now = self.ports.clock.now();
                 self.with_reserve(client, |reserve| reserve.note_empty(part, wait, now));
-                Asked::Empty
+                PermitOutcome::Empty
             }
-            PermitReply::NotHeld => Asked::NoAnswer,
+            PermitReply::NotHeld => PermitOutcome::NoAnswer,
         }
     }
 
-    fn may_ask(&self, host: &HostId, now: Instant) -> bool {
-        let quiet = self.quiet.borrow().get(host).is_some_and(|until| *until > now);
-        *host == self.settings.host || (!quiet && self.holders.borrow().is_present(host))
+    fn is_available(&self, host: &HostId, now: Instant) -> bool {
+        let unresponsive = self.unresponsive.borrow().get(host).is_some_and(|until| *until > now);
+        *host == self.settings.host || (!unresponsive && self.holders.borrow().is_present(host))
     }
 
     /// Notes that a holder did not answer.
-    fn note_quiet(&self, host: &HostId, error: PeerError) -> PermitReply {
+    fn record_unresponsive(&self, host: &HostId, error: PeerError) -> PermitReply {
         debug!("{host} gives no permits: {error}");
         let now = self.ports.clock.now();
-        let mut quiet = self.quiet.borrow_mut();
-        quiet.retain(|_, until| *until > now);
-        quiet.insert(Arc::clone(host), now + QUIET_FOR);
+        let mut unresponsive = self.unresponsive.borrow_mut();
+        unresponsive.retain(|_, until| *until > now);
+        unresponsive.insert(Arc::clone(host), now + UNRESPONSIVE_FOR);
         PermitReply::NotHeld
     }
 
@@ -186,14 +192,14 @@
         if self.holders.borrow().holder(&slot, now).as_ref() != Some(&self.settings.host) {
             return PermitReply::NotHeld;
         }
-        self.grant_own(ask, &limit)
+        self.grant_local(ask, &limit)
     }
 
     /// Grants permits from a part that this daemon holds.
-    fn grant_own(&self, ask: &PermitAsk, limit: &FleetLimit) -> PermitReply {
+    fn grant_local(&self, ask: &PermitAsk, limit: &FleetLimit) -> PermitReply {
         let now = self.ports.clock.now();
         let parts = limit.parts(self.holders.borrow().wanted());
-        if ask.part >= parts || self.unsettled_for(now).is_some() {
+        if ask.part >= parts || self.startup_wait(now).is_some() {
             return PermitReply::NotHeld;
         }
         let slot = (Arc::clone(&ask.account), ask.part);
@@ -204,10 +210,10 @@
     }
 
     /// Returns for how much longer this daemon may not hold parts; none where it may.
-    fn unsettled_for(&self, now: Instant) -> Option<Duration> {
-        let alone = self.settings.others && !self.met.get();
+    fn startup_wait(&self, now: Instant) -> Option<Duration> {
+        let alone = self.settings.expects_peers && !self.peer_seen.get();
         let holders = self.holders.borrow();
-        holders.unsettled_for(now).or(alone.then_some(COME_BACK))
+        holders.unsettled_for(now).or(alone.then_some(RETRY_AFTER))
     }
 
     /// Locks the parts; they are whole even where a thread panicked beside them.
--- a/crates/harefield/src/engine/relay.rs
+++ b/crates/harefield/src/engine/relay.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use super::find::Found;
-use super::group::limit_of;
+use super::find::ResolvedRequest;
+use super::group::parse_limit;
 use super::job::Job;
-use super::job::Shown;
+use super::job::WorkEvidence;
 use super::worker::Worker;
 use crate::domain::event::Event;
 use crate::domain::event::Sink;
@@ -46,9 +46,9 @@
     /// Dropping the future gives the group up, as when that daemon goes away.
     pub async fn group(self: &Rc<Self>, mut group: Group) -> GroupReply {
         let start = self.ports.clock.now();
-        self.receive(group.stamp);
+        self.receive_stamp(group.stamp);
         let mut trace = self.request_trace(Some(&group.request));
-        self.hear_reports(&group.suspects);
+        self.merge_reports(&group.suspects);
         let query = Query::Bytes(Arc::new(std::mem::take(&mut group.query)));
         let work = Work::new(&group.lookup, group.asker.account.as_ref(), &query);
         trace.emit(Event::GroupTaken {
@@ -57,28 +57,28 @@
             shards: group.shards.len(),
             gather: group.gather,
         });
-        let Some((found, plan)) = self.find_group(&group, work, start) else {
+        let Some((resolved, plan)) = self.resolve_group(&group, work, start) else {
             return self.declined();
         };
         if self.running() >= self.settings.gate.running {
             return self.declined();
         }
-        if matches!(self.standing(&work), Standing::Withheld(_)) {
+        if matches!(self.clearance(&work), Standing::Withheld(_)) {
             return self.withheld(group.shards.len());
         }
-        let _progress = self.progress(None);
+        let _progress = self.track_request(None);
         let job = Job {
             request: group.request.as_str().into(),
-            kind: Arc::clone(&found.plan.name),
+            lookup: Arc::clone(&resolved.plan.name),
             query,
-            deadline: found.deadline,
+            deadline: resolved.deadline,
             work,
             once: false,
             merge: Some(group.most),
             regions: Arc::clone(&group.regions),
-            asker: group.asker.clone(),
+            requester: group.asker.clone(),
             whole: false,
-            shown: Shown::default(),
+            evidence: WorkEvidence::default(),
         };
         let least_share = ratio(group.needed, group.shards.len());
         let rules = Rules {
@@ -87,10 +87,10 @@
             grouped: false,
             again: group.again,
             trials: 0,
-            ..self.rules(&found, self.overruns.groups.get(), Duration::ZERO)
+            ..self.rules(&resolved, self.overruns.groups.get(), Duration::ZERO)
         };
         let ended = self.fan_out(&job, &plan, &rules, 0, (&mut None, &mut trace)).await;
-        self.learn_overrun(&self.overruns.groups, &rules);
+        self.record_overrun(&self.overruns.groups, &rules);
         let took = self.ports.clock.now().saturating_duration_since(start);
         self.group_reply(&group.shards, &ended.finished, group.most, took)
     }
@@ -107,7 +107,12 @@
 
     /// Finds the plan of a group; none where this daemon holds another view of
     /// the lookup's shards, does not trust its own, or is stopping.
-    fn find_group(&self, group: &Group, work: Work, start: Instant) -> Option<(Found, Arc<Plan>)> {
+    fn resolve_group(
+        &self,
+        group: &Group,
+        work: Work,
+        start: Instant,
+    ) -> Option<(ResolvedRequest, Arc<Plan>)> {
         let now = self.ports.clock.now();
         if self.is_stopping() || !self.router.borrow().lease().held(now) {
             return None;
@@ -119,24 +124,24 @@
         }
         let parts = plan.parts.iter().map(|part| &part.plan);
         let plan = std::iter::once(plan).chain(parts).find(|plan| plan.lookup.index == group.index)?;
-        let limits = group.only.iter().map(|(at, names)| (*at, limit_of(names)));
-        let shards = self.narrow(plan.group(&group.shards, limits)?, &group.regions);
-        let found = Found {
+        let limits = group.only.iter().map(|(at, names)| (*at, parse_limit(names)));
+        let shards = self.restrict_regions(plan.group(&group.shards, limits)?, &group.regions);
+        let resolved = ResolvedRequest {
             plan: Arc::clone(plan),
             work,
             start,
-            deadline: start + Duration::from_micros(group.remaining).saturating_sub(self.held_up()),
+            deadline: start + Duration::from_micros(group.remaining).saturating_sub(self.possible_delay()),
             objective: group.gather.map(|time| start + Duration::from_micros(time)),
             again: group.again,
             late: false,
-            asker: group.asker.clone(),
+            requester: group.asker.clone(),
             regions: Arc::clone(&group.regions),
         };
-        Some((found, Arc::new(shards)))
+        Some((resolved, Arc::new(shards)))
     }
 
     /// Leaves the replicas out of a plan that stand in other regions than those named.
-    pub(super) fn narrow(&self, plan: Plan, regions: &[Arc<str>]) -> Plan {
+    pub(super) fn restrict_regions(&self, plan: Plan, regions: &[Arc<str>]) -> Plan {
         let residency = Residency::new(regions);
         if !residency.is_bound() {
             return plan;
@@ -155,13 +160,13 @@
     ) -> GroupReply {
         let bodies = finished.parts.iter().filter_map(|part| part.reply.bytes()).map(|reply| &*reply.body);
         let records = greatest(bodies, most);
-        let place = |shard: &ShardId| shards.iter().position(|name| name == shard);
+        let position = |shard: &ShardId| shards.iter().position(|name| name == shard);
         let parts = finished.parts.iter().filter_map(|part| {
             let signature = part.reply.bytes()?.signature.as_ref().map(Arc::clone)?;
-            Some(GroupPart { at: place(&part.shard)?, signature })
+            Some(GroupPart { at: position(&part.shard)?, signature })
         });
         let missing = finished.coverage.missing.iter().zip(&finished.sent).filter_map(|(missing, sent)| {
-            Some(GroupGap { at: place(&missing.shard)?, why: missing.why, ran: missing.ran, sent: *sent })
+            Some(GroupGap { at: position(&missing.shard)?, why: missing.why, ran: missing.ran, sent: *sent })
         });
         GroupReply {
             stamp: self.stamp(),
--- a/crates/harefield/src/engine/room.rs
+++ b/crates/harefield/src/engine/room.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::find::Found;
+use super::find::ResolvedRequest;
 use super::worker::Worker;
 use crate::domain::buffers::Use;
 use crate::domain::fanout::Finished;
@@ -13,13 +13,13 @@
 use crate::ports::Upstreams;
 
 /// Requests that bring less are not booked: the read of their replies finds room or does not.
-const LEAST_BOOKED: usize = 16 << 10;
+const MIN_RESERVED: usize = 16 << 10;
 
 /// The part of what is known of a lookup's replies that is forgotten with each smaller one.
-const FORGOTTEN: usize = 8;
+const DECAY_DIVISOR: usize = 8;
 
 /// When to come back where nobody is known whose connection is about to end.
-const COME_BACK: Duration = Duration::from_millis(500);
+const RETRY_AFTER: Duration = Duration::from_millis(500);
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
     /// Books room for the replies to a request; none is needed where they are small.
@@ -27,24 +27,24 @@
     /// # Errors
     ///
     /// Returns when to come back where they do not fit.
-    pub(super) async fn book_room(&self, found: &Found) -> Result<Option<Held>, Duration> {
-        let expected = self.sizes.borrow().get(&found.plan.name).copied().unwrap_or(0);
-        if expected < LEAST_BOOKED {
+    pub(super) async fn reserve_memory(&self, resolved: &ResolvedRequest) -> Result<Option<Held>, Duration> {
+        let expected = self.reply_sizes.borrow().get(&resolved.plan.name).copied().unwrap_or(0);
+        if expected < MIN_RESERVED {
             return Ok(None);
         }
-        let booked = self.memory.take_soon(Use::Expected, expected).await;
-        booked.map(Some).ok_or_else(|| self.memory.come_back().unwrap_or(COME_BACK))
+        let reserved = self.memory.take_soon(Use::Expected, expected).await;
+        reserved.map(Some).ok_or_else(|| self.memory.come_back().unwrap_or(RETRY_AFTER))
     }
 
     /// Learns how much the replies to a request came to.
-    pub(super) fn learn_size(&self, found: &Found, finished: &Finished) {
+    pub(super) fn record_size(&self, resolved: &ResolvedRequest, finished: &Finished) {
         let replies = finished.parts.iter().filter_map(|part| part.reply.bytes());
         let total: usize = replies.map(|reply| reply.body.len()).sum();
-        let mut sizes = self.sizes.borrow_mut();
-        let known = sizes.get(&found.plan.name).copied().unwrap_or(0);
-        let size = total.max(known - known / FORGOTTEN);
+        let mut sizes = self.reply_sizes.borrow_mut();
+        let known = sizes.get(&resolved.plan.name).copied().unwrap_or(0);
+        let size = total.max(known - known / DECAY_DIVISOR);
         if size != known {
-            sizes.insert(Arc::clone(&found.plan.name), size);
+            sizes.insert(Arc::clone(&resolved.plan.name), size);
         }
     }
 }
--- a/crates/harefield/src/engine/status.rs
+++ b/crates/harefield/src/engine/status.rs
@@ -30,13 +30,13 @@
         let router = self.router.borrow();
         let mut upstreams: Vec<_> = router
             .searchers()
-            .map(|(name, searcher)| UpstreamStatus {
+            .map(|(name, state)| UpstreamStatus {
                 upstream: Arc::clone(name),
-                leaving: searcher.is_leaving(),
-                running: searcher.under_way(),
-                window: searcher.window().size(),
-                latency: searcher.observed_time(0.0) * 1000.0,
-                held: searcher.word().held.clone(),
+                leaving: state.is_leaving(),
+                running: state.under_way(),
+                window: state.window().size(),
+                latency: state.observed_time(0.0) * 1000.0,
+                held: state.word().held.clone(),
             })
             .collect();
         upstreams.sort_by(|a, b| a.upstream.cmp(&b.upstream));
--- a/crates/harefield/src/engine/updates.rs
+++ b/crates/harefield/src/engine/updates.rs
@@ -27,56 +27,56 @@
     /// Takes messages from the control duty until its ring is closed.
     pub async fn listen(self: Rc<Self>, messages: Receiver<ToWorker>) {
         while let Ok(message) = messages.recv().await {
-            self.take(message);
+            self.apply(message);
         }
     }
 
     /// Takes one message from the control duty.
-    pub fn take(&self, message: ToWorker) {
+    pub fn apply(&self, message: ToWorker) {
         match message {
-            ToWorker::View(view) => self.take_view(view),
-            ToWorker::Words(words) => self.router.borrow_mut().hear_all(&words),
-            ToWorker::Suspects(suspects) => self.hear_suspects(&suspects),
-            ToWorker::Peers(peers) => self.take_peers(peers),
-            ToWorker::Confirmed(confirmed) => self.confirm(confirmed.asked),
+            ToWorker::View(view) => self.apply_view(view),
+            ToWorker::Announcements(announcements) => self.router.borrow_mut().hear_all(&announcements),
+            ToWorker::Suspects(suspects) => self.merge_suspects(&suspects),
+            ToWorker::Peers(peers) => self.apply_peers(peers),
+            ToWorker::Confirmed(confirmed) => self.confirm(confirmed.started),
             ToWorker::Proven(at) => self.proven.set(self.proven.get().max(Some(at))),
             ToWorker::Stop => self.stopping.set(true),
         }
     }
 
-    fn take_peers(&self, peers: Arc<PeerView>) {
+    fn apply_peers(&self, peers: Arc<PeerView>) {
         let known = u32::try_from(peers.rows.len()).unwrap_or(u32::MAX);
-        self.known.set(self.known.get().max(known));
+        self.known_daemons.set(self.known_daemons.get().max(known));
         if self.settings.slack.is_some() {
-            self.router.borrow_mut().share_with(self.known.get());
+            self.router.borrow_mut().share_with(self.known_daemons.get());
         }
         self.holders.borrow_mut().see(&peers.rows, self.ports.clock.now());
-        let met = peers.rows.iter().any(|row| row.host != self.settings.host);
-        self.met.set(self.met.get() || met);
+        let has_peers = peers.rows.iter().any(|row| row.host != self.settings.host);
+        self.peer_seen.set(self.peer_seen.get() || has_peers);
         let others = peers.rows.iter().filter(|row| row.host != self.settings.host);
         self.router.borrow_mut().see_daemons(others);
         *self.peers.borrow_mut() = peers;
     }
 
-    fn take_view(&self, view: Arc<View>) {
+    fn apply_view(&self, view: Arc<View>) {
         self.router.borrow_mut().apply(&view, self.ports.clock.now());
         self.ports.upstreams.keep_only(|name| view.upstreams.contains_key(name));
         let mut gates = self.gates.borrow_mut();
         gates.retain(|index, gate| view.cells.contains_key(index) || gate.running() > 0);
-        self.turns.borrow_mut().retain(|name, _| view.lookups.contains_key(name));
-        self.sizes.borrow_mut().retain(|name, _| view.lookups.contains_key(name));
+        self.part_credits.borrow_mut().retain(|name, _| view.lookups.contains_key(name));
+        self.reply_sizes.borrow_mut().retain(|name, _| view.lookups.contains_key(name));
         self.time_limits.borrow_mut().retain(|name, _| view.lookups.contains_key(name));
         if !Arc::ptr_eq(&self.view.borrow().directory, &view.directory) {
             self.unknown_keys.borrow_mut().clear();
             self.reserves.borrow_mut().retain(|name, _| view.directory.client(name).is_some());
         }
-        self.bind_reruns(&view);
+        self.limit_reruns(&view);
         *self.view.borrow_mut() = view;
     }
 
     /// Bounds what whole requests that are handed on a second time may add here, by the
     /// largest cell that this daemon is in.
-    fn bind_reruns(&self, view: &View) {
+    fn limit_reruns(&self, view: &View) {
         let Some(slack) = self.settings.slack else { return };
         let own = &self.settings.host;
         let part = |cell: &Arc<[HostId]>| {
@@ -85,7 +85,9 @@
         };
         let cells = view.cells.values().filter(|cell| cell.contains(own));
         let least = cells.map(part).min_by(f64::total_cmp);
-        self.spare.borrow_mut().bound(least.unwrap_or_else(|| rerun_part(slack, self.known.get(), 0)));
+        self.rerun_budget
+            .borrow_mut()
+            .bound(least.unwrap_or_else(|| rerun_part(slack, self.known_daemons.get(), 0)));
     }
 
     /// Renews the lease on a short timer; asks for a confirmation after a pause.
@@ -104,7 +106,7 @@
             self.duty_trace().emit(Event::Paused { millis: millis(gap) });
         }
         if !self.router.borrow().lease().held(now) {
-            drop(self.control.try_send(ToControl::Woke));
+            drop(self.control.try_send(ToControl::Unconfirmed));
         }
     }
 
--- a/crates/harefield/src/engine/worker.rs
+++ b/crates/harefield/src/engine/worker.rs
@@ -74,7 +74,7 @@
     /// How many workers the daemon has.
     pub workers: u32,
     /// Whether there are to be other daemons.
-    pub others: bool,
+    pub expects_peers: bool,
     /// Bounds of each gate.
     pub gate: GateLimits,
     /// How a replica is chosen.
@@ -93,7 +93,7 @@
     /// After how many times the slow pace a hedge is due; none for no hedges.
     pub hedge: Option<f64>,
     /// A fixed delay before hedges instead.
-    pub fixed: Option<Duration>,
+    pub fixed_hedge: Option<Duration>,
     /// How long an unwanted reply is awaited to keep its connection.
     pub drain: Duration,
     /// Of this many requests, one is recorded in detail; 0 for none.
@@ -104,7 +104,7 @@
     pub overage: Overage,
     /// How old a proof of the configuration may be for keys to open anything; none where a
     /// daemon that cannot know goes by what it holds.
-    pub strict: Option<Duration>,
+    pub max_proof_age: Option<Duration>,
 }
 
 /// The ports of a worker.
@@ -142,12 +142,12 @@
     pub(super) waiters: RefCell<HashMap<WaiterKey, Sender<Called>>>,
     /// When the requests left that are handed to each daemon.
     pub(super) forwards: RefCell<HashMap<HostId, Vec<Instant>>>,
-    pub(super) spare: RefCell<Budget>,
+    pub(super) rerun_budget: RefCell<Budget>,
     pub(super) ledger: Arc<Mutex<Ledger>>,
     /// Works under which upstreams ended, as the fleet knows them.
     pub(super) suspects: RefCell<Suspects>,
     /// Works that run alone here now.
-    pub(super) on_trial: RefCell<HashSet<WorkId>>,
+    pub(super) trials: RefCell<HashSet<WorkId>>,
     pub(super) control: Sender<ToControl>,
     pub(super) hybrid: Rc<RefCell<HybridClock>>,
     pub(super) telemetry: Telemetry,
@@ -155,7 +155,7 @@
     pub(super) stopping: Cell<bool>,
     pub(super) counts: Cell<Counts>,
     /// Whose turn it is in each divided lookup.
-    pub(super) turns: RefCell<HashMap<Arc<str>, Vec<i64>>>,
+    pub(super) part_credits: RefCell<HashMap<Arc<str>, Vec<i64>>>,
     /// The time that requests of each lookup usually come with.
     pub(super) time_limits: RefCell<HashMap<Arc<str>, Recent>>,
     /// The newest edition that other daemons ran requests of this one under, and when
@@ -164,7 +164,7 @@
     /// How long after their cut answers go out.
     pub(super) overruns: Overruns,
     /// The most daemons that were ever known at once.
-    pub(super) known: Cell<u32>,
+    pub(super) known_daemons: Cell<u32>,
     /// Keys that were found unknown.
     pub(super) unknown_keys: RefCell<UnknownKeys>,
     /// Up to when nothing that was confirmed is missing here.
@@ -176,14 +176,14 @@
     /// Permits that were granted to this worker, by account.
     pub(super) reserves: RefCell<HashMap<AccountId, Reserve>>,
     /// Until when holders that did not answer are passed over.
-    pub(super) quiet: RefCell<HashMap<HostId, Instant>>,
+    pub(super) unresponsive: RefCell<HashMap<HostId, Instant>>,
     /// The account of what is held for others.
     pub(super) memory: Memory,
     /// How many bytes the replies of each lookup's requests come to.
-    pub(super) sizes: RefCell<HashMap<Arc<str>, usize>>,
+    pub(super) reply_sizes: RefCell<HashMap<Arc<str>, usize>>,
     /// Whether another daemon was ever heard of.
-    pub(super) met: Cell<bool>,
-    numbered: Cell<u64>,
+    pub(super) peer_seen: Cell<bool>,
+    request_count: Cell<u64>,
 }
 
 /// Names a request that waits: the index of its gate and its number there.
@@ -222,7 +222,7 @@
             Some(slack) => Budgets::by_service(FleetSlack { share: settings.extra, slack }, settings.daemons),
             None => Budgets::one(settings.extra),
         };
-        let spare = match settings.slack {
+        let rerun_budget = match settings.slack {
             Some(slack) => Budget::strict(RERUN_SHARE, rerun_part(slack, settings.daemons, 0)),
             None => Budget::new(settings.extra),
         };
@@ -232,7 +232,7 @@
             capacity: settings.capacity,
             workers: settings.workers,
             number: u32::try_from(settings.number).unwrap_or(u32::MAX),
-            others: settings.others,
+            others: settings.expects_peers,
         };
         let router = router.at(settings.places.clone()).sharing(settings.daemons).of(own);
         let known = settings.daemons;
@@ -246,7 +246,7 @@
             gates: RefCell::default(),
             waiters: RefCell::default(),
             forwards: RefCell::default(),
-            spare: RefCell::new(spare),
+            rerun_budget: RefCell::new(rerun_budget),
             ledger: shared.ledger,
             control,
             hybrid: Rc::default(),
@@ -255,22 +255,22 @@
             stopping: Cell::new(false),
             counts: Cell::default(),
             suspects: RefCell::default(),
-            on_trial: RefCell::default(),
-            turns: RefCell::default(),
+            trials: RefCell::default(),
+            part_credits: RefCell::default(),
             time_limits: RefCell::default(),
             seen_edition: Cell::new(None),
             overruns: Overruns::default(),
-            known: Cell::new(known),
+            known_daemons: Cell::new(known),
             unknown_keys: RefCell::default(),
             proven: Cell::new(None),
             holders: RefCell::new(holders),
             grants: shared.grants,
             memory: shared.memory,
-            sizes: RefCell::default(),
+            reply_sizes: RefCell::default(),
             reserves: RefCell::default(),
-            quiet: RefCell::default(),
-            met: Cell::new(false),
-            numbered: Cell::new(0),
+            unresponsive: RefCell::default(),
+            peer_seen: Cell::new(false),
+            request_count: Cell::new(0),
         })
     }
 
@@ -324,8 +324,8 @@
 
     /// Returns the trace of a request, under a new id where it has none.
     pub(super) fn request_trace(&self, given: Option<&str>) -> Trace<C> {
-        let number = self.numbered.get() + 1;
-        self.numbered.set(number);
+        let number = self.request_count.get() + 1;
+        self.request_count.set(number);
         let request: RequestId = match given {
             Some(id) => id.into(),
             None => format!("{:x}-{}-{number}", self.settings.incarnation, self.settings.number).into(),
--- a/crates/harefield/src/platform/callers.rs
+++ b/crates/harefield/src/platform/callers.rs
@@ -89,7 +89,7 @@
         limit,
         origin: Origin::Caller,
         credential: http::credential(&head.headers),
-        asker: Asker::default(),
+        requester: Asker::default(),
     })
 }
 
--- a/crates/harefield/tests/fleet/current.rs
+++ b/crates/harefield/tests/fleet/current.rs
@@ -88,16 +88,16 @@
     let word = Word { stamp: WordStamp { start: 1, change: 1 }, draining: true, held: None };
     for other in others {
         let word = NamedWord { upstream: "u1".into(), word: word.clone() };
-        fleet.say(other, ToControl::Word(word));
+        fleet.say(other, ToControl::Announcement(word));
     }
     fleet.run_for(Duration::from_millis(100));
     fleet.told(0);
     fleet.heal();
-    fleet.say(0, ToControl::Woke);
+    fleet.say(0, ToControl::Unconfirmed);
     fleet.run_for(Duration::from_millis(600));
     let told = fleet.told(0);
     let confirmed = told.iter().position(|message| matches!(message, ToWorker::Confirmed(_)));
-    let heard = told.iter().position(|message| matches!(message, ToWorker::Words(_)));
+    let heard = told.iter().position(|message| matches!(message, ToWorker::Announcements(_)));
     assert!(confirmed.is_some() && heard.is_some() && heard < confirmed, "{heard:?} {confirmed:?}");
 }
 
