--- a/crates/harefield/src/engine/attempt.rs
+++ b/crates/harefield/src/engine/attempt.rs
@@ -1,5 +1,5 @@
-//! Attempts on upstreams: each runs as a task of its own, so that its end is
-//! learnt from even after the request it was for has been answered.
+//! Attempts on upstreams. Each runs as a task of its own, so that its outcome is recorded even
+//! after its request has been answered.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -47,15 +47,15 @@
 use crate::telemetry::Batch;
 use crate::telemetry::Trace;
 
-/// The end of an attempt, on its way to the fan-out.
+/// How an attempt or a group of shards ended, as sent to the fan-out.
 pub(super) enum CompletedAttempt {
-    /// Of one shard.
+    /// An attempt on one shard.
     Shard { shard: usize, attempt: AttemptId, end: AttemptEnd },
-    /// Of a group of shards.
+    /// A group of shards that was delegated to another daemon.
     Group(Hand, GroupEnd),
 }
 
-/// The tasks of one fan-out; dropped, they end where they are.
+/// The tasks of one fan-out. Dropping them cancels them.
 #[derive(Default)]
 struct Tasks {
     attempts: Vec<Task<()>>,
@@ -63,7 +63,7 @@
 }
 
 impl Tasks {
-    /// Lets what is still out go on by itself.
+    /// Lets the unfinished tasks run on in the background.
     fn detach(self) {
         self.attempts.into_iter().for_each(Task::detach);
         self.groups.into_iter().for_each(|(_, task)| task.detach());
@@ -91,8 +91,8 @@
     }
 }
 
-/// An attempt under way, which is taken off its upstream's account when its
-/// task is dropped half-way.
+/// Takes an attempt off its upstream's in-flight count when the task is dropped before it
+/// completes.
 struct AttemptGuard<'a, U: Upstreams, P: Peers, C: Clock> {
     worker: &'a Worker<U, P, C>,
     attempt: &'a Attempt,
@@ -115,12 +115,12 @@
 pub(super) struct FanoutEnd {
     pub finished: Finished,
     pub next: AttemptId,
-    pub crowd: Crowd,
+    pub congestion: Crowd,
 }
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
-    /// Runs one fan-out to its end; gives its permit back before that once
-    /// it only waits for its last shards.
+    /// Runs one fan-out to its end. The gate permit is released earlier when only the last shards
+    /// are outstanding, unless the request was late when it arrived.
     pub(super) async fn fan_out(
         self: &Rc<Self>,
         job: &Job,
@@ -132,13 +132,14 @@
         let capacity = plan.shards.len().max(1) * 4;
         let (sender, completed) = async_channel::bounded(capacity);
         let mut fanout = Fanout::new(Arc::clone(plan), rules.clone(), first);
-        // Dropped with this future when the caller goes away, which ends them.
+        // Dropping this future, as when the caller disconnects, drops the tasks and so cancels
+        // them.
         let mut tasks = Tasks::default();
         let now = self.ports.clock.now();
         let actions = fanout.start_groups(now, &mut self.router.borrow_mut(), trace);
         if !actions.is_empty() {
             self.apply_actions(job, plan, rules, actions, (&sender, &mut tasks));
-            // Lets the groups' tasks write before this one goes on.
+            // Lets the group tasks write their messages first.
             future::yield_now().await;
         }
         let now = self.ports.clock.now();
@@ -161,8 +162,8 @@
                     CompletedAttempt::Shard { shard, attempt, end } => {
                         fanout.on_end((shard, attempt), end, now, &mut router, trace)
                     }
-                    CompletedAttempt::Group(hand, end) => {
-                        fanout.on_group_end(&hand, &end, now, &mut router, trace)
+                    CompletedAttempt::Group(group, end) => {
+                        fanout.on_group_end(&group, &end, now, &mut router, trace)
                     }
                 });
                 ready = completed.try_recv().ok();
@@ -176,14 +177,14 @@
                 permit.release(fanout.crowd(now));
             }
         }
-        // What is still out keeps its connection, and shows how its upstream does.
+        // Unfinished attempts keep their connections and still report on their upstreams.
         tasks.detach();
-        let (next, crowd) = (fanout.next_attempt(), fanout.crowd(self.ports.clock.now()));
-        FanoutEnd { finished: fanout.finish(), next, crowd }
+        let (next, congestion) = (fanout.next_attempt(), fanout.crowd(self.ports.clock.now()));
+        FanoutEnd { finished: fanout.finish(), next, congestion }
     }
 
-    /// Measures how long `sent` requests that were decided on at `start` take this daemon:
-    /// a task behind theirs runs once all of them are written.
+    /// Measures how long this daemon takes for `sent` requests that were decided on at `start`: a
+    /// task queued behind theirs runs once all of them are written.
     fn measure_sending(self: &Rc<Self>, sent: usize, start: Instant) {
         if sent < LEAST_SHARDS {
             return;
@@ -223,9 +224,9 @@
                     let attempt = Attempt { job: job.clone(), plan: Arc::clone(plan), send };
                     tasks.attempts.push(self.spawn_attempt(attempt, sender.clone()));
                 }
-                Action::Hand(hand) => {
-                    let number = hand.attempt;
-                    let task = self.spawn_group(job, plan, rules, hand, sender.clone());
+                Action::Hand(group) => {
+                    let number = group.attempt;
+                    let task = self.spawn_group(job, plan, rules, group, sender.clone());
                     tasks.groups.push((number, task));
                 }
                 Action::Revoke(number) => tasks.groups.retain(|(held, _)| *held != number),
@@ -286,7 +287,7 @@
             let now = self.ports.clock.now();
             let withheld = matches!(self.clearance(&attempt.job.work), Standing::Withheld(_));
             let router = self.router.borrow();
-            // One may have begun to leave, or its zone to be evacuated, while a connection
+            // The upstream may have begun to leave, or its zone to be evacuated, while a connection
             // was opened.
             let takes = router.searcher(&attempt.send.upstream).is_some_and(|s| s.takes_work().is_ok());
             now < attempt.job.deadline && !withheld && takes && router.lease().held(now)
@@ -294,8 +295,8 @@
         self.ports.upstreams.ask(call, permit).await
     }
 
-    /// Takes what an attempt showed into the routing, and tells other daemons
-    /// of a changed word.
+    /// Records an attempt's outcome in the router, and publishes the upstream's announcement if it
+    /// changed.
     fn record_outcome(&self, attempt: &Attempt, end: &CallEnd) {
         let now = self.ports.clock.now();
         let Send { upstream, start, .. } = &attempt.send;
@@ -325,8 +326,8 @@
         drop(self.control.try_send(ToControl::Announcement(named)));
     }
 
-    /// Tells how an attempt ended after its request was answered: what came was dropped,
-    /// or why nothing did.
+    /// Records how an attempt ended after its request was answered: that its reply was dropped, or
+    /// why there was none.
     fn record_late(&self, attempt: &Attempt, failure: Option<Gap>, ran: bool) {
         let stamp = self.stamp();
         let (shard, number) = (attempt.shard(), attempt.send.attempt);
--- a/crates/harefield/src/engine/find.rs
+++ b/crates/harefield/src/engine/find.rs
@@ -1,4 +1,4 @@
-//! Finding the plan of a request, and by when it is to be answered.
+//! Resolves a request: finds its plan, and the times by which it is to be answered.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,32 +22,32 @@
 /// How long a repeatable request waits for a confirmation after a pause.
 const CONFIRM_WAIT: Duration = Duration::from_millis(500);
 
-/// How often it looks whether the confirmation came.
+/// How often a waiting request checks for the confirmation.
 const CONFIRM_POLL: Duration = Duration::from_millis(2);
 
-/// A request that found its plan.
+/// A request whose plan is known.
 #[derive(Clone)]
 pub(super) struct ResolvedRequest {
     pub plan: Arc<LookupPlan>,
-    /// What is asked, and for whom.
+    /// Identifies what is asked, and for whom.
     pub work: Work,
     pub start: Instant,
     pub deadline: Instant,
     /// When an answer with enough shards is given.
     pub objective: Option<Instant>,
-    /// Whether another daemon was handed the request before.
+    /// Whether the request was forwarded to another daemon before.
     pub again: bool,
-    /// Whether its objective had passed when it came.
+    /// Whether its objective had passed when it arrived.
     pub late: bool,
-    /// Whose request it is.
+    /// On whose behalf the request runs.
     pub requester: Asker,
-    /// The only regions in which it may be served, by its lookup and its account; everywhere
+    /// The only regions in which it may be served, by its lookup and its account; every region
     /// where empty.
     pub regions: Regions,
 }
 
 impl ResolvedRequest {
-    /// Takes whose request it is.
+    /// Sets on whose behalf the request runs.
     ///
     /// # Errors
     ///
@@ -59,7 +59,7 @@
         Ok(self)
     }
 
-    /// Returns the request as it stands before the gate.
+    /// Returns the request as the gate sees it.
     pub fn arrival(&self) -> Arrival {
         let Lookup { urgency, team, .. } = &*self.plan.lookup;
         Arrival {
@@ -71,15 +71,15 @@
         }
     }
 
-    /// Returns when half of the time until the deadline is over.
+    /// Returns when half of the time until the deadline has passed.
     pub fn halfway(&self) -> Instant {
         self.start + self.deadline.saturating_duration_since(self.start) / 2
     }
 }
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
-    /// Finds the plan of a request. After a pause it is found again, since
-    /// what was in force before may no longer be.
+    /// Resolves a request. After a pause it is resolved again once the configuration is confirmed,
+    /// since the one that was active before may no longer be.
     pub(super) async fn resolve_confirmed(
         &self,
         request: &LookupRequest,
@@ -95,9 +95,9 @@
         self.resolve(request, start)
     }
 
-    /// Finds the plan again where callers have seen a newer edition here than the one
-    /// in force, which is on its way: nothing runs here under the older one, nor does a key
-    /// open anything by it that another daemon would run.
+    /// Resolves the request again where callers have seen a newer edition here than the active one,
+    /// which is then on its way. Nothing runs here under the older edition, nor is a key accepted
+    /// under it for a request that another daemon would run.
     async fn resolve_current(
         &self,
         request: &LookupRequest,
@@ -146,22 +146,22 @@
         Ok(ResolvedRequest { plan, work, start, deadline, objective, again, late, requester, regions })
     }
 
-    /// Returns for how long what is read now may have waited here.
+    /// Returns for how long a message that is read now may have waited in its socket.
     pub(super) fn possible_delay(&self) -> Duration {
         let now = self.ports.clock.now();
         self.router.borrow().lease().held_up(now)
     }
 
-    /// Returns within which time an answer with enough shards is given to a caller that
-    /// has `limit` left; none without an objective.
+    /// Returns the time within which an answer with enough shards is given to a caller that has
+    /// `limit` left; none without an objective.
     fn answer_target(&self, plan: &LookupPlan, limit: Option<Duration>) -> Option<AnswerTarget> {
         let objective = Duration::from_millis(plan.lookup.objective_ms?);
         let elapsed = limit.map_or(Duration::ZERO, |left| self.elapsed_time(&plan.name, left));
         Some(answer_target(objective, elapsed, self.settings.margin))
     }
 
-    /// Picks the part of a divided lookup whose turn it is, so that each gets
-    /// its share of any few requests.
+    /// Chooses a part of a divided lookup by smooth weighted round-robin, so that even a few
+    /// requests in a row are spread by weight.
     fn choose_part(&self, plan: &Arc<LookupPlan>) -> Arc<LookupPlan> {
         let total: i64 = plan.parts.iter().map(|part| i64::from(part.weight)).sum();
         let mut credits = self.part_credits.borrow_mut();
@@ -176,8 +176,8 @@
         Arc::clone(&plan.parts[next].plan)
     }
 
-    /// Returns how much of its caller's time a request had used when it came:
-    /// what is left lacks that much of what its kind usually comes with.
+    /// Estimates how much of its caller's time a request had used when it arrived: the usual time
+    /// limit of its lookup less what is left.
     fn elapsed_time(&self, name: &Arc<str>, left: Duration) -> Duration {
         let mut time_limits = self.time_limits.borrow_mut();
         let usual = time_limits.entry(Arc::clone(name)).or_default();
@@ -185,8 +185,8 @@
         usual.usual().saturating_sub(left)
     }
 
-    /// Waits for the lease after a pause; a once-only request does not wait,
-    /// since its bytes may be older than the pause.
+    /// Waits for the lease after a pause. A once-only request does not wait, since it may have been
+    /// sent before the pause.
     async fn wait_confirmed(&self, resolved: &ResolvedRequest) -> bool {
         let until = resolved.deadline.min(resolved.start + CONFIRM_WAIT);
         loop {
@@ -202,23 +202,23 @@
     }
 }
 
-/// Returns the regions in which an asker's requests for a lookup may be served.
+/// Returns the regions in which a requester's requests for a lookup may be served.
 fn allowed_regions(plan: &LookupPlan, requester: &Asker) -> Result<Regions, Code> {
     both(&plan.lookup.regions, &requester.regions).ok_or(Code::NoRegion)
 }
 
-/// Within which time an answer is given that has enough shards.
+/// The time within which an answer with enough shards is given.
 #[derive(Clone, Copy)]
 struct AnswerTarget {
     time: Duration,
-    /// Whether its objective has passed.
+    /// Whether the objective has passed.
     late: bool,
 }
 
-/// Returns how long an answer may take so that it is back within its objective:
-/// less what was used before, and less a margin for the way back. Where the
-/// objective can no longer be met, what is left of it has no meaning, and the
-/// answer has the whole objective to gather shards.
+/// Returns how long an answer may take so that it is back within its objective: the objective less
+/// the time used before, and less a margin for the answer's return. Where the objective can no
+/// longer be met, the remainder has no meaning, and the answer has the whole objective to gather
+/// shards.
 fn answer_target(objective: Duration, elapsed: Duration, margin: Duration) -> AnswerTarget {
     let left = objective.saturating_sub(elapsed + margin);
     let late = left.is_zero();
--- a/crates/harefield/src/engine/forward.rs
+++ b/crates/harefield/src/engine/forward.rs
@@ -1,5 +1,5 @@
-//! Handing a request to members of the cell, until one answers it; what goes to each
-//! stands in `handing`.
+//! Forwards a request to members of the cell until one answers. The exchange with each member is in
+//! `forward_attempt`.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -24,18 +24,18 @@
 use crate::ports::Upstreams;
 use crate::telemetry::Trace;
 
-/// When to come back where no member could be reached.
+/// How long a caller is told to wait when no member could be reached.
 const RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// How often a request is handed on again while views of the cell differ.
+/// The interval between rounds of forwarding while daemons' views of the cell differ.
 const REFORWARD_EVERY: Duration = Duration::from_millis(20);
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
-    /// Hands a request to a member of the cell, and to others where that one
-    /// fails or, for repeatable requests and within a budget, is slow.
+    /// Forwards a request to a member of the cell, and to others where that one fails or, for
+    /// repeatable requests and within a budget, is slow.
     ///
-    /// A member that was sent a once-only request and did not answer ends the
-    /// tries: it may have run.
+    /// A member that was sent a once-only request and did not answer ends the tries: the request
+    /// may have run.
     pub(super) async fn forward(
         self: &Rc<Self>,
         request: &LookupRequest,
@@ -44,8 +44,8 @@
     ) -> Answer {
         loop {
             let answer = self.forward_once(request, resolved, trace).await;
-            // Those asked have another view of the cell or an older configuration:
-            // one of the two is about to change, and nothing has run.
+            // The members tried have another view of the cell or an older configuration. Either
+            // theirs or this daemon's is about to change, and nothing has run.
             if !is_redirect(answer.code) || self.ports.clock.now() >= resolved.halfway() {
                 return answer;
             }
@@ -61,7 +61,7 @@
     ) -> Answer {
         let mut state = ForwardState::new();
         self.forward_next(&mut state, request, resolved, trace);
-        // Once that time has passed, only ends are awaited, which come by themselves.
+        // Once this time has passed, only outcomes are awaited, which arrive without a timer.
         let mut hedge_at = Some(resolved.halfway());
         while state.in_flight > 0 {
             let Some(outcome) = self.next_outcome(&state, hedge_at).await else {
@@ -82,7 +82,7 @@
         unanswered(&state, resolved, trace)
     }
 
-    /// Returns the next end; none where `until` passes first.
+    /// Returns the next outcome; none if `until` passes first.
     async fn next_outcome(&self, state: &ForwardState, until: Option<Instant>) -> Option<ForwardOutcome> {
         let timed = async {
             match until {
@@ -94,9 +94,9 @@
         async { state.outcomes.recv().await.ok() }.or(timed).await
     }
 
-    /// Says whether a request may be handed to a second member while the first has
-    /// it: not where its lookup bounds the upstreams asked, since the two members
-    /// would choose theirs apart.
+    /// Returns whether a request may be forwarded to a second member while the first still runs it.
+    /// It may not where its lookup limits the number of upstreams queried, since the two members
+    /// would choose theirs independently.
     fn may_hedge(&self, resolved: &ResolvedRequest) -> bool {
         let in_time = self.ports.clock.now() < resolved.deadline;
         let lookup = &resolved.plan.lookup;
@@ -110,7 +110,7 @@
         in_time && safe && state.in_flight == 0
     }
 
-    /// Hands a request to one more member, if there is one.
+    /// Forwards a request to one more member, if there is one.
     fn forward_next(
         self: &Rc<Self>,
         state: &mut ForwardState,
@@ -127,7 +127,7 @@
     }
 }
 
-/// Returns the answer of a request that no member answered.
+/// Returns the answer to a request that no member answered.
 fn unanswered<C: Clock>(state: &ForwardState, resolved: &ResolvedRequest, trace: &mut Trace<C>) -> Answer {
     if state.unanswered {
         return may_have_run(trace, Code::PeerSilent);
--- a/crates/harefield/src/engine/forward_attempt.rs
+++ b/crates/harefield/src/engine/forward_attempt.rs
@@ -1,5 +1,5 @@
-//! One request handed to one daemon: the message, the account of what is under way
-//! there, and how it ended.
+//! One request forwarded to one daemon: the message, the count of requests in flight there, and the
+//! outcome.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -32,36 +32,36 @@
 use crate::ports::Upstreams;
 use crate::telemetry::Trace;
 
-/// How many members are tried.
+/// The most members that a request is forwarded to.
 pub(super) const MAX_TRIES: usize = 3;
 
-/// Spare time that another daemon's answer has to travel past the deadline.
+/// How long after the deadline another daemon's answer may still arrive.
 pub(super) const TRANSIT_ALLOWANCE: Duration = Duration::from_millis(50);
 
-/// How long an edition that was seen elsewhere holds requests up here. The users' bound
-/// for a configuration that travels by other daemons is 15 s.
+/// How long an edition that was seen on another daemon holds requests up here. Users require a
+/// configuration to spread through other daemons within 15 s.
 const EDITION_EXPIRY: Duration = Duration::from_secs(15);
 
-/// How a request handed to one daemon ended.
+/// How a request forwarded to one daemon ended.
 pub(super) struct ForwardOutcome {
     pub host: HostId,
     pub result: Result<Answer, PeerError>,
 }
 
-/// A request on its way through members of the cell.
+/// The progress of a request that is forwarded to members of the cell.
 pub(super) struct ForwardState {
     pub tried: Vec<HostId>,
     tasks: Vec<Task<()>>,
     pub in_flight: usize,
-    /// Whether a member was sent it, and did not answer.
+    /// Whether a member was sent the request and did not answer.
     pub unanswered: bool,
-    /// Whether a member left it to others.
+    /// Whether a member declined the request in favour of other members.
     pub redirected: bool,
     sender: Sender<ForwardOutcome>,
     pub outcomes: Receiver<ForwardOutcome>,
 }
 
-/// Counts a request as handed to a daemon until dropped.
+/// Counts a request as forwarded to a daemon until dropped.
 struct ForwardGuard<U: Upstreams, P: Peers, C: Clock> {
     worker: Rc<Worker<U, P, C>>,
     host: HostId,
@@ -74,13 +74,13 @@
     }
 }
 
-/// Says whether a daemon that answered with a code leaves the request to others.
+/// Returns whether a daemon that answered with this code declined the request, so that another
+/// member is to run it.
 pub(super) fn is_redirect(code: Code) -> bool {
     matches!(code, Code::NotMember | Code::OlderView)
 }
 
 impl ForwardState {
-    /// Creates the account of a request that nobody has yet.
     pub fn new() -> Self {
         let (sender, outcomes) = async_channel::bounded(MAX_TRIES);
         Self {
@@ -94,14 +94,13 @@
         }
     }
 
-    /// Says whether an answer says "not run" of a request that another member may have run,
-    /// or may be running.
+    /// Returns whether an answer says "not run" although another member may have run the request,
+    /// or may be running it.
     fn may_contradict(&self, answer: &Answer) -> bool {
         answer.outcome == Outcome::NotRun && (self.unanswered || self.in_flight > 0)
     }
 
-    /// Takes how one handing ended; returns the answer where there is one that is
-    /// not left to others.
+    /// Records how one forward ended. Returns its answer unless another member is to give one.
     pub fn record(&mut self, result: Result<Answer, PeerError>) -> Option<Answer> {
         self.in_flight -= 1;
         match result {
@@ -117,7 +116,7 @@
 }
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
-    /// Hands a request to one daemon and no other.
+    /// Forwards a request to one daemon and no other.
     pub(super) async fn forward_to(
         self: &Rc<Self>,
         host: &HostId,
@@ -132,7 +131,7 @@
         outcome.result
     }
 
-    /// Hands a request to a daemon, as a task of its own.
+    /// Starts to forward a request to a daemon, as a task of its own.
     pub(super) fn start_forward(
         self: &Rc<Self>,
         state: &mut ForwardState,
@@ -202,8 +201,9 @@
         self.view.borrow().edition.max(self.seen_edition())
     }
 
-    /// Returns the newest edition that callers have seen here by way of others; 0
-    /// where that was long ago: what has not come here by then was taken back.
+    /// Returns the newest edition under which other daemons answered callers of this one; 0 if that
+    /// was longer than [`EDITION_EXPIRY`] ago, since an edition that has not arrived by then was
+    /// withdrawn.
     pub(super) fn seen_edition(&self) -> Edition {
         let now = self.ports.clock.now();
         let seen = self.seen_edition.get();
@@ -211,8 +211,8 @@
         recent.map_or(0, |(edition, _)| edition)
     }
 
-    /// Notes the edition that another daemon ran a request of this one under: callers
-    /// have seen it here, and must not see an older one here any more.
+    /// Records the edition under which another daemon ran a request of this one: callers have seen
+    /// it here, and must not see an older one here afterwards.
     fn record_edition(&self, forwarded: &Forwarded) {
         if !is_redirect(forwarded.answer.code) {
             let newest = self.seen_edition().max(forwarded.edition);
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Notes how a handing ended, and whether the daemon was silent.
+    /// Emits how a forward ended, and reports a daemon that did not answer to the control duty.
     pub(super) fn record_end(&self, end: &ForwardOutcome, trace: &mut Trace<C>) {
         let (outcome, code) = match &end.result {
             Ok(answer) => (answer.outcome, answer.code),
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Takes one request less as handed to a daemon.
+    /// Takes one request off those counted as forwarded to a daemon.
     fn remove_forward(&self, host: &HostId, start: Instant) {
         let mut forwards = self.forwards.borrow_mut();
         let Some(starts) = forwards.get_mut(host) else { return };
--- a/crates/harefield/src/engine/gate.rs
+++ b/crates/harefield/src/engine/gate.rs
@@ -1,4 +1,4 @@
-//! Waiting at the gate before an index.
+//! Waiting at the admission gate of an index.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -20,30 +20,30 @@
 use crate::ports::Peers;
 use crate::ports::Upstreams;
 
-/// A refusal at the gate: its code and when to come back.
+/// A refusal at the gate: its code and how long to wait before a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct GateRefusal {
     pub code: Code,
     pub wait: Duration,
 }
 
-/// A permit to run that a gate gave, given back when dropped.
+/// A permit to run, issued by a gate and released when dropped.
 pub(super) struct GatePermit<U: Upstreams, P: Peers, C: Clock> {
     worker: Rc<Worker<U, P, C>>,
     index: Arc<str>,
     team: Arc<str>,
     entered: Instant,
-    /// Whether the request's objective had passed when it came: it keeps its permit to
-    /// the end, since few such requests run at a time.
+    /// Whether the request's objective had already passed when it arrived. Such a request keeps its
+    /// permit to the end, since few of them run at a time.
     pub late: bool,
-    /// How crowded the upstreams were; none until the request has run to its end.
-    crowd: Option<Crowd>,
+    /// How congested the upstreams were; none until the request has run to its end.
+    congestion: Option<Crowd>,
 }
 
 impl<U: Upstreams, P: Peers, C: Clock> GatePermit<U, P, C> {
-    /// Gives the permit back, with how crowded the upstreams were.
-    pub fn release(mut self, crowd: Crowd) {
-        self.crowd = Some(crowd);
+    /// Releases the permit and reports how congested the upstreams were.
+    pub fn release(mut self, congestion: Crowd) {
+        self.congestion = Some(congestion);
     }
 }
 
@@ -51,7 +51,7 @@
     fn drop(&mut self) {
         let now = self.worker.ports.clock.now();
         let took = now.saturating_duration_since(self.entered);
-        self.worker.leave_gate(&self.index, &self.team, took, self.crowd, now);
+        self.worker.leave_gate(&self.index, &self.team, took, self.congestion, now);
     }
 }
 
@@ -83,7 +83,8 @@
 }
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
-    /// Enters the gate of an index, waiting for room where that can still do.
+    /// Enters the gate of an index, waiting in its queue while the request can still be run in
+    /// time.
     pub(super) async fn enter_gate(
         self: &Rc<Self>,
         index: &Arc<str>,
@@ -109,7 +110,7 @@
             team: Arc::clone(&arrival.team),
             late: arrival.late,
             entered: self.ports.clock.now(),
-            crowd: None,
+            congestion: None,
         }
     }
 
@@ -144,11 +145,11 @@
                 waiting.completed = true;
                 Err(GateRefusal { code: Code::TooLate, wait })
             }
-            None => Err(GateRefusal { code: Code::TooLate, wait: self.next_opening(index) }),
+            None => Err(GateRefusal { code: Code::TooLate, wait: self.retry_delay(index) }),
         }
     }
 
-    fn next_opening(&self, index: &Arc<str>) -> Duration {
+    fn retry_delay(&self, index: &Arc<str>) -> Duration {
         let now = self.ports.clock.now();
         self.gates.borrow_mut().get_mut(index).map_or(Duration::ZERO, |gate| gate.turn(now))
     }
@@ -158,11 +159,11 @@
         index: &Arc<str>,
         team: &Arc<str>,
         took: Duration,
-        crowd: Option<Crowd>,
+        congestion: Option<Crowd>,
         now: Instant,
     ) {
-        let called = match (self.gates.borrow_mut().get_mut(index), crowd) {
-            (Some(gate), Some(crowd)) => gate.leave(team, took, crowd, now),
+        let called = match (self.gates.borrow_mut().get_mut(index), congestion) {
+            (Some(gate), Some(congestion)) => gate.leave(team, took, congestion, now),
             (Some(gate), None) => gate.abandon(team, now),
             (None, _) => Vec::new(),
         };
--- a/crates/harefield/src/engine/group.rs
+++ b/crates/harefield/src/engine/group.rs
@@ -1,5 +1,5 @@
-//! Groups of shards of other availability zones, handed to a daemon beside their
-//! replicas; what that daemon does with them stands in `relay`.
+//! Groups of shards of other availability zones, delegated to a daemon near their replicas. What
+//! that daemon does with them is in `relay`.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -35,8 +35,7 @@
 use crate::ports::Upstreams;
 use crate::telemetry::Batch;
 
-/// A group under way, which is taken off its daemon's account when its task is
-/// dropped half-way.
+/// Takes a group off its daemon's in-flight count when the task is dropped before it completes.
 struct GroupGuard<'a, U: Upstreams, P: Peers, C: Clock> {
     worker: &'a Worker<U, P, C>,
     lookup: &'a Arc<str>,
@@ -53,7 +52,7 @@
 }
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
-    /// Hands a group to its daemon as a task of its own.
+    /// Delegates a group to its daemon as a task of its own.
     pub(super) fn spawn_group(
         self: &Rc<Self>,
         job: &Job,
@@ -150,7 +149,7 @@
     }
 }
 
-/// Returns which replicas may be asked, by the shards' places in the group.
+/// Returns which replicas may be queried, by the shards' positions in the group.
 fn replica_limits(group: &Hand) -> Vec<(usize, Vec<UpstreamId>)> {
     let place = |shard: usize| group.shards.iter().position(|other| *other == shard);
     let free = (0..group.free).map(|_| UpstreamId::from(""));
@@ -158,14 +157,14 @@
     group.fallbacks.iter().filter_map(|(shard, fallback)| Some((place(*shard)?, names(fallback)))).collect()
 }
 
-/// Returns which replicas may be asked, from their names in a message.
+/// Returns which replicas may be queried, from their names in a message.
 pub(super) fn parse_limit(replicas: &[UpstreamId]) -> ReplicaLimit {
     let (free, named): (Vec<_>, Vec<_>) = replicas.iter().map(Arc::clone).partition(|name| name.is_empty());
     ReplicaLimit { named, free: u32::try_from(free.len()).unwrap_or(u32::MAX) }
 }
 
-/// Sorts a reply by the shards of the group, each once. The merged records go
-/// with the first part.
+/// Assigns a reply to the shards of the group, each once. The merged records go with the first
+/// part.
 fn shard_results(group: &Hand, reply: GroupReply) -> Vec<(usize, Brought)> {
     let mut records = Some(reply.records.into_vec());
     let mut all: Vec<Option<Brought>> = group.shards.iter().map(|_| None).collect();
--- a/crates/harefield/src/engine/identity.rs
+++ b/crates/harefield/src/engine/identity.rs
@@ -1,4 +1,4 @@
-//! Whose request it is: the account of its key, or a refusal.
+//! Authenticates requests: finds the account of a request's key, or refuses the request.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -31,29 +31,31 @@
 use crate::ports::Upstreams;
 use crate::telemetry::Trace;
 
-/// When to come back where this daemon cannot make sure of a key.
+/// How long a caller is told to wait when this daemon cannot verify a key.
 const RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Why a caller may not ask, and after which time that may have changed.
+/// Why a caller is refused, and after which time that may have changed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Refusal {
     pub code: Code,
     pub wait: Option<Duration>,
 }
 
-/// Nobody can say now whether a key opens anything; another daemon may.
+/// This daemon cannot tell now whether a key is valid; another one may.
 const UNCONFIRMED: Refusal = Refusal { code: Code::KeyUnconfirmed, wait: Some(RETRY_AFTER) };
 
-/// Whose request it is.
+/// On whose behalf a request runs.
 #[derive(Debug)]
 pub(super) enum Authorization {
-    /// Anyone's, or of one that another daemon named.
+    /// No account limit is applied here: the request needs no key, or another daemon has checked
+    /// it.
     Unlimited(Asker),
-    /// An account's.
+    /// An account, whose limit applies.
     Account(Arc<Client>),
 }
 
-/// A request that asks for what is newer, until dropped: its caller may go away meanwhile.
+/// Counts a request that waits for newer configuration until dropped, since its caller may
+/// disconnect meanwhile.
 struct RefreshGuard<'a> {
     keys: &'a RefCell<UnknownKeys>,
 }
@@ -71,8 +73,8 @@
 }
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
-    /// Returns whose request it is; one from another daemon goes on as it came, since that
-    /// one has looked.
+    /// Returns on whose behalf a request runs. One from another daemon keeps the requester it came
+    /// with, since that daemon has checked it.
     pub(super) async fn identify(
         &self,
         request: &LookupRequest,
@@ -101,8 +103,9 @@
         }
     }
 
-    /// Makes sure that a key which is not known is not newer than what is held, and looks
-    /// again; the key is said to be unknown only where that is sure.
+    /// Fetches any newer configuration for a key that is not known here, and looks the key up
+    /// again. The key is refused as unknown only when this daemon is certain to hold everything
+    /// confirmed.
     async fn identify_refreshed(
         &self,
         request: &LookupRequest,
@@ -129,14 +132,15 @@
         self.authorize(identity)
     }
 
-    /// Says whether what is held is new enough for keys to open anything.
+    /// Returns whether the configuration held here was proven recently enough for keys to be
+    /// accepted.
     fn accepts_keys(&self) -> bool {
         let Some(max_age) = self.settings.max_proof_age else { return true };
         let now = self.ports.clock.now();
         self.proven.get().is_some_and(|proven| now.saturating_duration_since(proven) <= max_age)
     }
 
-    /// Answers a request whose caller may ask.
+    /// Answers a request that was authorized.
     pub(super) async fn answer_authorized(
         self: &Rc<Self>,
         authorization: Authorization,
--- a/crates/harefield/src/engine/job.rs
+++ b/crates/harefield/src/engine/job.rs
@@ -13,7 +13,7 @@
 use crate::domain::residency::Regions;
 use crate::domain::work::Work;
 
-/// What all attempts of a request share.
+/// The data that all attempts of a request share.
 #[derive(Clone)]
 pub(super) struct Job {
     pub request: RequestId,
@@ -21,22 +21,21 @@
     pub query: Query,
     pub deadline: Instant,
     pub once: bool,
-    /// What is asked, and for whom.
+    /// Identifies what is asked, and for whom.
     pub work: Work,
-    /// Whether it is the whole request, and no group of another daemon's.
+    /// Whether it is a whole request rather than a group of another daemon's shards.
     pub whole: bool,
-    /// What the attempts have shown of the work.
+    /// What the attempts have shown about the work.
     pub evidence: WorkEvidence,
     /// How many records are kept where replies are merged.
     pub merge: Option<usize>,
-    /// The only regions in which it may be served; everywhere where empty.
+    /// The only regions in which the request may be served; every region where empty.
     pub regions: Regions,
-    /// Whose request it is.
+    /// On whose behalf the request runs.
     pub requester: Asker,
 }
 
 impl Job {
-    /// Creates what all attempts of a request share.
     pub fn new(request: &LookupRequest, resolved: &ResolvedRequest, id: Option<&Arc<str>>) -> Self {
         let lookup = &resolved.plan.lookup;
         Self {
@@ -55,16 +54,16 @@
     }
 }
 
-/// What the attempts of one fan-out show of its work.
+/// What the attempts of one fan-out show about its work.
 #[derive(Clone, Debug, Default)]
 pub(super) struct WorkEvidence {
-    /// How many attempts and groups are out.
+    /// The number of attempts and groups in flight.
     pending: Rc<Cell<u32>>,
     /// Whether an upstream has answered.
     pub answered: Rc<Cell<bool>>,
 }
 
-/// An attempt or group that is out.
+/// An attempt or group in flight.
 #[derive(Debug)]
 pub(super) struct PendingAttempt {
     pending: Rc<Cell<u32>>,
@@ -72,7 +71,7 @@
 }
 
 impl WorkEvidence {
-    /// Counts an attempt or group as out until dropped.
+    /// Counts an attempt or group as in flight until dropped.
     pub fn begin(&self) -> PendingAttempt {
         let others = self.pending.get();
         self.pending.set(others + 1);
@@ -81,7 +80,8 @@
 }
 
 impl PendingAttempt {
-    /// Says whether nothing else of the fan-out was out when it began, nor is now.
+    /// Returns whether no other attempt or group of the fan-out was in flight when this one began,
+    /// nor is now.
     pub fn is_alone(&self) -> bool {
         self.began_alone && self.pending.get() == 1
     }
--- a/crates/harefield/src/engine/members.rs
+++ b/crates/harefield/src/engine/members.rs
@@ -1,4 +1,4 @@
-//! Which member of a cell a request is handed to.
+//! Chooses the member of a cell that a request is forwarded to.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,18 +16,19 @@
 use crate::ports::Peers;
 use crate::ports::Upstreams;
 
-/// A member whose oldest request is out for longer is passed over: most users'
+/// A member whose oldest request has been in flight for longer is passed over: most users'
 /// objectives are shorter, and a member answers at the objective.
 const SILENT_AFTER: Duration = Duration::from_millis(250);
 
-/// What a request and its answer take between daemons of one region, the messages
-/// packed and read: twice 0.9 ms of way at the users' sites, and 2 ms of work on
-/// their smallest hosts.
+/// What a request and its answer take between daemons of one region, encoding and decoding
+/// included: a round trip of twice 0.9 ms at the users' sites, and 2 ms of work on their smallest
+/// hosts.
 const RETURN_TIME: Duration = Duration::from_millis(4);
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
-    /// Picks a member: not known to be gone nor silent, the nearest there is, the
-    /// one of two with fewer requests handed to it.
+    /// Chooses a member among the nearest ones that are neither known to be gone nor silent, or
+    /// among all untried ones where there is none such: of two drawn at random, the one with fewer
+    /// requests forwarded to it.
     pub(super) fn choose_member(&self, resolved: &ResolvedRequest, tried: &[HostId]) -> Option<HostId> {
         let view = self.view.borrow();
         let cell = view.cells.get(resolved.plan.lookup.index.as_str())?;
@@ -38,7 +39,8 @@
         self.less_loaded(if near.is_empty() { &untried } else { &near })
     }
 
-    /// Says whether a daemon stands where a request may be served, and may be handed it.
+    /// Returns whether a daemon is in a region where a request may be served, so that the request
+    /// may be forwarded to it.
     pub(super) fn may_serve(&self, host: &HostId, regions: &[Arc<str>]) -> bool {
         let places = &self.settings.places;
         let peers = self.peers.borrow();
@@ -50,7 +52,7 @@
         Residency::new(regions).allows(zone.map(|zone| places.region_of(zone)))
     }
 
-    /// Returns those daemons, neither known to be gone nor silent, that are nearest.
+    /// Returns the nearest of those daemons that are neither known to be gone nor silent.
     fn nearest_live<'a>(&self, hosts: &[&'a HostId]) -> Vec<&'a HostId> {
         let peers = self.peers.borrow();
         let seen = hosts.iter().map(|host| (*host, peers.row(host)));
@@ -61,7 +63,7 @@
         near.map(|(host, _)| host).collect()
     }
 
-    /// Draws two daemons and returns the one with fewer requests handed to it.
+    /// Draws two daemons at random and returns the one with fewer requests forwarded to it.
     fn less_loaded(&self, pool: &[&HostId]) -> Option<HostId> {
         if pool.is_empty() {
             return None;
@@ -73,7 +75,7 @@
         draws.iter().min_by_key(|at| load(at)).map(|at| Arc::clone(pool[*at]))
     }
 
-    /// Returns how much of an objective is kept for an answer's way back here.
+    /// Returns how much of an objective is kept for an answer's return from a daemon.
     pub(super) fn return_allowance(&self, host: &HostId) -> Duration {
         let peers = self.peers.borrow();
         let Some(row) = peers.row(host) else { return RETURN_TIME };
@@ -88,7 +90,7 @@
         row.map_or(Distance::Far, |row| self.settings.places.distance(&row.zone))
     }
 
-    /// Says whether a daemon is neither known to be gone nor silent.
+    /// Returns whether a daemon is neither known to be gone nor silent.
     pub(super) fn is_responsive(&self, host: &HostId) -> bool {
         is_live(self.peers.borrow().row(host)) && !self.is_silent(host)
     }
--- a/crates/harefield/src/engine/message.rs
+++ b/crates/harefield/src/engine/message.rs
@@ -1,5 +1,4 @@
-//! The messages between a worker and the control duty, and a request as the
-//! worker takes it.
+//! The messages between a worker and the control duty, and a request as a worker receives it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,34 +23,34 @@
 pub enum Origin {
     /// A caller.
     Caller,
-    /// Another daemon, which counts on this one to run it.
+    /// Another daemon, which relies on this one to run the request.
     Peer {
         /// The daemon.
         host: HostId,
-        /// When it handed the request on, in hybrid logical time.
+        /// When it forwarded the request, in hybrid logical time.
         stamp: Stamp,
-        /// What it asks for besides.
+        /// The terms on which it forwarded the request.
         terms: ForwardTerms,
     },
 }
 
-/// What a daemon that hands a request on asks for.
+/// The terms on which another daemon forwards a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ForwardTerms {
-    /// After this time an answer with enough shards goes out.
+    /// The time after which an answer with enough shards is given.
     pub gather: Option<Duration>,
-    /// The least edition that the request may run under.
+    /// The oldest edition that the request may run under.
     pub edition: Edition,
-    /// Whether another daemon was handed the request before: all that is sent
-    /// for it is extra load.
+    /// Whether the request was forwarded to another daemon before, so that all that is sent for it
+    /// is extra load.
     pub again: bool,
-    /// Whether the request's objective had passed when it came.
+    /// Whether the request's objective had passed when it arrived.
     pub late: bool,
 }
 
 impl Origin {
-    /// Returns what the daemon that handed the request on asks for; nothing
-    /// where it came from a caller.
+    /// Returns the terms on which another daemon forwarded the request; the defaults where it came
+    /// from a caller.
     #[must_use]
     pub fn terms(&self) -> ForwardTerms {
         match self {
@@ -61,31 +60,31 @@
     }
 }
 
-/// A request as a worker takes it.
+/// A request as a worker receives it.
 #[derive(Clone, Debug)]
 pub struct LookupRequest {
-    /// The id given by the daemon that it came through; none from callers.
+    /// The id given by the daemon that forwarded it; none from callers.
     pub request: Option<String>,
-    /// The lookup.
+    /// The name of the lookup.
     pub lookup: String,
-    /// The query.
+    /// The query, as a caller's bytes or as JSON.
     pub query: Query,
     /// The ticket of a once-only request.
     pub ticket: Option<String>,
-    /// A bound on the time it may take, besides the lookup's.
+    /// A limit on the time it may take, besides the lookup's deadline.
     pub limit: Option<Duration>,
     /// Where it came from.
     pub origin: Origin,
-    /// What it shows of who sends it, where it came from a caller.
+    /// The credential that a caller sent with it.
     pub credential: Credential,
-    /// Whose request it is, where it came from another daemon.
+    /// On whose behalf it runs, where it came from another daemon.
     pub requester: Asker,
 }
 
 /// The daemons as the control duty sees them.
 #[derive(Clone, Debug, Default)]
 pub struct PeerView {
-    /// Every known daemon, in the order of their names.
+    /// Every known daemon, sorted by name.
     pub rows: Vec<Row>,
 }
 
@@ -98,51 +97,51 @@
     }
 }
 
-/// A confirmation of what is known, by a round that began at `asked`.
+/// A confirmation that the worker's knowledge is current.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Confirmed {
-    /// When the round began.
+    /// When the round of confirmation began.
     pub started: Instant,
 }
 
-/// From the control duty to a worker.
+/// A message from the control duty to a worker.
 #[derive(Clone, Debug)]
 pub enum ToWorker {
     /// A new view to act on.
     View(Arc<View>),
-    /// Upstreams' words that peers passed on.
+    /// Announcements of upstreams that other daemons passed on.
     Announcements(Arc<[NamedWord]>),
-    /// What is known of works under which upstreams ended.
+    /// What is known of works that are suspected of crashing upstreams.
     Suspects(Arc<[Suspect]>),
     /// The daemons as seen now.
     Peers(Arc<PeerView>),
-    /// What is known was confirmed after a pause.
+    /// The worker's knowledge was confirmed after a pause.
     Confirmed(Confirmed),
-    /// Nothing that was confirmed up to then is missing here.
+    /// No change that was confirmed up to this time is missing here.
     Proven(Instant),
     /// A planned stop has begun.
     Stop,
 }
 
-/// From a worker to the control duty.
+/// A message from a worker to the control duty.
 #[derive(Debug)]
 pub enum ToControl {
-    /// A peer speaks; the reply is awaited.
+    /// Another daemon gossips with this one and awaits the reply.
     Exchange(Box<Exchange>, async_channel::Sender<Exchange>),
-    /// A peer asks for news; the reply is awaited.
+    /// Another daemon pulls updates and awaits the reply.
     Pull(Pull, async_channel::Sender<News>),
-    /// An upstream's word changed.
+    /// An upstream's announcement changed.
     Announcement(NamedWord),
-    /// What is known of a work under which upstreams ended has changed.
+    /// What is known of a work suspected of crashing upstreams has changed.
     Suspect(Suspect),
-    /// A worker woke from a pause and wants its knowledge confirmed.
+    /// A worker's lease has lapsed, as after a pause, and it needs its knowledge confirmed.
     Unconfirmed,
-    /// A worker wants whatever is newer than what is held; told whether nothing that was
-    /// confirmed by now is missing then.
+    /// A worker needs whatever is newer than what it holds. The reply says whether, after that,
+    /// nothing confirmed up to now is missing.
     Refresh(async_channel::Sender<bool>),
-    /// The settings name other daemons to ask.
+    /// The settings were reloaded and name these daemons to gossip with.
     Seeds(Vec<HostId>),
-    /// A daemon did not answer a request handed to it.
+    /// A daemon did not answer a request that was forwarded to it.
     Unresponsive(HostId),
     /// A planned stop has begun.
     Stop,
--- a/crates/harefield/src/engine/mod.rs
+++ b/crates/harefield/src/engine/mod.rs
@@ -1,14 +1,13 @@
 //! A worker: runs the requests of its connections on one thread.
 //!
-//! `run` holds the life of a request: `find` finds its plan, `gate` lets it in,
-//! `attempt` carries out its fan-out, whose attempts share a `job`, with `group` and `relay` for shards of other
-//! availability zones; `forward`, with `members` and `handing`, is for requests that
-//! another daemon runs, `once` for those that run once, `caution` for those that may end
-//! who runs them. `updates`, `status` and `warm`
-//! are its duties beside them.
+//! `run` drives a request from arrival to answer. `identity` and `permits` check its key and its
+//! account's limit, `find` resolves its plan and `gate` admits it, with `room` for the memory of
+//! its replies. `attempt` runs its fan-out, whose attempts share a `job`; `group` and `relay` are
+//! for shards of other availability zones. `forward`, with `members` and `forward_attempt`, is for
+//! requests that another daemon runs, `once` for those that run once, and `suspects` for those that
+//! may crash upstreams. `updates`, `status` and `warm` are the worker's background tasks.
 //!
-//! Everything here is generic over the ports and holds no lock on the path of
-//! a request; once-only requests share one ledger between workers.
+//! Everything here is generic over the ports. Workers share no state but what [`Shared`] holds.
 
 mod attempt;
 mod find;
--- a/crates/harefield/src/engine/once.rs
+++ b/crates/harefield/src/engine/once.rs
@@ -1,4 +1,4 @@
-//! Once-only requests: run under a ticket, by the one incarnation it names.
+//! Once-only requests: run under a ticket, by the one daemon incarnation that the ticket names.
 
 use std::rc::Rc;
 use std::sync::MutexGuard;
@@ -26,15 +26,15 @@
 use crate::ports::Upstreams;
 use crate::telemetry::Trace;
 
-/// How often a second submission looks for the first one's outcome.
+/// How often a second submission polls for the outcome of the first.
 const POLL_EVERY: Duration = Duration::from_millis(2);
 
-/// When to come back for a ticket from another daemon.
+/// How long a caller is told to wait before it requests a ticket from another daemon.
 const RETRY_AFTER: Duration = Duration::from_millis(50);
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
-    /// Takes a once-only request: issues its ticket, hands it to the daemon
-    /// that its ticket names, or runs it.
+    /// Handles a once-only request: issues its ticket, forwards it to the daemon that its ticket
+    /// names, or runs it.
     pub(super) async fn once(
         self: &Rc<Self>,
         request: &LookupRequest,
@@ -53,7 +53,8 @@
             return self.under_ticket(request, resolved, &ticket, trace).await;
         }
         if !self.may_serve(&ticket.host, &resolved.regions) {
-            // It was issued where the lookup may no longer be served, and may have run there.
+            // The ticket was issued where the lookup may no longer be served, and the request may
+            // have run there.
             return may_have_run(trace, Code::TicketGone);
         }
         match self.forward_to(&ticket.host, request, resolved, trace).await {
@@ -69,7 +70,8 @@
         resolved: &ResolvedRequest,
         trace: &mut Trace<C>,
     ) -> Answer {
-        // Whoever issues a ticket is handed its request from wherever that comes to.
+        // The daemon that issues a ticket is sent the request from whichever daemon it is submitted
+        // to, so it has to be one that may run it.
         let runs_here = resolved.plan.member && self.may_serve(&self.settings.host, &resolved.regions);
         match (runs_here, &request.origin) {
             (true, _) => {}
@@ -118,8 +120,8 @@
         }
     }
 
-    /// Runs as a task of its own, so that a caller that goes away does not
-    /// stop it half-way and its outcome stays with the ticket.
+    /// Runs the request as a task of its own, so that a caller that disconnects does not stop it
+    /// half-way and its outcome stays with the ticket.
     async fn run_once(
         self: &Rc<Self>,
         request: &LookupRequest,
--- a/crates/harefield/src/engine/permits.rs
+++ b/crates/harefield/src/engine/permits.rs
@@ -1,5 +1,5 @@
-//! Permits under accounts' limits: asked of the daemons that hold the parts, and granted
-//! from the parts that this one holds.
+//! Permits under accounts' limits: requested from the daemons that hold the parts of a limit, and
+//! granted from the parts that this daemon holds.
 
 use std::sync::Arc;
 use std::sync::MutexGuard;
@@ -31,25 +31,25 @@
 /// How long a holder may take to answer; far more than a round trip between regions.
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// For how long a holder that did not answer is passed over.
+/// How long a holder that did not answer is passed over.
 const UNRESPONSIVE_FOR: Duration = Duration::from_secs(1);
 
-/// When to come back where no holder answers: another daemon may reach one.
+/// How long a caller is told to wait when no holder answers: another daemon may reach one.
 const RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// The most accounts whose permits are kept before those are dropped that matter no more.
+/// The number of accounts with a reserve of permits from which idle reserves are dropped.
 const MAX_RESERVES: usize = 1024;
 
-/// What lets a request of an account go on.
+/// What allows a request of an account to run.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum LimitPermit {
     /// The account has no limit.
     Free,
-    /// A permit that holds until then.
+    /// A permit that is valid until this time.
     Until(Instant),
 }
 
-/// What asking the holder of one part brought.
+/// The outcome of a request to the holder of one part.
 enum PermitOutcome {
     Granted,
     Empty,
@@ -57,8 +57,8 @@
 }
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
-    /// Returns a permit for one request of an account, asking those that hold the parts of
-    /// its limit, the nearest first.
+    /// Returns a permit for one request of an account: from the reserve if it has one, else from
+    /// the holders of the parts of the limit, the nearest first.
     pub(super) async fn acquire_permit(
         &self,
         client: &Client,
@@ -100,11 +100,12 @@
         Err(self.limit_refusal(client, parts, empty))
     }
 
-    /// Says that an account asks more than it may, or that nobody could be asked.
+    /// Refuses a request because the account has used up its limit, or because no holder could be
+    /// reached.
     fn limit_refusal(&self, client: &Client, parts: u32, empty: bool) -> Refusal {
         let now = self.ports.clock.now();
         if !empty {
-            // Where this daemon does not know the others yet, they may not know each other.
+            // While this daemon does not know the others yet, they may not know each other either.
             let wait = self.startup_wait(now).unwrap_or(RETRY_AFTER);
             return Refusal { code: Code::LimitUnknown, wait: Some(wait) };
         }
@@ -122,7 +123,7 @@
         act(reserves.entry(Arc::clone(&client.name)).or_default())
     }
 
-    /// Returns the parts of a limit, those of near availability zones first.
+    /// Returns the parts of a limit, those held in near availability zones first.
     fn parts_by_distance(&self, parts: u32) -> Vec<u32> {
         let holders = self.holders.borrow();
         let places = &self.settings.places;
@@ -133,7 +134,7 @@
         all
     }
 
-    /// Asks the holder of a part for permits, and keeps what it grants.
+    /// Requests permits from the holder of a part, and keeps what it grants.
     async fn request_permits(&self, client: &Client, limit: &FleetLimit, part: u32) -> PermitOutcome {
         let now = self.ports.clock.now();
         let slot = (Arc::clone(&client.name), part);
@@ -149,7 +150,7 @@
             let answered = self.ports.peers.permits(&host, &ask, PERMIT_TIMEOUT).await;
             answered.unwrap_or_else(|error| self.record_unresponsive(&host, error))
         };
-        // Permits hold from when they were asked for: the answer may have taken a while.
+        // Permits are valid from when they were requested: the answer may have taken a while.
         match reply {
             PermitReply::Granted(permits) => {
                 self.with_reserve(client, |reserve| reserve.put(permits, now));
@@ -170,9 +171,9 @@
         *host == self.settings.host || (!unresponsive && self.holders.borrow().is_present(host))
     }
 
-    /// Notes that a holder did not answer.
+    /// Marks a holder that did not answer, so that it is passed over for a while.
     fn record_unresponsive(&self, host: &HostId, error: PeerError) -> PermitReply {
-        debug!("{host} gives no permits: {error}");
+        debug!("no permits from {host}: {error}");
         let now = self.ports.clock.now();
         let mut unresponsive = self.unresponsive.borrow_mut();
         unresponsive.retain(|_, until| *until > now);
@@ -180,7 +181,7 @@
         PermitReply::NotHeld
     }
 
-    /// Answers another daemon that wants permits.
+    /// Answers another daemon's request for permits.
     pub fn grant(&self, ask: &PermitAsk) -> PermitReply {
         let view = self.view.borrow();
         let Some(client) = view.directory.client(&ask.account) else { return PermitReply::NotHeld };
@@ -216,7 +217,7 @@
         holders.unsettled_for(now).or(alone.then_some(RETRY_AFTER))
     }
 
-    /// Locks the parts; they are whole even where a thread panicked beside them.
+    /// Locks the parts. They are consistent even after a panic in a thread that held the lock.
     fn lock_grants(&self) -> MutexGuard<'_, Grants> {
         self.grants.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/harefield/src/engine/relay.rs
+++ b/crates/harefield/src/engine/relay.rs
@@ -1,5 +1,5 @@
-//! Groups of shards taken from daemons of other availability zones: this daemon asks
-//! their replicas beside it, and answers with the merged records.
+//! Groups of shards delegated by daemons of other availability zones: this daemon queries their
+//! replicas near it, and answers with the merged records.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -35,15 +35,15 @@
 use crate::ports::Upstreams;
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
-    /// Takes a group from another daemon: asks its shards, and answers with what
-    /// they brought when its time is up.
+    /// Handles a group from another daemon: queries its shards, and answers with their results when
+    /// its time is up.
     ///
-    /// It passes no gate: its request has passed that of the daemon it came to, and waiting
-    /// at a second one took what was left of its time. Over 15 played days credit of the
-    /// kind with the shortest objective rose from 0.899 to 0.908. Only a daemon that runs
-    /// all that it may run at once declines.
+    /// A group passes no gate: its request has passed that of the daemon it came to, and waiting at
+    /// a second one used up what was left of its time. Over 15 simulated days, credit of the kind
+    /// with the shortest objective rose from 0.899 to 0.908. Only a daemon that already runs as
+    /// many requests as it may declines a group it could serve.
     ///
-    /// Dropping the future gives the group up, as when that daemon goes away.
+    /// Dropping the future cancels the group, as when the delegating daemon disconnects.
     pub async fn group(self: &Rc<Self>, mut group: Group) -> GroupReply {
         let start = self.ports.clock.now();
         self.receive_stamp(group.stamp);
@@ -99,14 +99,15 @@
         GroupReply { stamp: self.stamp(), declined: true, ..GroupReply::default() }
     }
 
-    /// Answers a group that may not run: the daemon that handed it on asks nobody else for it.
+    /// Answers a group that may not run, so that the delegating daemon queries no other daemon for
+    /// it.
     fn withheld(&self, shards: usize) -> GroupReply {
         let gap = |at| GroupGap { at, why: Gap::Withheld, ran: false, sent: u32::MAX };
         GroupReply { stamp: self.stamp(), missing: (0..shards).map(gap).collect(), ..GroupReply::default() }
     }
 
-    /// Finds the plan of a group; none where this daemon holds another view of
-    /// the lookup's shards, does not trust its own, or is stopping.
+    /// Finds the plan of a group; none where this daemon has another view of the lookup's shards,
+    /// does not trust its own view, or is stopping.
     fn resolve_group(
         &self,
         group: &Group,
@@ -140,7 +141,8 @@
         Some((resolved, Arc::new(shards)))
     }
 
-    /// Leaves the replicas out of a plan that stand in other regions than those named.
+    /// Removes the replicas from a plan that are in other regions than those named; removes none
+    /// where no region is named.
     pub(super) fn restrict_regions(&self, plan: Plan, regions: &[Arc<str>]) -> Plan {
         let residency = Residency::new(regions);
         if !residency.is_bound() {
--- a/crates/harefield/src/engine/room.rs
+++ b/crates/harefield/src/engine/room.rs
@@ -1,4 +1,5 @@
-//! Room in the daemon's memory for what a request will bring: what does not fit is not begun.
+//! Reserves memory for the replies that a request is expected to bring. A request whose replies do
+//! not fit is not started.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,21 +13,22 @@
 use crate::ports::Peers;
 use crate::ports::Upstreams;
 
-/// Requests that bring less are not booked: the read of their replies finds room or does not.
+/// Requests with smaller expected replies reserve nothing; memory for them is claimed as the
+/// replies are read, and may be refused then.
 const MIN_RESERVED: usize = 16 << 10;
 
-/// The part of what is known of a lookup's replies that is forgotten with each smaller one.
+/// A lookup's expected reply size shrinks by one part in this many with each smaller reply.
 const DECAY_DIVISOR: usize = 8;
 
-/// When to come back where nobody is known whose connection is about to end.
+/// How long a caller is told to wait when no connection is known that is about to be closed.
 const RETRY_AFTER: Duration = Duration::from_millis(500);
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
-    /// Books room for the replies to a request; none is needed where they are small.
+    /// Reserves memory for the replies to a request; none is needed where they are small.
     ///
     /// # Errors
     ///
-    /// Returns when to come back where they do not fit.
+    /// Returns how long to wait before a retry when they do not fit.
     pub(super) async fn reserve_memory(&self, resolved: &ResolvedRequest) -> Result<Option<Held>, Duration> {
         let expected = self.reply_sizes.borrow().get(&resolved.plan.name).copied().unwrap_or(0);
         if expected < MIN_RESERVED {
@@ -36,7 +38,7 @@
         reserved.map(Some).ok_or_else(|| self.memory.come_back().unwrap_or(RETRY_AFTER))
     }
 
-    /// Learns how much the replies to a request came to.
+    /// Updates a lookup's expected reply size from the replies to one request.
     pub(super) fn record_size(&self, resolved: &ResolvedRequest, finished: &Finished) {
         let replies = finished.parts.iter().filter_map(|part| part.reply.bytes());
         let total: usize = replies.map(|reply| reply.body.len()).sum();
--- a/crates/harefield/src/engine/run.rs
+++ b/crates/harefield/src/engine/run.rs
@@ -1,4 +1,4 @@
-//! The life of one request in a worker, from its plan to its answer.
+//! The life of one request in a worker, from its arrival to its answer.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -39,18 +39,19 @@
 use crate::telemetry::Batch;
 use crate::telemetry::Trace;
 
-/// When a refused caller may come back where nothing better is known.
+/// How long a refused caller is told to wait when no better estimate is known.
 const RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// When a refused caller may come back where only another configuration helps: the users'
-/// bounds for one to be in force are 3 to 5 s.
+/// How long a refused caller is told to wait when only another configuration helps: the users
+/// require one to be active within 3 to 5 s.
 pub(super) const CONFIG_RETRY: Duration = Duration::from_secs(5);
 
-/// This part of the margin for an answer's way back is for this daemon's own time.
+/// The margin kept for an answer's return is divided by this: one part is for this daemon's own
+/// processing.
 const PROCESSING_DIVISOR: u32 = 2;
 
-/// Counts a request as in progress until dropped, and tells when its caller
-/// went away first.
+/// Counts a request or group as in progress until dropped, and reports it as abandoned if its
+/// caller disconnected first.
 pub(super) struct RequestGuard<'a, U, P, C> {
     worker: &'a Worker<U, P, C>,
     abandoned: Option<Batch>,
@@ -66,10 +67,10 @@
 }
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
-    /// Takes a request and answers it.
+    /// Answers a request.
     ///
-    /// Dropping the future gives the request up; a once-only request that has
-    /// begun goes on and its outcome stays with its ticket.
+    /// Dropping the future cancels the request, except that a once-only request that has begun runs
+    /// on and its outcome stays with its ticket.
     pub async fn lookup(self: &Rc<Self>, request: LookupRequest) -> Answer {
         let start = self.ports.clock.now();
         let mut trace = self.request_trace(request.request.as_deref());
@@ -87,14 +88,14 @@
         answer
     }
 
-    /// Counts a request as in progress; sends `gone` where what is returned is dropped
-    /// before that is taken out.
+    /// Counts a request or group as in progress. `abandoned` is sent if the guard is dropped before
+    /// that is taken out.
     pub(super) fn track_request(&self, abandoned: Option<Batch>) -> RequestGuard<'_, U, P, C> {
         self.running.set(self.running.get() + 1);
         RequestGuard { worker: self, abandoned }
     }
 
-    /// Takes the stamp of a message from another daemon.
+    /// Merges the stamp of a message from another daemon into the hybrid clock.
     pub(super) fn receive_stamp(&self, stamp: Stamp) {
         self.hybrid.borrow_mut().receive(self.ports.clock.wall(), stamp);
     }
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Answers a request whose plan is found and whose caller may ask.
+    /// Answers a request that is resolved and whose caller is authorized.
     pub(super) async fn answer_resolved(
         self: &Rc<Self>,
         request: &LookupRequest,
@@ -157,9 +158,9 @@
         self.once(request, resolved, trace).await
     }
 
-    /// Says why a request that another daemon hands on is not taken: it would
-    /// run under an older configuration than it was let in under, was let in by a daemon that
-    /// knows of no accounts yet, or must go elsewhere since this daemon is stopping.
+    /// Returns why this daemon declines a request that another one forwarded: it would run under an
+    /// older configuration than it was admitted under, was admitted by a daemon that does not know
+    /// of accounts yet, or must go to another member since this daemon is stopping.
     fn decline_reason(&self, request: &LookupRequest) -> Option<Code> {
         let origin = &request.origin;
         if *origin == Origin::Caller {
@@ -175,9 +176,10 @@
         self.charge_repeat(origin.terms().again)
     }
 
-    /// Pays for a request that another member may be running as well. It is paid for here,
-    /// where it runs, and not where it came in: members are few, so that their parts of what
-    /// the fleet may add are worth something, and add up to no more.
+    /// Charges the rerun budget for a request that another member may be running as well; a first
+    /// forward earns budget instead. The charge is made here, where the request runs, and not where
+    /// it came in: a cell has few members, so that their shares of what the fleet may add are large
+    /// enough to be useful, and add up to no more.
     fn charge_repeat(&self, again: bool) -> Option<Code> {
         let mut budget = self.rerun_budget.borrow_mut();
         if !again {
@@ -206,7 +208,7 @@
         }
     }
 
-    /// Runs a request here: the gate, the snapshot, the fan-out.
+    /// Runs a request here: passes the gate, chooses a snapshot and fans out.
     pub(super) async fn run(
         self: &Rc<Self>,
         request: &LookupRequest,
@@ -221,11 +223,11 @@
             Err(refusal) => return refuse(trace, refusal.code, refusal.wait),
         };
         let _reservation = match self.reserve_memory(resolved).await {
-            Ok(room) => room,
+            Ok(reservation) => reservation,
             Err(wait) => return refuse(trace, Code::NoRoom, wait),
         };
-        // Nothing has run: whoever is a member now takes it, and this daemon's room is for what
-        // it began before.
+        // Nothing has run yet, so a current member can take the request. This daemon's capacity is
+        // for what it began before it left the cell.
         if !self.is_member(resolved) {
             return refuse(trace, Code::NotMember, Duration::ZERO);
         }
@@ -243,8 +245,8 @@
         self.fan_out_with_fallback(&job, resolved, permit, trace).await
     }
 
-    /// Fans out at the best snapshot, and once more at another where the first
-    /// turned out not to be held and the request may be repeated.
+    /// Fans out at the best snapshot, and once more at another where the first turned out not to be
+    /// held by its upstreams and the request may be repeated.
     async fn fan_out_with_fallback(
         self: &Rc<Self>,
         job: &Job,
@@ -277,7 +279,7 @@
                     return refuse(trace, Code::NotMember, Duration::ZERO);
                 }
                 if let Some(permit) = permit {
-                    permit.release(run.crowd);
+                    permit.release(run.congestion);
                 }
                 return build_answer(trace, &plan, run.finished, resolved);
             }
@@ -320,7 +322,7 @@
         }
     }
 
-    /// Learns how long after its cut an answer by some rules goes out, which is now.
+    /// Records how long after its cutoff an answer is given, which is now.
     pub(super) fn record_overrun(&self, overruns: &Cell<Overrun>, rules: &Rules) {
         let (Some(cut), Some(objective)) = (rules.cut, rules.objective) else { return };
         let time = objective.saturating_duration_since(rules.start);
@@ -329,13 +331,14 @@
         overruns.set(overrun);
     }
 
-    /// Says whether this daemon is still in the cell of a request's index.
+    /// Returns whether this daemon is still in the cell of a request's index.
     fn is_member(&self, resolved: &ResolvedRequest) -> bool {
         self.router.borrow().is_member(&resolved.plan.lookup.index, &self.settings.host)
     }
 
-    /// Says whether the cell moved while a request waited here that ran nowhere, so that a
-    /// member may run it. What an upstream may have refused meanwhile is paid for.
+    /// Returns whether the cell moved while a request waited here and ran nowhere, so that a member
+    /// may run it. Attempts that an upstream may have refused meanwhile are charged to the rerun
+    /// budget.
     fn has_cell_moved(&self, resolved: &ResolvedRequest, finished: &Finished) -> bool {
         let moved = !self.is_member(resolved);
         let unsent = finished.sent.iter().all(|sent| *sent == 0);
@@ -343,7 +346,7 @@
         moved && finished.code == Code::NoReplica && is_paid()
     }
 
-    /// Says whether another snapshot promises more than what was found.
+    /// Returns whether another snapshot promises a better answer than this result.
     fn has_better_snapshot(&self, finished: &Finished, plan: &Arc<Plan>, resolved: &ResolvedRequest) -> bool {
         let unheld = |gap: Gap| matches!(gap, Gap::SnapshotMissing | Gap::SnapshotWrong | Gap::ShardMoved);
         let lost = finished.coverage.missing.iter().any(|missing| unheld(missing.why));
@@ -356,8 +359,8 @@
     }
 }
 
-/// Says whether a request's shards may be handed on in groups: their records are
-/// merged on the way, and what is lost with a daemon may be asked again.
+/// Returns whether a request's shards may be delegated in groups: the delegates merge the records,
+/// and what is lost with a daemon may be queried again.
 fn is_mergeable(job: &Job) -> bool {
     job.merge.is_some() && !job.once && matches!(job.query, Query::Bytes(_))
 }
@@ -368,12 +371,13 @@
     Answer::not_run(request, code, Some(wait))
 }
 
-/// Returns when to come back where a code alone says so.
+/// Returns how long a caller is told to wait when that follows from the code alone.
 pub(super) fn retry_wait(code: Code) -> Duration {
     if code == Code::NoRegion { CONFIG_RETRY } else { RETRY_AFTER }
 }
 
-/// Refuses a request of a caller that may not ask; some are told when they may.
+/// Refuses a request that is not authorized. The caller is told when to retry only if the refusal
+/// may end by itself.
 pub(super) fn reject_caller<C: Clock>(trace: &Trace<C>, refusal: &Refusal) -> Answer {
     let request = trace.request().map_or("", |id| id);
     Answer::not_run(request, refusal.code, refusal.wait.map(|wait| millis(wait).max(1)))
--- a/crates/harefield/src/engine/status.rs
+++ b/crates/harefield/src/engine/status.rs
@@ -1,4 +1,4 @@
-//! What a worker tells the board of itself.
+//! What a worker reports to the status board.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 const REPORT_EVERY: Duration = Duration::from_millis(500);
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
-    /// Reports to the board from time to time.
+    /// Reports the worker's status to the board at a fixed interval.
     pub async fn report(self: Rc<Self>, board: Arc<Board>, opened: impl Fn() -> u64) {
         loop {
             let status = self.status(opened());
--- a/crates/harefield/src/engine/suspects.rs
+++ b/crates/harefield/src/engine/suspects.rs
@@ -1,5 +1,8 @@
-//! Requests under whose like upstreams ended: what attempts show of them, and running them
-//! alone or not at all.
+//! Queries of death: requests suspected of crashing the upstreams that run them. Attempts provide
+//! the evidence, and a suspect request runs on one upstream at a time or is withheld.
+//!
+//! A *work* identifies what is asked and for whom. A *trial* is a run of a suspect work on one
+//! upstream alone.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -51,22 +54,22 @@
 use crate::telemetry::Batch;
 use crate::telemetry::Trace;
 
-/// When to come back where the one trial of a work is under way: it takes as long as one
-/// upstream.
+/// How long a caller is told to wait while the only trial of its work runs: about as long as one
+/// upstream takes.
 const RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// How many upstreams a trial may turn to: those that ended a moment ago are listed still,
-/// and take no connections. Of nine upstreams of which four had ended, two of three trials
-/// met one of them and were refused.
+/// How many upstreams a trial may try. Upstreams that exited a moment ago are still listed, and
+/// accept no connections: of nine upstreams of which four had exited, two of three trials met one
+/// of them and were refused.
 const TRIAL_ATTEMPTS: u32 = 4;
 
-/// How long a shard waits for the check whether its upstream has ended.
+/// How long a shard waits for the check whether its upstream has exited.
 const CHECK_WAIT: Duration = Duration::from_millis(100);
 
-/// How often a request looks whether the trial of its work has ended.
+/// How often a request checks whether the trial of its work has ended.
 const POLL_EVERY: Duration = Duration::from_millis(2);
 
-/// The one trial of a work in this worker, until dropped.
+/// Marks a work as on trial in this worker until dropped.
 struct TrialGuard<'a> {
     trials: &'a RefCell<HashSet<WorkId>>,
     work: WorkId,
@@ -79,7 +82,8 @@
 }
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
-    /// Takes what the fleet knows of works; tells it where an answer here clears one.
+    /// Merges what the fleet knows of suspect works. Where an answer received here clears one,
+    /// publishes that.
     pub(super) fn merge_suspects(&self, suspects: &[Suspect]) {
         let now = self.ports.clock.now();
         for suspect in suspects {
@@ -91,21 +95,21 @@
         }
     }
 
-    /// Takes what a daemon that hands a request on knows of its work.
+    /// Merges what a daemon that forwards a request knows of its work.
     pub fn merge_reports(&self, reports: &[SuspectReport]) {
         let now = self.ports.clock.now();
         let suspects: Vec<Suspect> = reports.iter().map(|report| report.heard(now)).collect();
         self.merge_suspects(&suspects);
     }
 
-    /// Returns what is known here of a work, for a daemon that a request is handed to.
+    /// Returns what is known here of a work, for a daemon that a request is forwarded to.
     pub(super) fn reports(&self, work: &Work) -> Vec<SuspectReport> {
         let now = self.ports.clock.now();
         let known = self.suspects.borrow().known(work);
         known.iter().map(|suspect| SuspectReport::new(suspect, now)).collect()
     }
 
-    /// Says whether a work may run.
+    /// Returns whether a work may run freely, alone, or not at all.
     pub(super) fn clearance(&self, work: &Work) -> Standing {
         self.suspects.borrow().standing(work, self.ports.clock.now())
     }
@@ -113,13 +117,13 @@
     fn publish_suspects(&self, changed: impl IntoIterator<Item = Suspect>) {
         for suspect in changed {
             if self.control.try_send(ToControl::Suspect(suspect)).is_err() {
-                log::warn!("the control duty is busy: what is known of a work is not passed on");
+                log::warn!("the control channel is full or closed: an update on a suspect request is lost");
             }
         }
     }
 
-    /// Takes how an attempt ended as a sign of what its work does; a reply that was lost
-    /// with its upstream is told apart from others.
+    /// Records how an attempt ended as evidence about its work. A reply that was lost because its
+    /// upstream exited is told apart from other lost replies.
     pub(super) async fn classify_end(
         self: &Rc<Self>,
         attempt: &Attempt,
@@ -144,11 +148,12 @@
         self.publish_suspects(changed);
     }
 
-    /// Says whether an upstream is known by now to have lost a reply with its end, where
-    /// nobody else answered the request.
+    /// Returns whether an upstream is known by now to have lost a reply because it exited, where no
+    /// other upstream answered the request.
     ///
-    /// A check that takes longer goes on by itself: on a daemon that stood still it would count
-    /// as an upstream that runs, and the fleet would not hear of the one that ended.
+    /// A check that takes longer than [`CHECK_WAIT`] continues in the background. Otherwise an
+    /// upstream that exited would count as running on a daemon that was paused meanwhile, and the
+    /// fleet would not learn of the exit.
     async fn is_upstream_exit(self: &Rc<Self>, attempt: &Attempt, pending: &PendingAttempt) -> bool {
         if attempt.job.evidence.answered.get() {
             return false;
@@ -170,19 +175,19 @@
         known.unwrap_or(false)
     }
 
-    /// Checks whether an upstream has ended, and notes it where nobody answered the request;
-    /// returns whether it did.
+    /// Checks whether an upstream has exited, and records it where no upstream answered the
+    /// request. Returns whether it did.
     async fn check_exit(self: Rc<Self>, job: Job, upstream: UpstreamId, alone: bool) -> bool {
-        let ended = self.has_exited(&upstream).await && !job.evidence.answered.get();
-        if ended {
+        let exited = self.has_exited(&upstream).await && !job.evidence.answered.get();
+        if exited {
             self.record_exit(&job, &upstream, alone);
         }
-        ended
+        exited
     }
 
     async fn has_exited(&self, upstream: &UpstreamId) -> bool {
         let target = self.router.borrow().searcher(upstream).map(|s| (s.spec().address, s.share()));
-        // One that the configuration no longer names has ended, or is about to.
+        // An upstream that the configuration no longer names has exited, or is about to.
         let Some((address, share)) = target else { return true };
         let place = Place { upstream: Arc::clone(upstream), address };
         self.ports.upstreams.has_ended(&place, share).await
@@ -192,7 +197,7 @@
         let alone = alone && job.whole;
         let now = self.ports.clock.now();
         let changed = self.suspects.borrow_mut().end(&job.work, upstream, alone, now);
-        // A part of a request may lack an answer that others of its parts have.
+        // A group of shards may lack an answer that other parts of its request have.
         if job.whole || self.clearance(&job.work) != Standing::Free {
             self.publish_suspects(changed);
         }
@@ -201,7 +206,7 @@
         self.telemetry.send(Batch { request, events: vec![(self.stamp(), event)] });
     }
 
-    /// Answers a request whose work may not run freely; none where it may.
+    /// Answers a request whose work may not run freely; returns none where it may.
     pub(super) async fn check_suspect(
         self: &Rc<Self>,
         request: &LookupRequest,
@@ -211,7 +216,7 @@
         match self.clearance(&resolved.work) {
             Standing::Free => None,
             Standing::Withheld(wait) => Some(refuse(trace, Code::Withheld, wait)),
-            // One that needs a ticket runs once, at the daemon that the ticket names.
+            // A request that needs a ticket runs once, at the daemon that the ticket names.
             Standing::Alone(_) if needs_ticket(request, resolved) => None,
             Standing::Alone(_) => self.run_isolated(request, resolved, trace).await,
         }
@@ -247,8 +252,8 @@
         self.run_trial(request, resolved, trace).await
     }
 
-    /// Returns the daemon that runs a work alone: the same one for each that asks, of the
-    /// members of its cell that answer, so that the fleet has one trial at a time.
+    /// Returns the daemon that runs the trials of a work. All daemons choose the same one, of the
+    /// members of the cell that answer, so that the fleet has one trial at a time.
     fn trial_host(&self, resolved: &ResolvedRequest) -> Option<HostId> {
         let view = self.view.borrow();
         let cell = view.cells.get(resolved.plan.lookup.index.as_str())?;
@@ -277,8 +282,8 @@
         }
     }
 
-    /// Waits until a work may be tried and no trial of it is under way here, or half of a
-    /// request's time is over.
+    /// Waits until a work may be tried and no trial of it runs here, or until half of the request's
+    /// time has passed.
     async fn await_trial_slot(&self, resolved: &ResolvedRequest) {
         let too_soon = || matches!(self.clearance(&resolved.work), Standing::Alone(wait) if !wait.is_zero());
         let is_running = || self.trials.borrow().contains(&resolved.work.exact);
@@ -287,8 +292,8 @@
         }
     }
 
-    /// Asks one upstream of one shard; returns the answer where that is all there is to ask,
-    /// or where it failed.
+    /// Queries one upstream of one shard. Returns the answer where the request has no other shard,
+    /// or where the trial failed.
     async fn run_trial(
         self: &Rc<Self>,
         request: &LookupRequest,
@@ -316,8 +321,8 @@
         failed_trial(&run.finished, trace)
     }
 
-    /// Chooses a shard of a request's snapshot that has an upstream to ask; returns the
-    /// whole plan and the one of that shard.
+    /// Chooses a shard of a request's snapshot that has a usable upstream. Returns the whole plan
+    /// and the plan of that shard.
     fn choose_trial_shard(&self, resolved: &ResolvedRequest) -> Option<(Arc<Plan>, Arc<Plan>)> {
         let plan = self.choose_snapshot(resolved)?;
         let router = self.router.borrow();
@@ -329,12 +334,12 @@
     }
 }
 
-/// Says whether a request runs under a ticket alone.
+/// Returns whether a request runs only under a ticket.
 fn needs_ticket(request: &LookupRequest, resolved: &ResolvedRequest) -> bool {
     !resolved.plan.lookup.repeatable && matches!(request.query, Query::Json(_))
 }
 
-/// Returns the answer of a request whose trial brought nothing; none where it was answered.
+/// Returns the answer to a request whose trial was not answered; none where it was answered.
 fn failed_trial<C: Clock>(finished: &Finished, trace: &Trace<C>) -> Option<Answer> {
     match finished.outcome {
         Outcome::Answered => None,
--- a/crates/harefield/src/engine/updates.rs
+++ b/crates/harefield/src/engine/updates.rs
@@ -1,4 +1,5 @@
-//! What a worker takes from the control duty, and the lease on what it knows.
+//! Applies the control duty's messages to a worker, and maintains the lease on what the worker
+//! knows.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -24,14 +25,14 @@
 use crate::ports::Upstreams;
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
-    /// Takes messages from the control duty until its ring is closed.
+    /// Applies messages from the control duty until their channel is closed.
     pub async fn listen(self: Rc<Self>, messages: Receiver<ToWorker>) {
         while let Ok(message) = messages.recv().await {
             self.apply(message);
         }
     }
 
-    /// Takes one message from the control duty.
+    /// Applies one message from the control duty.
     pub fn apply(&self, message: ToWorker) {
         match message {
             ToWorker::View(view) => self.apply_view(view),
@@ -74,8 +75,8 @@
         *self.view.borrow_mut() = view;
     }
 
-    /// Bounds what whole requests that are handed on a second time may add here, by the
-    /// largest cell that this daemon is in.
+    /// Limits what whole requests that are forwarded a second time may add here, by the largest
+    /// cell that this daemon is in.
     fn limit_reruns(&self, view: &View) {
         let Some(slack) = self.settings.slack else { return };
         let own = &self.settings.host;
@@ -90,7 +91,7 @@
             .bound(least.unwrap_or_else(|| rerun_part(slack, self.known_daemons.get(), 0)));
     }
 
-    /// Renews the lease on a short timer; asks for a confirmation after a pause.
+    /// Renews the lease on a short timer, and asks for a confirmation after a pause.
     pub async fn keep_lease(self: Rc<Self>) {
         loop {
             self.renew();
--- a/crates/harefield/src/engine/warm.rs
+++ b/crates/harefield/src/engine/warm.rs
@@ -1,5 +1,5 @@
-//! Connections opened ahead of need, so that no request waits for one, and at
-//! a pace, so that a mass restart is no herd on the searchers.
+//! Opens connections ahead of need, so that no request waits for one, and at a limited rate, so
+//! that a mass restart does not overwhelm the upstreams.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -14,27 +14,26 @@
 use crate::ports::Place;
 use crate::ports::Upstreams;
 
-/// How long a new worker waits first: until it knows most of the fleet it takes
-/// itself for a member of cells that it is not in. Daemons speak to each other once
-/// a second by default.
+/// How long a new worker waits first: until it knows most of the fleet it takes itself for a member
+/// of cells that it is not in. Daemons gossip once a second by default.
 const STARTUP_DELAY: Duration = Duration::from_secs(1);
 
-/// How often some are opened by a daemon of [`OPENER`]; a weaker one takes longer, since
-/// each takes it some tenths of a millisecond from its requests.
+/// The interval between batches on a daemon of [`FULL_RATE_CAPACITY`]. A weaker one waits longer,
+/// since each connection takes some tenths of a millisecond from its requests.
 const OPEN_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The capacity that opens at full pace, in thousandths of a core.
+/// The capacity from which connections are opened at the full rate, in thousandths of a core.
 const FULL_RATE_CAPACITY: u32 = 250;
 
-/// How many are opened at a time.
+/// The number of connections opened between two waits.
 const OPEN_BATCH: usize = 4;
 
-/// How long the duty rests when every upstream had what it needs.
+/// The pause between passes over all upstreams.
 const IDLE_PAUSE: Duration = Duration::from_millis(100);
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
-    /// Keeps connections ready to the upstreams of the cells that this daemon
-    /// is a member of, to as many as `domain::routing` says.
+    /// Keeps connections ready to the upstreams of the cells that this daemon is a member of, as many
+    /// as `domain::routing` says.
     pub async fn keep_warm(self: Rc<Self>) {
         self.ports.clock.sleep(STARTUP_DELAY).await;
         let every = OPEN_INTERVAL * FULL_RATE_CAPACITY / self.settings.capacity.clamp(1, FULL_RATE_CAPACITY);
--- a/crates/harefield/src/engine/worker.rs
+++ b/crates/harefield/src/engine/worker.rs
@@ -1,7 +1,7 @@
 //! The state of one worker.
 //!
-//! What it takes from the control duty stands in `updates`, what it tells the
-//! board in `status`, and the life of a request in `run`.
+//! Messages from the control duty are applied in `updates`, the status board is served by `status`,
+//! and requests run in `run`.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -58,52 +58,52 @@
 use crate::telemetry::Telemetry;
 use crate::telemetry::Trace;
 
-/// What a worker is told when it is made.
+/// The settings of a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerSettings {
     /// The daemon.
     pub host: HostId,
-    /// Its availability zone.
+    /// The daemon's availability zone.
     pub zone: Arc<str>,
-    /// What it can carry, in thousandths of a core.
+    /// The daemon's capacity, in thousandths of a core.
     pub capacity: u32,
-    /// Its incarnation.
+    /// The daemon's incarnation.
     pub incarnation: Incarnation,
     /// The worker's number.
     pub number: usize,
     /// How many workers the daemon has.
     pub workers: u32,
-    /// Whether there are to be other daemons.
+    /// Whether the fleet is expected to have other daemons.
     pub expects_peers: bool,
-    /// Bounds of each gate.
+    /// The limits of each admission gate.
     pub gate: GateLimits,
-    /// How a replica is chosen.
+    /// The policy by which a replica is chosen.
     pub policy: Policy,
     /// Extra requests allowed for each needed one.
     pub extra: f64,
-    /// What the whole fleet may send to one service on top within a window,
-    /// where that is bound; budgets are then kept for each service.
+    /// What the whole fleet may send to one service beyond that within a window, in requests; none
+    /// for no such limit. Where set, budgets are kept for each service.
     pub slack: Option<f64>,
-    /// How many daemons are taken to share it before any is known.
+    /// How many daemons are assumed to share it before any is known.
     pub daemons: u32,
-    /// Where this daemon and the availability zones are.
+    /// The places of this daemon and of the availability zones.
     pub places: Places,
-    /// What is kept of an objective for the answer's way back.
+    /// What is kept of an objective for the answer's return.
     pub margin: Duration,
-    /// After how many times the slow pace a hedge is due; none for no hedges.
+    /// The multiple of the slow pace after which a hedge is due; none for no hedges.
     pub hedge: Option<f64>,
-    /// A fixed delay before hedges instead.
+    /// A fixed delay before hedges, which replaces the one by `hedge`.
     pub fixed_hedge: Option<Duration>,
-    /// How long an unwanted reply is awaited to keep its connection.
+    /// How long a reply that is no longer wanted is awaited to keep its connection.
     pub drain: Duration,
-    /// Of this many requests, one is recorded in detail; 0 for none.
+    /// One of this many requests is recorded in detail; 0 for none.
     pub detail: u64,
-    /// Seeds the worker's random choices.
+    /// The seed of the router's random choices.
     pub seed: u64,
-    /// How far the fleet may go above accounts' limits.
+    /// How far the fleet may exceed accounts' limits.
     pub overage: Overage,
-    /// How old a proof of the configuration may be for keys to open anything; none where a
-    /// daemon that cannot know goes by what it holds.
+    /// The oldest proof of the configuration with which keys are accepted; none where keys are
+    /// accepted by the configuration held, however old.
     pub max_proof_age: Option<Duration>,
 }
 
@@ -121,11 +121,11 @@
 /// What the workers of a daemon share.
 #[derive(Clone, Debug)]
 pub struct Shared {
-    /// Once-only requests.
+    /// The tickets of once-only requests.
     pub ledger: Arc<Mutex<Ledger>>,
     /// The parts of accounts' limits that the daemon holds.
     pub grants: Arc<Mutex<Grants>>,
-    /// The account of what is held for others.
+    /// The account of the memory used for callers, upstreams and other daemons.
     pub memory: Memory,
 }
 
@@ -140,11 +140,11 @@
     pub(super) peers: RefCell<Arc<PeerView>>,
     pub(super) gates: RefCell<HashMap<Arc<str>, Gate>>,
     pub(super) waiters: RefCell<HashMap<WaiterKey, Sender<Called>>>,
-    /// When the requests left that are handed to each daemon.
+    /// When the requests in flight at each daemon were forwarded to it.
     pub(super) forwards: RefCell<HashMap<HostId, Vec<Instant>>>,
     pub(super) rerun_budget: RefCell<Budget>,
     pub(super) ledger: Arc<Mutex<Ledger>>,
-    /// Works under which upstreams ended, as the fleet knows them.
+    /// Works suspected of crashing upstreams, as the fleet knows them.
     pub(super) suspects: RefCell<Suspects>,
     /// Works that run alone here now.
     pub(super) trials: RefCell<HashSet<WorkId>>,
@@ -154,22 +154,22 @@
     pub(super) running: Cell<usize>,
     pub(super) stopping: Cell<bool>,
     pub(super) counts: Cell<Counts>,
-    /// Whose turn it is in each divided lookup.
+    /// The weighted round-robin credits of the parts of each divided lookup.
     pub(super) part_credits: RefCell<HashMap<Arc<str>, Vec<i64>>>,
-    /// The time that requests of each lookup usually come with.
+    /// Recent time limits of the requests for each lookup.
     pub(super) time_limits: RefCell<HashMap<Arc<str>, Recent>>,
-    /// The newest edition that other daemons ran requests of this one under, and when
-    /// that was last seen.
+    /// The newest edition that other daemons ran requests of this one under, and when that was last
+    /// seen.
     pub(super) seen_edition: Cell<Option<(Edition, Instant)>>,
-    /// How long after their cut answers go out.
+    /// How long after their cutoff answers are given.
     pub(super) overruns: Overruns,
     /// The most daemons that were ever known at once.
     pub(super) known_daemons: Cell<u32>,
-    /// Keys that were found unknown.
+    /// Keys that were found to be unknown.
     pub(super) unknown_keys: RefCell<UnknownKeys>,
-    /// Up to when nothing that was confirmed is missing here.
+    /// The time up to which no confirmed change is missing here.
     pub(super) proven: Cell<Option<Instant>>,
-    /// Who holds the parts of accounts' limits.
+    /// The daemons that hold the parts of accounts' limits.
     pub(super) holders: RefCell<Holders>,
     /// The parts that this daemon holds.
     pub(super) grants: Arc<Mutex<Grants>>,
@@ -177,28 +177,28 @@
     pub(super) reserves: RefCell<HashMap<AccountId, Reserve>>,
     /// Until when holders that did not answer are passed over.
     pub(super) unresponsive: RefCell<HashMap<HostId, Instant>>,
-    /// The account of what is held for others.
+    /// The account of the memory used for callers, upstreams and other daemons.
     pub(super) memory: Memory,
-    /// How many bytes the replies of each lookup's requests come to.
+    /// The expected size of the replies to a request, in bytes, by lookup.
     pub(super) reply_sizes: RefCell<HashMap<Arc<str>, usize>>,
-    /// Whether another daemon was ever heard of.
+    /// Whether another daemon was ever known.
     pub(super) peer_seen: Cell<bool>,
     request_count: Cell<u64>,
 }
 
-/// Names a request that waits: the index of its gate and its number there.
+/// Identifies a waiting request: the index of its gate and its number there.
 pub(super) type WaiterKey = (Arc<str>, WaiterId);
 
-/// How long after their cut answers go out, learnt.
+/// Learned delays between the cutoff of answers and when they are given.
 #[derive(Debug, Default)]
 pub(super) struct Overruns {
     /// Of requests that run here.
     pub own: Cell<Overrun>,
-    /// Of groups taken from other daemons.
+    /// Of groups delegated by other daemons.
     pub groups: Cell<Overrun>,
 }
 
-/// Counts since the start.
+/// Counts since the worker started.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Counts {
     pub answered: u64,
@@ -207,7 +207,7 @@
 }
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
-    /// Creates a worker that knows nothing yet.
+    /// Creates a worker that knows no configuration and no other daemon yet.
     #[must_use]
     pub fn new(
         settings: WorkerSettings,
@@ -300,24 +300,24 @@
         Ok(Arc::clone(&plan.name))
     }
 
-    /// Returns the edition in force here.
+    /// Returns the edition that is active here.
     #[must_use]
     pub fn edition(&self) -> Edition {
         self.view.borrow().edition
     }
 
-    /// Returns the bounds on callers' requests, as published.
+    /// Returns the published limits on callers' requests.
     pub fn bounds(&self) -> Bounds {
         self.view.borrow().bounds
     }
 
-    /// Returns the account of what is held for others.
+    /// Returns the account of the memory used for callers, upstreams and other daemons.
     #[must_use]
     pub fn memory(&self) -> &Memory {
         &self.memory
     }
 
-    /// Returns a trace for what concerns no request.
+    /// Returns a trace for events that belong to no request.
     pub(super) fn duty_trace(&self) -> Trace<C> {
         Trace::new(None, true, &self.hybrid, self.ports.clock, &self.telemetry)
     }
@@ -332,7 +332,7 @@
         };
         let every = self.settings.detail;
         let detail = every > 0 && number.is_multiple_of(every);
-        debug!("request {request} detail {detail}");
+        debug!("request {request}: recorded in detail: {detail}");
         Trace::new(Some(request), detail, &self.hybrid, self.ports.clock, &self.telemetry)
     }
 
