--- a/crates/harefield/src/engine/attempt.rs
+++ b/crates/harefield/src/engine/attempt.rs
@@ -1,5 +1,5 @@
-//! Attempts on upstreams: each runs as a task of its own, so that its end is
-//! learnt from even after the request it was for has been answered.
+//! Attempts on upstreams. Each runs as a task of its own, so that its outcome is recorded even
+//! after its request has been answered.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use futures_lite::FutureExt;
 use futures_lite::future;
 
-use super::gate::Permit;
+use super::gate::GatePermit;
 use super::job::Job;
 use super::message::ToControl;
 use super::worker::Worker;
@@ -47,15 +47,15 @@
 use crate::telemetry::Batch;
 use crate::telemetry::Trace;
 
-/// The end of an attempt, on its way to the fan-out.
-pub(super) enum Landed {
-    /// Of one shard.
+/// How an attempt or a group of shards ended, as sent to the fan-out.
+pub(super) enum CompletedAttempt {
+    /// An attempt on one shard.
     Shard { shard: usize, attempt: AttemptId, end: AttemptEnd },
-    /// Of a group of shards.
+    /// A group of shards that was delegated to another daemon.
     Group(GroupRequest, GroupOutcome),
 }
 
-/// The tasks of one fan-out; dropped, they end where they are.
+/// The tasks of one fan-out. Dropping them cancels them.
 #[derive(Default)]
 struct Tasks {
     attempts: Vec<Task<()>>,
@@ -63,7 +63,7 @@
 }
 
 impl Tasks {
-    /// Lets what is still out go on by itself.
+    /// Lets the unfinished tasks run on in the background.
     fn detach(self) {
         self.attempts.into_iter().for_each(Task::detach);
         self.groups.into_iter().for_each(|(_, task)| task.detach());
@@ -91,17 +91,17 @@
     }
 }
 
-/// An attempt under way, which is taken off its upstream's account when its
-/// task is dropped half-way.
-struct Underway<'a, U: Upstreams, P: Peers, C: Clock> {
+/// Takes an attempt off its upstream's in-flight count when the task is dropped before it
+/// completes.
+struct AttemptGuard<'a, U: Upstreams, P: Peers, C: Clock> {
     worker: &'a Worker<U, P, C>,
     attempt: &'a Attempt,
-    settled: bool,
+    completed: bool,
 }
 
-impl<U: Upstreams, P: Peers, C: Clock> std::ops::Drop for Underway<'_, U, P, C> {
+impl<U: Upstreams, P: Peers, C: Clock> std::ops::Drop for AttemptGuard<'_, U, P, C> {
     fn drop(&mut self) {
-        if self.settled {
+        if self.completed {
             return;
         }
         let SendAttempt { upstream, start, .. } = &self.attempt.send;
@@ -115,73 +115,76 @@
 pub(super) struct FanoutEnd {
     pub finished: FanoutResult,
     pub next: AttemptId,
-    pub crowd: Congestion,
+    pub congestion: Congestion,
 }
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
-    /// Runs one fan-out to its end; gives its permit back before that once
-    /// it only waits for its last shards.
+    /// Runs one fan-out to its end. The gate permit is released earlier when only the last shards
+    /// are outstanding, unless the request was late when it arrived.
     pub(super) async fn fan_out(
         self: &Rc<Self>,
         job: &Job,
         plan: &Arc<Plan>,
         rules: &AnswerRules,
         first: AttemptId,
-        (permit, trace): (&mut Option<Permit<U, P, C>>, &mut Trace<C>),
+        (permit, trace): (&mut Option<GatePermit<U, P, C>>, &mut Trace<C>),
     ) -> FanoutEnd {
-        let ring = plan.shards.len().max(1) * 4;
-        let (sender, landed) = async_channel::bounded(ring);
+        let capacity = plan.shards.len().max(1) * 4;
+        let (sender, completed) = async_channel::bounded(capacity);
         let mut fanout = Fanout::new(Arc::clone(plan), rules.clone(), first);
-        // Dropped with this future when the caller goes away, which ends them.
+        // Dropping this future, as when the caller disconnects, drops the tasks and so cancels
+        // them.
         let mut tasks = Tasks::default();
         let now = self.ports.clock.now();
         let actions = fanout.start_groups(now, &mut self.router.borrow_mut(), trace);
         if !actions.is_empty() {
-            self.act(job, plan, rules, actions, (&sender, &mut tasks));
-            // Lets the groups' tasks write before this one goes on.
+            self.apply_actions(job, plan, rules, actions, (&sender, &mut tasks));
+            // Lets the group tasks write their messages first.
             future::yield_now().await;
         }
         let now = self.ports.clock.now();
         let actions = fanout.start(now, &mut self.router.borrow_mut(), trace);
         let sent = actions.len();
-        self.act(job, plan, rules, actions, (&sender, &mut tasks));
+        self.apply_actions(job, plan, rules, actions, (&sender, &mut tasks));
         self.measure_sending(sent, now);
         while !fanout.is_done() {
             let wake = fanout.next_wake();
-            let next = self.next_landing(&landed, wake).await;
+            let next = self.next_completion(&completed, wake).await;
             let mut actions = Vec::new();
             let mut ready = next;
             while let Some(end) = ready {
-                if self.standing(&job.work) != Clearance::Free {
+                if self.clearance(&job.work) != Clearance::Free {
                     fanout.disable_trials();
                 }
                 let now = self.ports.clock.now();
                 let mut router = self.router.borrow_mut();
                 actions.extend(match end {
-                    Landed::Shard { shard, attempt, end } => {
+                    CompletedAttempt::Shard { shard, attempt, end } => {
                         fanout.on_attempt_end((shard, attempt), end, now, &mut router, trace)
                     }
-                    Landed::Group(hand, end) => fanout.on_group_end(&hand, &end, now, &mut router, trace),
+                    CompletedAttempt::Group(group, end) => {
+                        fanout.on_group_end(&group, &end, now, &mut router, trace)
+                    }
                 });
-                ready = landed.try_recv().ok();
+                ready = completed.try_recv().ok();
             }
             let now = self.ports.clock.now();
             actions.extend(fanout.on_timer(now, &mut self.router.borrow_mut(), trace));
-            self.act(job, plan, rules, actions, (&sender, &mut tasks));
+            self.apply_actions(job, plan, rules, actions, (&sender, &mut tasks));
             if fanout.is_straggling(now)
                 && let Some(permit) = permit.take_if(|permit| !permit.late)
             {
-                permit.leave(fanout.congestion(now));
+                permit.release(fanout.congestion(now));
             }
         }
-        // What is still out keeps its connection, and shows how its upstream does.
+        // Unfinished attempts keep their connections and still report on their upstreams.
         tasks.detach();
-        let (next, crowd) = (fanout.next_attempt(), fanout.congestion(self.ports.clock.now()));
-        FanoutEnd { finished: fanout.finish(), next, crowd }
+        let (next, congestion) = (fanout.next_attempt(), fanout.congestion(self.ports.clock.now()));
+        FanoutEnd { finished: fanout.finish(), next, congestion }
     }
 
-    /// Measures how long `sent` requests that were decided on at `start` take this daemon:
-    /// a task behind theirs runs once all of them are written.
+    /// Measures how long this daemon takes for `sent` requests that were decided on at `start`: a
+    /// task queued behind theirs runs once all of them are written.
     fn measure_sending(self: &Rc<Self>, sent: usize, start: Instant) {
         if sent < MIN_SAMPLE_SHARDS {
             return;
@@ -195,31 +198,35 @@
         self.executor.spawn(measure).detach();
     }
 
-    async fn next_landing(&self, landed: &Receiver<Landed>, wake: Instant) -> Option<Landed> {
+    async fn next_completion(
+        &self,
+        completed: &Receiver<CompletedAttempt>,
+        wake: Instant,
+    ) -> Option<CompletedAttempt> {
         let timed = async {
             self.ports.clock.sleep_until(wake).await;
             None
         };
-        async { landed.recv().await.ok() }.or(timed).await
+        async { completed.recv().await.ok() }.or(timed).await
     }
 
-    fn act(
+    fn apply_actions(
         self: &Rc<Self>,
         job: &Job,
         plan: &Arc<Plan>,
         rules: &AnswerRules,
         actions: Vec<Action>,
-        (sender, tasks): (&Sender<Landed>, &mut Tasks),
+        (sender, tasks): (&Sender<CompletedAttempt>, &mut Tasks),
     ) {
         for action in actions {
             match action {
                 Action::Send(send) => {
                     let attempt = Attempt { job: job.clone(), plan: Arc::clone(plan), send };
-                    tasks.attempts.push(self.launch(attempt, sender.clone()));
+                    tasks.attempts.push(self.spawn_attempt(attempt, sender.clone()));
                 }
-                Action::Delegate(hand) => {
-                    let number = hand.attempt;
-                    let task = self.launch_group(job, plan, rules, hand, sender.clone());
+                Action::Delegate(group) => {
+                    let number = group.attempt;
+                    let task = self.spawn_group(job, plan, rules, group, sender.clone());
                     tasks.groups.push((number, task));
                 }
                 Action::Revoke(number) => tasks.groups.retain(|(held, _)| *held != number),
@@ -231,35 +238,35 @@
         }
     }
 
-    fn launch(self: &Rc<Self>, attempt: Attempt, sender: Sender<Landed>) -> Task<()> {
+    fn spawn_attempt(self: &Rc<Self>, attempt: Attempt, sender: Sender<CompletedAttempt>) -> Task<()> {
         self.count(|counts| match attempt.send.cause {
             Cause::First => counts.first += 1,
             Cause::Retry | Cause::Hedge | Cause::Probe => counts.extra += 1,
         });
         let this = Rc::clone(self);
-        let out = attempt.job.shown.begin();
+        let pending = attempt.job.evidence.begin();
         let task = async move {
-            let mut underway = Underway { worker: &this, attempt: &attempt, settled: false };
-            let end = this.ask(&attempt).await;
-            let end = this.judge_end(&attempt, &out, end).await;
-            drop(out);
-            underway.settled = true;
-            this.learn(&attempt, &end);
+            let mut guard = AttemptGuard { worker: &this, attempt: &attempt, completed: false };
+            let end = this.query_upstream(&attempt).await;
+            let end = this.classify_end(&attempt, &pending, end).await;
+            drop(pending);
+            guard.completed = true;
+            this.record_outcome(&attempt, &end);
             let (shard, number) = (attempt.send.shard, attempt.send.attempt);
             let (failure, ran) = (end.end.gap(), end.end.may_have_run());
-            let landed = Landed::Shard { shard, attempt: number, end: end.end };
-            if sender.try_send(landed).is_err() {
-                this.note_late(&attempt, failure, ran);
+            let completed = CompletedAttempt::Shard { shard, attempt: number, end: end.end };
+            if sender.try_send(completed).is_err() {
+                this.record_late(&attempt, failure, ran);
             }
         };
         self.executor.spawn(task)
     }
 
-    async fn ask(&self, attempt: &Attempt) -> CallEnd {
+    async fn query_upstream(&self, attempt: &Attempt) -> CallEnd {
         let upstream = Arc::clone(&attempt.send.upstream);
         let now = self.ports.clock.now();
-        let found = self.router.borrow().upstream(&upstream).map(|s| (s.spec().address, s.share()));
-        let Some((address, share)) = found else {
+        let target = self.router.borrow().upstream(&upstream).map(|s| (s.spec().address, s.share()));
+        let Some((address, share)) = target else {
             return CallEnd {
                 end: AttemptEnd::NotSent { why: Gap::NoReplica },
                 verdict: AttemptOutcome::Declined,
@@ -274,13 +281,13 @@
             drain: self.settings.drain,
             once: attempt.job.once,
             query: attempt.job.query.clone(),
-            asker: attempt.job.asker.clone(),
+            asker: attempt.job.requester.clone(),
         };
         let permit = || {
             let now = self.ports.clock.now();
-            let withheld = matches!(self.standing(&attempt.job.work), Clearance::Withheld(_));
+            let withheld = matches!(self.clearance(&attempt.job.work), Clearance::Withheld(_));
             let router = self.router.borrow();
-            // One may have begun to leave, or its zone to be evacuated, while a connection
+            // The upstream may have begun to leave, or its zone to be evacuated, while a connection
             // was opened.
             let takes = router.upstream(&attempt.send.upstream).is_some_and(|s| s.accepts_work().is_ok());
             now < attempt.job.deadline && !withheld && takes && router.lease().held(now)
@@ -288,9 +295,9 @@
         self.ports.upstreams.ask(call, permit).await
     }
 
-    /// Takes what an attempt showed into the routing, and tells other daemons
-    /// of a changed word.
-    fn learn(&self, attempt: &Attempt, end: &CallEnd) {
+    /// Records an attempt's outcome in the router, and publishes the upstream's announcement if it
+    /// changed.
+    fn record_outcome(&self, attempt: &Attempt, end: &CallEnd) {
         let now = self.ports.clock.now();
         let SendAttempt { upstream, start, .. } = &attempt.send;
         let mut router = self.router.borrow_mut();
@@ -306,24 +313,24 @@
             router.record_down(upstream, now);
         }
         if end.verdict == AttemptOutcome::Succeeded && attempt.send.cause != Cause::Probe {
-            router.record_latency(&attempt.job.kind, upstream, now.saturating_duration_since(*start));
+            router.record_latency(&attempt.job.lookup, upstream, now.saturating_duration_since(*start));
         }
         router.set_idle(upstream, self.ports.upstreams.idle(upstream));
-        let Some(word) =
+        let Some(announcement) =
             end.report.announcement.as_ref().filter(|word| router.merge_announcement(upstream, word))
         else {
             return;
         };
         drop(router);
-        let named = NamedWord { upstream: Arc::clone(upstream), word: word.clone() };
-        let (draining, held) = (word.draining, word.held.clone().unwrap_or_default());
+        let named = NamedWord { upstream: Arc::clone(upstream), word: announcement.clone() };
+        let (draining, held) = (announcement.draining, announcement.held.clone().unwrap_or_default());
         self.duty_trace().emit(Event::UpstreamWord { upstream: Arc::clone(upstream), draining, held });
-        drop(self.control.try_send(ToControl::Word(named)));
+        drop(self.control.try_send(ToControl::Announcement(named)));
     }
 
-    /// Tells how an attempt ended after its request was answered: what came was dropped,
-    /// or why nothing did.
-    fn note_late(&self, attempt: &Attempt, failure: Option<Gap>, ran: bool) {
+    /// Records how an attempt ended after its request was answered: that its reply was dropped, or
+    /// why there was none.
+    fn record_late(&self, attempt: &Attempt, failure: Option<Gap>, ran: bool) {
         let stamp = self.stamp();
         let (shard, number) = (attempt.shard(), attempt.send.attempt);
         let upstream = Arc::clone(&attempt.send.upstream);
--- a/crates/harefield/src/engine/gate.rs
+++ b/crates/harefield/src/engine/gate.rs
@@ -1,4 +1,4 @@
-//! Waiting at the gate before an index.
+//! Waiting at the admission gate of an index.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -20,54 +20,54 @@
 use crate::ports::Peers;
 use crate::ports::Upstreams;
 
-/// A refusal at the gate: its code and when to come back.
+/// A refusal at the gate: its code and how long to wait before a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct GateRefusal {
     pub code: Code,
     pub wait: Duration,
 }
 
-/// A permit to run that a gate gave, given back when dropped.
-pub(super) struct Permit<U: Upstreams, P: Peers, C: Clock> {
+/// A permit to run, issued by a gate and released when dropped.
+pub(super) struct GatePermit<U: Upstreams, P: Peers, C: Clock> {
     worker: Rc<Worker<U, P, C>>,
     index: Arc<str>,
     team: Arc<str>,
     entered: Instant,
-    /// Whether the request's objective had passed when it came: it keeps its permit to
-    /// the end, since few such requests run at a time.
+    /// Whether the request's objective had already passed when it arrived. Such a request keeps its
+    /// permit to the end, since few of them run at a time.
     pub late: bool,
-    /// How crowded the upstreams were; none until the request has run to its end.
-    crowd: Option<Congestion>,
+    /// How congested the upstreams were; none until the request has run to its end.
+    congestion: Option<Congestion>,
 }
 
-impl<U: Upstreams, P: Peers, C: Clock> Permit<U, P, C> {
-    /// Gives the permit back, with how crowded the upstreams were.
-    pub fn leave(mut self, crowd: Congestion) {
-        self.crowd = Some(crowd);
+impl<U: Upstreams, P: Peers, C: Clock> GatePermit<U, P, C> {
+    /// Releases the permit and reports how congested the upstreams were.
+    pub fn release(mut self, congestion: Congestion) {
+        self.congestion = Some(congestion);
     }
 }
 
-impl<U: Upstreams, P: Peers, C: Clock> Drop for Permit<U, P, C> {
+impl<U: Upstreams, P: Peers, C: Clock> Drop for GatePermit<U, P, C> {
     fn drop(&mut self) {
         let now = self.worker.ports.clock.now();
         let took = now.saturating_duration_since(self.entered);
-        self.worker.leave_gate(&self.index, &self.team, took, self.crowd, now);
+        self.worker.leave_gate(&self.index, &self.team, took, self.congestion, now);
     }
 }
 
 /// A place in a gate's queue, given up when dropped.
-struct Waiting<U: Upstreams, P: Peers, C: Clock> {
+struct QueueGuard<U: Upstreams, P: Peers, C: Clock> {
     worker: Rc<Worker<U, P, C>>,
     index: Arc<str>,
     team: Arc<str>,
     id: WaiterId,
     calls: Receiver<Dequeued>,
-    settled: bool,
+    completed: bool,
 }
 
-impl<U: Upstreams, P: Peers, C: Clock> Drop for Waiting<U, P, C> {
+impl<U: Upstreams, P: Peers, C: Clock> Drop for QueueGuard<U, P, C> {
     fn drop(&mut self) {
-        if self.settled {
+        if self.completed {
             return;
         }
         let worker = &self.worker;
@@ -83,12 +83,13 @@
 }
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
-    /// Enters the gate of an index, waiting for room where that can still do.
+    /// Enters the gate of an index, waiting in its queue while the request can still be run in
+    /// time.
     pub(super) async fn enter_gate(
         self: &Rc<Self>,
         index: &Arc<str>,
         arrival: Arrival,
-    ) -> Result<Permit<U, P, C>, GateRefusal> {
+    ) -> Result<GatePermit<U, P, C>, GateRefusal> {
         let now = self.ports.clock.now();
         let entry = {
             let mut gates = self.gates.borrow_mut();
@@ -102,14 +103,14 @@
         }
     }
 
-    fn permit(self: &Rc<Self>, index: &Arc<str>, arrival: &Arrival) -> Permit<U, P, C> {
-        Permit {
+    fn permit(self: &Rc<Self>, index: &Arc<str>, arrival: &Arrival) -> GatePermit<U, P, C> {
+        GatePermit {
             worker: Rc::clone(self),
             index: Arc::clone(index),
             team: Arc::clone(&arrival.team),
             late: arrival.late,
             entered: self.ports.clock.now(),
-            crowd: None,
+            congestion: None,
         }
     }
 
@@ -118,16 +119,16 @@
         index: &Arc<str>,
         arrival: &Arrival,
         id: WaiterId,
-    ) -> Result<Permit<U, P, C>, GateRefusal> {
+    ) -> Result<GatePermit<U, P, C>, GateRefusal> {
         let (sender, calls) = async_channel::bounded(1);
         self.waiters.borrow_mut().insert((Arc::clone(index), id), sender);
-        let mut waiting = Waiting {
+        let mut waiting = QueueGuard {
             worker: Rc::clone(self),
             index: Arc::clone(index),
             team: Arc::clone(&arrival.team),
             id,
             calls: calls.clone(),
-            settled: false,
+            completed: false,
         };
         let until = self.gates.borrow().get(index).map_or(arrival.deadline, |gate| gate.refuse_at(arrival));
         let expired = async {
@@ -137,18 +138,18 @@
         let called = async { calls.recv().await.ok() }.or(expired).await;
         match called {
             Some(Dequeued::Run(_)) => {
-                waiting.settled = true;
+                waiting.completed = true;
                 Ok(self.permit(index, arrival))
             }
             Some(Dequeued::Refuse(_, wait)) => {
-                waiting.settled = true;
+                waiting.completed = true;
                 Err(GateRefusal { code: Code::TooLate, wait })
             }
-            None => Err(GateRefusal { code: Code::TooLate, wait: self.next_turn(index) }),
+            None => Err(GateRefusal { code: Code::TooLate, wait: self.retry_delay(index) }),
         }
     }
 
-    fn next_turn(&self, index: &Arc<str>) -> Duration {
+    fn retry_delay(&self, index: &Arc<str>) -> Duration {
         let now = self.ports.clock.now();
         self.gates.borrow_mut().get_mut(index).map_or(Duration::ZERO, |gate| gate.retry_after(now))
     }
@@ -158,11 +159,11 @@
         index: &Arc<str>,
         team: &Arc<str>,
         took: Duration,
-        crowd: Option<Congestion>,
+        congestion: Option<Congestion>,
         now: Instant,
     ) {
-        let called = match (self.gates.borrow_mut().get_mut(index), crowd) {
-            (Some(gate), Some(crowd)) => gate.complete(team, took, crowd, now),
+        let called = match (self.gates.borrow_mut().get_mut(index), congestion) {
+            (Some(gate), Some(congestion)) => gate.complete(team, took, congestion, now),
             (Some(gate), None) => gate.abandon(team, now),
             (None, _) => Vec::new(),
         };
--- a/crates/harefield/src/engine/job.rs
+++ b/crates/harefield/src/engine/job.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use super::find::Found;
+use super::find::ResolvedRequest;
 use super::message::LookupRequest;
 use crate::domain::accounts::Requester;
 use crate::domain::ids::RequestId;
@@ -13,82 +13,82 @@
 use crate::domain::residency::Regions;
 use crate::domain::work::Work;
 
-/// What all attempts of a request share.
+/// The data that all attempts of a request share.
 #[derive(Clone)]
 pub(super) struct Job {
     pub request: RequestId,
-    pub kind: Arc<str>,
+    pub lookup: Arc<str>,
     pub query: Query,
     pub deadline: Instant,
     pub once: bool,
-    /// What is asked, and for whom.
+    /// Identifies what is asked, and for whom.
     pub work: Work,
-    /// Whether it is the whole request, and no group of another daemon's.
+    /// Whether it is a whole request rather than a group of another daemon's shards.
     pub whole: bool,
-    /// What the attempts have shown of the work.
-    pub shown: Shown,
+    /// What the attempts have shown about the work.
+    pub evidence: WorkEvidence,
     /// How many records are kept where replies are merged.
     pub merge: Option<usize>,
-    /// The only regions in which it may be served; everywhere where empty.
+    /// The only regions in which the request may be served; every region where empty.
     pub regions: Regions,
-    /// Whose request it is.
-    pub asker: Requester,
+    /// On whose behalf the request runs.
+    pub requester: Requester,
 }
 
 impl Job {
-    /// Creates what all attempts of a request share.
-    pub fn new(request: &LookupRequest, found: &Found, id: Option<&Arc<str>>) -> Self {
-        let lookup = &found.plan.lookup;
+    pub fn new(request: &LookupRequest, resolved: &ResolvedRequest, id: Option<&Arc<str>>) -> Self {
+        let lookup = &resolved.plan.lookup;
         Self {
             request: id.map(Arc::clone).unwrap_or_default(),
-            kind: Arc::clone(&found.plan.name),
-            work: found.work,
+            lookup: Arc::clone(&resolved.plan.name),
+            work: resolved.work,
             query: request.query.clone(),
-            deadline: found.deadline,
+            deadline: resolved.deadline,
             once: !lookup.repeatable,
             merge: lookup.merge,
-            regions: Arc::clone(&found.regions),
-            asker: found.asker.clone(),
+            regions: Arc::clone(&resolved.regions),
+            requester: resolved.requester.clone(),
             whole: true,
-            shown: Shown::default(),
+            evidence: WorkEvidence::default(),
         }
     }
 }
 
-/// What the attempts of one fan-out show of its work.
+/// What the attempts of one fan-out show about its work.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Shown {
-    /// How many attempts and groups are out.
-    out: Rc<Cell<u32>>,
+pub(super) struct WorkEvidence {
+    /// The number of attempts and groups in flight.
+    pending: Rc<Cell<u32>>,
     /// Whether an upstream has answered.
     pub answered: Rc<Cell<bool>>,
 }
 
-/// An attempt or group that is out.
+/// An attempt or group in flight.
 #[derive(Debug)]
-pub(super) struct Out {
-    out: Rc<Cell<u32>>,
+pub(super) struct PendingAttempt {
+    pending: Rc<Cell<u32>>,
     began_alone: bool,
 }
 
-impl Shown {
-    /// Counts an attempt or group as out until dropped.
-    pub fn begin(&self) -> Out {
-        let others = self.out.get();
-        self.out.set(others + 1);
-        Out { out: Rc::clone(&self.out), began_alone: others == 0 }
+impl WorkEvidence {
+    /// Counts an attempt or group as in flight until dropped.
+    pub fn begin(&self) -> PendingAttempt {
+        let others = self.pending.get();
+        self.pending.set(others + 1);
+        PendingAttempt { pending: Rc::clone(&self.pending), began_alone: others == 0 }
     }
 }
 
-impl Out {
-    /// Says whether nothing else of the fan-out was out when it began, nor is now.
+impl PendingAttempt {
+    /// Returns whether no other attempt or group of the fan-out was in flight when this one began,
+    /// nor is now.
     pub fn is_alone(&self) -> bool {
-        self.began_alone && self.out.get() == 1
+        self.began_alone && self.pending.get() == 1
     }
 }
 
-impl Drop for Out {
+impl Drop for PendingAttempt {
     fn drop(&mut self) {
-        self.out.set(self.out.get() - 1);
+        self.pending.set(self.pending.get() - 1);
     }
 }
--- a/crates/harefield/src/engine/relay.rs
+++ b/crates/harefield/src/engine/relay.rs
@@ -1,15 +1,15 @@
-//! Groups of shards taken from daemons of other availability zones: this daemon asks
-//! their replicas beside it, and answers with the merged records.
+//! Groups of shards delegated by daemons of other availability zones: this daemon queries their
+//! replicas near it, and answers with the merged records.
 
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
 use std::time::Instant;
 
-use super::find::Found;
-use super::group::limit_of;
+use super::find::ResolvedRequest;
+use super::group::parse_limit;
 use super::job::Job;
-use super::job::Shown;
+use super::job::WorkEvidence;
 use super::worker::Worker;
 use crate::domain::event::Event;
 use crate::domain::event::Sink;
@@ -35,20 +35,20 @@
 use crate::ports::Upstreams;
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
-    /// Takes a group from another daemon: asks its shards, and answers with what
-    /// they brought when its time is up.
+    /// Handles a group from another daemon: queries its shards, and answers with their results when
+    /// its time is up.
     ///
-    /// It passes no gate: its request has passed that of the daemon it came to, and waiting
-    /// at a second one took what was left of its time. Over 15 played days credit of the
-    /// kind with the shortest objective rose from 0.899 to 0.908. Only a daemon that runs
-    /// all that it may run at once declines.
+    /// A group passes no gate: its request has passed that of the daemon it came to, and waiting at
+    /// a second one used up what was left of its time. Over 15 simulated days, credit of the kind
+    /// with the shortest objective rose from 0.899 to 0.908. Only a daemon that already runs as
+    /// many requests as it may declines a group it could serve.
     ///
-    /// Dropping the future gives the group up, as when that daemon goes away.
+    /// Dropping the future cancels the group, as when the delegating daemon disconnects.
     pub async fn group(self: &Rc<Self>, mut group: Group) -> GroupReply {
         let start = self.ports.clock.now();
-        self.receive(group.stamp);
+        self.receive_stamp(group.stamp);
         let mut trace = self.request_trace(Some(&group.request));
-        self.hear_reports(&group.suspects);
+        self.merge_reports(&group.suspects);
         let query = Query::Bytes(Arc::new(std::mem::take(&mut group.query)));
         let work = Work::new(&group.lookup, group.asker.account.as_ref(), &query);
         trace.emit(Event::GroupTaken {
@@ -57,28 +57,28 @@
             shards: group.shards.len(),
             gather: group.gather,
         });
-        let Some((found, plan)) = self.find_group(&group, work, start) else {
+        let Some((resolved, plan)) = self.resolve_group(&group, work, start) else {
             return self.declined();
         };
         if self.running() >= self.settings.gate.running {
             return self.declined();
         }
-        if matches!(self.standing(&work), Clearance::Withheld(_)) {
+        if matches!(self.clearance(&work), Clearance::Withheld(_)) {
             return self.withheld(group.shards.len());
         }
-        let _progress = self.progress(None);
+        let _progress = self.track_request(None);
         let job = Job {
             request: group.request.as_str().into(),
-            kind: Arc::clone(&found.plan.name),
+            lookup: Arc::clone(&resolved.plan.name),
             query,
-            deadline: found.deadline,
+            deadline: resolved.deadline,
             work,
             once: false,
             merge: Some(group.most),
             regions: Arc::clone(&group.regions),
-            asker: group.asker.clone(),
+            requester: group.asker.clone(),
             whole: false,
-            shown: Shown::default(),
+            evidence: WorkEvidence::default(),
         };
         let min_share = ratio(group.needed, group.shards.len());
         let rules = AnswerRules {
@@ -87,10 +87,10 @@
             grouped: false,
             repeated: group.again,
             trials: 0,
-            ..self.rules(&found, self.overruns.groups.get(), Duration::ZERO)
+            ..self.rules(&resolved, self.overruns.groups.get(), Duration::ZERO)
         };
         let ended = self.fan_out(&job, &plan, &rules, 0, (&mut None, &mut trace)).await;
-        self.learn_overrun(&self.overruns.groups, &rules);
+        self.record_overrun(&self.overruns.groups, &rules);
         let took = self.ports.clock.now().saturating_duration_since(start);
         self.group_reply(&group.shards, &ended.finished, group.most, took)
     }
@@ -99,15 +99,21 @@
         GroupReply { stamp: self.stamp(), declined: true, ..GroupReply::default() }
     }
 
-    /// Answers a group that may not run: the daemon that handed it on asks nobody else for it.
+    /// Answers a group that may not run, so that the delegating daemon queries no other daemon for
+    /// it.
     fn withheld(&self, shards: usize) -> GroupReply {
         let gap = |at| GroupGap { at, why: Gap::Withheld, ran: false, sent: u32::MAX };
         GroupReply { stamp: self.stamp(), missing: (0..shards).map(gap).collect(), ..GroupReply::default() }
     }
 
-    /// Finds the plan of a group; none where this daemon holds another view of
-    /// the lookup's shards, does not trust its own, or is stopping.
-    fn find_group(&self, group: &Group, work: Work, start: Instant) -> Option<(Found, Arc<Plan>)> {
+    /// Finds the plan of a group; none where this daemon has another view of the lookup's shards,
+    /// does not trust its own view, or is stopping.
+    fn resolve_group(
+        &self,
+        group: &Group,
+        work: Work,
+        start: Instant,
+    ) -> Option<(ResolvedRequest, Arc<Plan>)> {
         let now = self.ports.clock.now();
         if self.is_stopping() || !self.router.borrow().lease().held(now) {
             return None;
@@ -119,24 +125,25 @@
         }
         let parts = plan.parts.iter().map(|part| &part.plan);
         let plan = std::iter::once(plan).chain(parts).find(|plan| plan.lookup.index == group.index)?;
-        let limits = group.only.iter().map(|(at, names)| (*at, limit_of(names)));
-        let shards = self.narrow(plan.group_plan(&group.shards, limits)?, &group.regions);
-        let found = Found {
+        let limits = group.only.iter().map(|(at, names)| (*at, parse_limit(names)));
+        let shards = self.restrict_regions(plan.group_plan(&group.shards, limits)?, &group.regions);
+        let resolved = ResolvedRequest {
             plan: Arc::clone(plan),
             work,
             start,
-            deadline: start + Duration::from_micros(group.remaining).saturating_sub(self.held_up()),
+            deadline: start + Duration::from_micros(group.remaining).saturating_sub(self.possible_delay()),
             objective: group.gather.map(|time| start + Duration::from_micros(time)),
             again: group.again,
             late: false,
-            asker: group.asker.clone(),
+            requester: group.asker.clone(),
             regions: Arc::clone(&group.regions),
         };
-        Some((found, Arc::new(shards)))
+        Some((resolved, Arc::new(shards)))
     }
 
-    /// Leaves the replicas out of a plan that stand in other regions than those named.
-    pub(super) fn narrow(&self, plan: Plan, regions: &[Arc<str>]) -> Plan {
+    /// Removes the replicas from a plan that are in other regions than those named; removes none
+    /// where no region is named.
+    pub(super) fn restrict_regions(&self, plan: Plan, regions: &[Arc<str>]) -> Plan {
         let residency = Residency::new(regions);
         if !residency.is_bound() {
             return plan;
@@ -155,13 +162,13 @@
     ) -> GroupReply {
         let bodies = finished.parts.iter().filter_map(|part| part.reply.bytes()).map(|reply| &*reply.body);
         let records = greatest(bodies, most);
-        let place = |shard: &ShardId| shards.iter().position(|name| name == shard);
+        let position = |shard: &ShardId| shards.iter().position(|name| name == shard);
         let parts = finished.parts.iter().filter_map(|part| {
             let signature = part.reply.bytes()?.signature.as_ref().map(Arc::clone)?;
-            Some(GroupPart { at: place(&part.shard)?, signature })
+            Some(GroupPart { at: position(&part.shard)?, signature })
         });
         let missing = finished.coverage.missing.iter().zip(&finished.sent).filter_map(|(missing, sent)| {
-            Some(GroupGap { at: place(&missing.shard)?, why: missing.why, ran: missing.ran, sent: *sent })
+            Some(GroupGap { at: position(&missing.shard)?, why: missing.why, ran: missing.ran, sent: *sent })
         });
         GroupReply {
             stamp: self.stamp(),
--- a/crates/harefield/src/engine/room.rs
+++ b/crates/harefield/src/engine/room.rs
@@ -1,9 +1,10 @@
-//! Room in the daemon's memory for what a request will bring: what does not fit is not begun.
+//! Reserves memory for the replies that a request is expected to bring. A request whose replies do
+//! not fit is not started.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::find::Found;
+use super::find::ResolvedRequest;
 use super::worker::Worker;
 use crate::domain::buffers::Use;
 use crate::domain::fanout::FanoutResult;
@@ -12,39 +13,40 @@
 use crate::ports::Peers;
 use crate::ports::Upstreams;
 
-/// Requests that bring less are not booked: the read of their replies finds room or does not.
-const LEAST_BOOKED: usize = 16 << 10;
+/// Requests with smaller expected replies reserve nothing; memory for them is claimed as the
+/// replies are read, and may be refused then.
+const MIN_RESERVED: usize = 16 << 10;
 
-/// The part of what is known of a lookup's replies that is forgotten with each smaller one.
-const FORGOTTEN: usize = 8;
+/// A lookup's expected reply size shrinks by one part in this many with each smaller reply.
+const DECAY_DIVISOR: usize = 8;
 
-/// When to come back where nobody is known whose connection is about to end.
-const COME_BACK: Duration = Duration::from_millis(500);
+/// How long a caller is told to wait when no connection is known that is about to be closed.
+const RETRY_AFTER: Duration = Duration::from_millis(500);
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
-    /// Books room for the replies to a request; none is needed where they are small.
+    /// Reserves memory for the replies to a request; none is needed where they are small.
     ///
     /// # Errors
     ///
-    /// Returns when to come back where they do not fit.
-    pub(super) async fn book_room(&self, found: &Found) -> Result<Option<Held>, Duration> {
-        let expected = self.sizes.borrow().get(&found.plan.name).copied().unwrap_or(0);
-        if expected < LEAST_BOOKED {
+    /// Returns how long to wait before a retry when they do not fit.
+    pub(super) async fn reserve_memory(&self, resolved: &ResolvedRequest) -> Result<Option<Held>, Duration> {
+        let expected = self.reply_sizes.borrow().get(&resolved.plan.name).copied().unwrap_or(0);
+        if expected < MIN_RESERVED {
             return Ok(None);
         }
-        let booked = self.memory.take_soon(Use::Expected, expected).await;
-        booked.map(Some).ok_or_else(|| self.memory.come_back().unwrap_or(COME_BACK))
+        let reserved = self.memory.take_soon(Use::Expected, expected).await;
+        reserved.map(Some).ok_or_else(|| self.memory.come_back().unwrap_or(RETRY_AFTER))
     }
 
-    /// Learns how much the replies to a request came to.
-    pub(super) fn learn_size(&self, found: &Found, finished: &FanoutResult) {
+    /// Updates a lookup's expected reply size from the replies to one request.
+    pub(super) fn record_size(&self, resolved: &ResolvedRequest, finished: &FanoutResult) {
         let replies = finished.parts.iter().filter_map(|part| part.reply.bytes());
         let total: usize = replies.map(|reply| reply.body.len()).sum();
-        let mut sizes = self.sizes.borrow_mut();
-        let known = sizes.get(&found.plan.name).copied().unwrap_or(0);
-        let size = total.max(known - known / FORGOTTEN);
+        let mut sizes = self.reply_sizes.borrow_mut();
+        let known = sizes.get(&resolved.plan.name).copied().unwrap_or(0);
+        let size = total.max(known - known / DECAY_DIVISOR);
         if size != known {
-            sizes.insert(Arc::clone(&found.plan.name), size);
+            sizes.insert(Arc::clone(&resolved.plan.name), size);
         }
     }
 }
--- a/crates/harefield/src/engine/status.rs
+++ b/crates/harefield/src/engine/status.rs
@@ -1,4 +1,4 @@
-//! What a worker tells the board of itself.
+//! What a worker reports to the status board.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 const REPORT_EVERY: Duration = Duration::from_millis(500);
 
 impl<U: Upstreams, P: Peers, C: Clock> Worker<U, P, C> {
-    /// Reports to the board from time to time.
+    /// Reports the worker's status to the board at a fixed interval.
     pub async fn report(self: Rc<Self>, board: Arc<Board>, opened: impl Fn() -> u64) {
         loop {
             let status = self.status(opened());
@@ -30,13 +30,13 @@
         let router = self.router.borrow();
         let mut upstreams: Vec<_> = router
             .upstreams()
-            .map(|(name, searcher)| UpstreamStatus {
+            .map(|(name, state)| UpstreamStatus {
                 upstream: Arc::clone(name),
-                leaving: searcher.is_leaving(),
-                running: searcher.in_flight(),
-                window: searcher.window().size(),
-                latency: searcher.observed_time(0.0) * 1000.0,
-                held: searcher.announcement().held.clone(),
+                leaving: state.is_leaving(),
+                running: state.in_flight(),
+                window: state.window().size(),
+                latency: state.observed_time(0.0) * 1000.0,
+                held: state.announcement().held.clone(),
             })
             .collect();
         upstreams.sort_by(|a, b| a.upstream.cmp(&b.upstream));
