--- a/crates/harefield/src/adapters/upstreams/protocol.rs
+++ b/crates/harefield/src/adapters/upstreams/protocol.rs
@@ -14,6 +14,8 @@
 use super::Protocol;
 use super::Reading;
 use super::lost;
+use crate::domain::announcement::Announcement;
+use crate::domain::announcement::AnnouncementStamp;
 use crate::domain::fanout::AttemptEnd;
 use crate::domain::fanout::Echo;
 use crate::domain::fanout::verify;
@@ -23,8 +25,6 @@
 use crate::domain::routing::Report;
 use crate::domain::routing::Verdict;
 use crate::domain::time::millis;
-use crate::domain::word::Word;
-use crate::domain::word::WordStamp;
 use crate::ports::Call;
 use crate::ports::CallEnd;
 use crate::ports::Place;
@@ -111,13 +111,13 @@
     Some(Load { active: active.parse().ok()?, queued: queued.parse().ok()?, slowness: None })
 }
 
-fn read_word(headers: &HeaderMap) -> Option<Word> {
+fn read_word(headers: &HeaderMap) -> Option<Announcement> {
     let (start, change) = text(headers, "harefield-word")?.split_once('.')?;
-    let stamp = WordStamp { start: start.parse().ok()?, change: change.parse().ok()? };
+    let stamp = AnnouncementStamp { start: start.parse().ok()?, change: change.parse().ok()? };
     let draining = text(headers, "harefield-draining") == Some("true");
     let held = text(headers, "harefield-held")
         .map(|list| list.split(',').filter_map(|version| version.trim().parse().ok()).collect());
-    Some(Word { stamp, draining, held })
+    Some(Announcement { stamp, draining, held })
 }
 
 fn answered(body: &Bytes, report: Report) -> CallEnd {
--- a/crates/harefield/src/control/duty.rs
+++ b/crates/harefield/src/control/duty.rs
@@ -16,10 +16,8 @@
 use log::info;
 use log::warn;
 
+use super::announcements::Announcements;
 use super::lapsed::Lapsed;
-use super::wordbook::Wordbook;
-use crate::domain::carried::CarriedReport;
-use crate::domain::carried::CarryTimes;
 use crate::domain::cell::Candidate;
 use crate::domain::cell::CellSize;
 use crate::domain::cold::Bound;
@@ -41,6 +39,8 @@
 use crate::domain::membership::Row;
 use crate::domain::places::Places;
 use crate::domain::reach::Reach;
+use crate::domain::retained::RetainedReport;
+use crate::domain::retained::RetentionTimes;
 use crate::domain::revision::Revision;
 use crate::domain::suspects::Suspects;
 use crate::domain::time::millis;
@@ -79,7 +79,7 @@
     /// How many daemons of an availability zone hold the watch.
     pub readers: usize,
     /// For how long what a copy of the platform lacks stays in force.
-    pub carry: CarryTimes,
+    pub carry: RetentionTimes,
     /// Where this daemon and the availability zones are.
     pub places: Places,
     /// How large cells may be.
@@ -117,7 +117,7 @@
     /// The daemons that cells were last assigned among.
     pub(super) fleet: RefCell<Vec<Candidate>>,
     pub(super) members: RefCell<Membership>,
-    pub(super) words: RefCell<Wordbook>,
+    pub(super) words: RefCell<Announcements>,
     pub(super) suspects: RefCell<Suspects>,
     /// When works under which upstreams ended were last told of at once.
     pub(super) warned: Cell<Option<Instant>>,
@@ -248,7 +248,7 @@
             space,
             revision: self.revision(space),
             age: self.age(space).map(millis),
-            carried: self.carried_mark(space),
+            retained: self.retained_mark(space),
         };
         self.spaces().iter().copied().map(mark).collect()
     }
@@ -256,16 +256,16 @@
     /// Returns what brings a peer up to date.
     pub(super) fn news(&self, pull: &Pull) -> News {
         match pull.space {
-            Space::Config => self.config.borrow().news(pull.have, pull.carried, self.ports.clock.now()),
+            Space::Config => self.config.borrow().news(pull.have, pull.retained, self.ports.clock.now()),
             Space::Hosts => self.hosts.borrow().since(pull.have),
         }
     }
 
     /// Takes news from a peer; returns whether any were newer.
     pub(super) fn learn(self: &Rc<Self>, space: Space, news: News, from: &str) -> bool {
-        let (news, carried) = news.split();
+        let (news, retained) = news.split();
         let learnt = match space {
-            Space::Config => self.learn_config(news, carried),
+            Space::Config => self.learn_config(news, retained),
             Space::Hosts => self.learn_hosts(news),
         };
         if learnt {
@@ -274,9 +274,9 @@
         learnt
     }
 
-    fn learn_config(&self, news: News, carried: Option<CarriedReport>) -> bool {
+    fn learn_config(&self, news: News, retained: Option<RetainedReport>) -> bool {
         let learnt = self.config.borrow_mut().learn(news);
-        let joined = carried.is_some_and(|carried| self.join_carried(carried));
+        let joined = retained.is_some_and(|retained| self.join_retained(retained));
         learnt || joined
     }
 
--- a/crates/harefield/src/control/eras.rs
+++ b/crates/harefield/src/control/eras.rs
@@ -10,11 +10,11 @@
 use rand::Rng;
 
 use super::duty::Control;
-use crate::domain::carried::CarriedMark;
-use crate::domain::carried::CarriedReport;
 use crate::domain::event::Event;
 use crate::domain::ids::Era;
 use crate::domain::ids::HostId;
+use crate::domain::retained::RetainedMark;
+use crate::domain::retained::RetainedReport;
 use crate::domain::revision::Revision;
 use crate::ports::Clock;
 use crate::ports::Mark;
@@ -69,9 +69,9 @@
     pub(super) fn hear_mark(&self, mark: &Mark, from: &HostId) {
         let Some(revision) = mark.revision else { return };
         self.hear_era(mark.space, revision.era, from);
-        if mark.carried.is_some() && Some(revision.era) < self.era(mark.space) {
+        if mark.retained.is_some() && Some(revision.era) < self.era(mark.space) {
             self.behind.borrow_mut().insert(Arc::clone(from));
-        } else if mark.carried.is_some() {
+        } else if mark.retained.is_some() {
             self.behind.borrow_mut().remove(from);
         }
     }
@@ -117,20 +117,20 @@
     /// Returns whether a daemon with a mark has something that is missing here.
     pub(super) fn lacks(&self, mark: &Mark) -> bool {
         match mark.space {
-            Space::Config => self.config.borrow().lacks(mark.revision, mark.carried),
+            Space::Config => self.config.borrow().lacks(mark.revision, mark.retained),
             Space::Hosts => mark.revision > self.hosts.borrow().revision(),
         }
     }
 
     /// Returns how far this daemon is in what is carried on.
-    pub(super) fn carried_mark(&self, space: Space) -> Option<CarriedMark> {
-        (space == Space::Config).then(|| self.config.borrow().carried_mark())
+    pub(super) fn retained_mark(&self, space: Space) -> Option<RetainedMark> {
+        (space == Space::Config).then(|| self.config.borrow().retained_mark())
     }
 
     /// Joins what another daemon carries on; returns whether that changes what is in force.
-    pub(super) fn join_carried(&self, carried: CarriedReport) -> bool {
-        let carried = carried.heard(self.ports.clock.now());
-        self.config.borrow_mut().join(&carried)
+    pub(super) fn join_retained(&self, retained: RetainedReport) -> bool {
+        let retained = retained.heard(self.ports.clock.now());
+        self.config.borrow_mut().join(&retained)
     }
 
     /// Lists a space that is in a new era, unless it is told meanwhile.
@@ -184,9 +184,9 @@
     /// Says what is carried on where an era was just entered, and why it cannot be in force.
     pub(super) fn tell_carried(&self) {
         let config = self.config.borrow();
-        if let Some(carried) = config.carried().filter(|carried| carried.since.is_none()) {
-            let (kept, doubted) = (carried.kept.len(), carried.doubted.len());
-            self.emit(Event::CarriedOn { era: carried.era, kept, doubted });
+        if let Some(retained) = config.retained().filter(|retained| retained.since.is_none()) {
+            let (kept, doubted) = (retained.kept.len(), retained.doubted.len());
+            self.emit(Event::CarriedOn { era: retained.era, kept, doubted });
         }
         for fault in config.clash() {
             warn!("what is carried on is left out: {} {}: {}", fault.code, fault.key, fault.detail);
--- a/crates/harefield/src/control/gossip.rs
+++ b/crates/harefield/src/control/gossip.rs
@@ -167,7 +167,7 @@
     pub(super) async fn take_exchange(self: &Rc<Self>, said: &Exchange, at: Instant) {
         self.hybrid.borrow_mut().receive(self.ports.clock.wall(), said.stamp);
         self.meet(&said.rows);
-        self.hear(&said.words);
+        self.hear(&said.announcements);
         self.hear_suspects(&said.suspects);
         for mark in &said.marks {
             self.hear_mark(mark, &said.from);
@@ -198,8 +198,8 @@
             return;
         }
         self.pulled.set(Some(self.ports.clock.now()));
-        let (space, carried) = (mark.space, self.carried_mark(mark.space));
-        let pull = Pull { space, have: self.revision(space), carried };
+        let (space, retained) = (mark.space, self.retained_mark(mark.space));
+        let pull = Pull { space, have: self.revision(space), retained };
         if let Ok(news) = self.ports.peers.pull(host, pull, PULL_LIMIT).await {
             self.learn(mark.space, news, host);
         }
@@ -263,7 +263,7 @@
         }
         drop(members);
         let words = self.words.borrow_mut().digest();
-        Exchange { rows, words, ..self.warning() }
+        Exchange { rows, announcements: words, ..self.warning() }
     }
 
     /// Returns a message that says only how far this daemon is.
@@ -274,7 +274,7 @@
             stamp: self.hybrid.borrow_mut().tick(self.ports.clock.wall()),
             marks: self.marks(),
             rows: Vec::new(),
-            words: Vec::new(),
+            announcements: Vec::new(),
             suspects: Vec::new(),
         }
     }
--- a/crates/harefield/src/control/inbox.rs
+++ b/crates/harefield/src/control/inbox.rs
@@ -51,7 +51,7 @@
         let known = incarnation == Some(said.incarnation);
         let mut answer = if said.rows.is_empty() { self.bare_message() } else { self.message(&said.from) };
         if !known && !said.rows.is_empty() {
-            answer.words = self.words.borrow().all();
+            answer.announcements = self.words.borrow().all();
             answer.suspects = self.gravest_reports();
         }
         drop(reply.try_send(answer));
--- a/crates/harefield/src/control/mod.rs
+++ b/crates/harefield/src/control/mod.rs
@@ -1,6 +1,7 @@
 //! The control duty: keeps the configuration, the host list and the fleet's
 //! membership, and tells the workers.
 
+mod announcements;
 mod confirm;
 mod duty;
 mod eras;
@@ -12,9 +13,8 @@
 mod publish;
 mod reader;
 mod suspicion;
-mod wordbook;
 
+pub use announcements::Announcements;
 pub use duty::Control;
 pub use duty::ControlPorts;
 pub use duty::ControlSettings;
-pub use wordbook::Wordbook;
--- a/crates/harefield/src/control/publish.rs
+++ b/crates/harefield/src/control/publish.rs
@@ -8,13 +8,13 @@
 
 use super::duty::Control;
 use super::lapsed::GRACE;
+use crate::domain::announcement::NamedAnnouncement;
 use crate::domain::cell::Candidate;
 use crate::domain::event::Event;
 use crate::domain::membership::PeerState;
 use crate::domain::membership::Row;
 use crate::domain::view::View;
 use crate::domain::view::ViewSources;
-use crate::domain::word::NamedWord;
 use crate::engine::PeerView;
 use crate::engine::ToWorker;
 use crate::ports::Clock;
@@ -98,7 +98,7 @@
     }
 
     /// Takes upstreams' words; tells the workers what was news.
-    pub(super) fn hear(&self, words: &[NamedWord]) {
+    pub(super) fn hear(&self, words: &[NamedAnnouncement]) {
         let news = self.words.borrow_mut().join(words);
         if !news.is_empty() {
             self.tell(&ToWorker::Words(news.into()));
--- a/crates/harefield/src/daemon/threads.rs
+++ b/crates/harefield/src/daemon/threads.rs
@@ -30,11 +30,11 @@
 use crate::control::ControlPorts;
 use crate::control::ControlSettings;
 use crate::domain::admission::GateLimits;
-use crate::domain::carried::CarryTimes;
 use crate::domain::freshness::Pace;
 use crate::domain::membership::PeerState;
 use crate::domain::membership::Row;
 use crate::domain::places::Places;
+use crate::domain::retained::RetentionTimes;
 use crate::engine::Ports;
 use crate::engine::ToControl;
 use crate::engine::ToWorker;
@@ -228,7 +228,7 @@
         watch: Duration::from_millis(settings.platform.watch_ms),
         pace: Pace::new(settings.platform.in_force()),
         readers: settings.platform.readers,
-        carry: CarryTimes::new(Duration::from_millis(settings.platform.heartbeat_ms)),
+        carry: RetentionTimes::new(Duration::from_millis(settings.platform.heartbeat_ms)),
         places: places(context),
         cell: settings.cell(),
         cold: settings.routing.cold(),
--- a/crates/harefield/src/domain/word.rs
+++ b/crates/harefield/src/domain/announcement.rs
@@ -8,7 +8,7 @@
 
 /// Orders the words of one upstream: its start time, then a change counter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct WordStamp {
+pub struct AnnouncementStamp {
     /// When the upstream's process started, milliseconds since the epoch.
     pub start: u64,
     /// How often the upstream's word has changed since.
@@ -17,18 +17,18 @@
 
 /// An upstream's own word on whether it drains and what it holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct Announcement {
     /// Orders this word among the upstream's own.
-    pub stamp: WordStamp,
+    pub stamp: AnnouncementStamp,
     /// Whether the upstream is leaving and takes no new work.
     pub draining: bool,
     /// The snapshot versions it holds; none where it did not say.
     pub held: Option<Vec<Version>>,
 }
 
-impl Word {
+impl Announcement {
     /// Takes `other` if it is the newer word; returns whether it was.
-    pub fn join(&mut self, other: &Word) -> bool {
+    pub fn join(&mut self, other: &Announcement) -> bool {
         if other.stamp <= self.stamp {
             return false;
         }
@@ -45,9 +45,10 @@
 
 /// A word with the name of its upstream, as daemons pass it on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NamedWord {
+pub struct NamedAnnouncement {
     /// The upstream that the word is of.
     pub upstream: UpstreamId,
     /// Its word.
-    pub word: Word,
+    #[serde(rename = "word")]
+    pub announcement: Announcement,
 }
--- a/crates/harefield/src/domain/configuration.rs
+++ b/crates/harefield/src/domain/configuration.rs
@@ -4,9 +4,6 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use super::carried::Carried;
-use super::carried::CarriedMark;
-use super::carried::CarryTimes;
 use super::feed::Change;
 use super::feed::Delta;
 use super::feed::Feed;
@@ -19,6 +16,9 @@
 use super::ids::Key;
 use super::resources::Fault;
 use super::resources::ResourceSet;
+use super::retained::Retained;
+use super::retained::RetainedMark;
+use super::retained::RetentionTimes;
 use super::revision::Revision;
 
 /// What became of a revision that was offered.
@@ -54,7 +54,7 @@
     accepted: Feed,
     /// What the platform has.
     told: Arc<ResourceSet>,
-    carried: Option<Carried>,
+    retained: Option<Retained>,
     /// What is in force.
     set: Arc<ResourceSet>,
     /// Why what is carried on cannot be in force with what the platform has; it is left out.
@@ -99,8 +99,8 @@
 
     /// Returns what is carried on from earlier eras; none where no era was entered.
     #[must_use]
-    pub fn carried(&self) -> Option<&Carried> {
-        self.carried.as_ref()
+    pub fn retained(&self) -> Option<&Retained> {
+        self.retained.as_ref()
     }
 
     /// Returns why what is carried on is left out; empty where it is in force.
@@ -111,40 +111,40 @@
 
     /// Returns how far this daemon is in what is carried on.
     #[must_use]
-    pub fn carried_mark(&self) -> CarriedMark {
-        let context = self.carried.as_ref().map(|carried| carried.context).unwrap_or_default();
-        CarriedMark { context, edition: self.edition() }
+    pub fn retained_mark(&self) -> RetainedMark {
+        let context = self.retained.as_ref().map(|retained| retained.context).unwrap_or_default();
+        RetainedMark { context, edition: self.edition() }
     }
 
     /// Returns whether a daemon at a revision, with a mark, has something that is missing here.
     #[must_use]
-    pub fn lacks(&self, revision: Option<Revision>, mark: Option<CarriedMark>) -> bool {
+    pub fn lacks(&self, revision: Option<Revision>, mark: Option<RetainedMark>) -> bool {
         let era = |revision: Option<Revision>| revision.map(|revision| revision.era);
         let same = era(revision) == era(self.revision());
-        let exceeds = mark.is_some_and(|mark| mark.exceeds(self.carried_mark()));
+        let exceeds = mark.is_some_and(|mark| mark.exceeds(self.retained_mark()));
         revision > self.revision() || same && exceeds
     }
 
     /// Returns what brings a daemon along that is at `have` with a mark; one without takes
     /// nothing that is carried on.
     #[must_use]
-    pub fn news(&self, have: Option<Revision>, mark: Option<CarriedMark>, now: Instant) -> News {
+    pub fn news(&self, have: Option<Revision>, mark: Option<RetainedMark>, now: Instant) -> News {
         let news = self.since(have);
         let enters = have.map(|have| have.era) != self.revision().map(|own| own.era);
-        let lacks = mark.is_some_and(|mark| enters || self.carried_mark().exceeds(mark));
-        match self.carried.as_ref().filter(|_| lacks) {
-            Some(carried) => News::Carrying { news: Box::new(news), carried: carried.report(now) },
+        let lacks = mark.is_some_and(|mark| enters || self.retained_mark().exceeds(mark));
+        match self.retained.as_ref().filter(|_| lacks) {
+            Some(retained) => News::Carrying { news: Box::new(news), retained: retained.report(now) },
             None => news,
         }
     }
 
     /// Joins what another daemon carries on; returns whether that changes what is in force.
-    pub fn join(&mut self, other: &Carried) -> bool {
+    pub fn join(&mut self, other: &Retained) -> bool {
         let Some(own) = self.revision().filter(|own| own.era == other.era) else { return false };
-        let carried = self.carried.get_or_insert_with(|| Carried::nothing(own.era));
-        let before = carried.changes();
-        carried.join(other, self.accepted.items());
-        let news = carried.changes() != before;
+        let retained = self.retained.get_or_insert_with(|| Retained::nothing(own.era));
+        let before = retained.changes();
+        retained.join(other, self.accepted.items());
+        let news = retained.changes() != before;
         if news {
             self.show();
         }
@@ -153,11 +153,11 @@
 
     /// Drops what is carried on and has had its time; returns the upstreams that are gone by
     /// it.
-    pub fn expire(&mut self, now: Instant, times: CarryTimes) -> Vec<Key> {
-        let Some(carried) = &mut self.carried else { return Vec::new() };
-        let before = carried.changes();
-        let gone = carried.expire(now, times);
-        if carried.changes() != before {
+    pub fn expire(&mut self, now: Instant, times: RetentionTimes) -> Vec<Key> {
+        let Some(retained) = &mut self.retained else { return Vec::new() };
+        let before = retained.changes();
+        let gone = retained.expire(now, times);
+        if retained.changes() != before {
             self.show();
         }
         gone
@@ -165,15 +165,15 @@
 
     /// Lets the time of what is carried on begin anew.
     pub fn postpone(&mut self, now: Instant) {
-        if let Some(carried) = &mut self.carried {
-            carried.postpone(now);
+        if let Some(retained) = &mut self.retained {
+            retained.postpone(now);
         }
     }
 
     /// Returns when something that is carried on will have had its time.
     #[must_use]
-    pub fn next_expiry(&self, times: CarryTimes) -> Option<Instant> {
-        self.carried.as_ref().and_then(|carried| carried.next_expiry(times))
+    pub fn next_expiry(&self, times: RetentionTimes) -> Option<Instant> {
+        self.retained.as_ref().and_then(|retained| retained.next_expiry(times))
     }
 
     /// Returns the newest refused revision, while it is newer than the one in force.
@@ -294,10 +294,10 @@
     fn carry(&mut self, entered: Option<(Revision, Items)>, changes: &[Change]) {
         let era = self.revision().map(|own| own.era).unwrap_or_default();
         if let Some((read, held)) = entered {
-            let before = self.carried.take().unwrap_or_default();
-            self.carried = Some(before.enter(era, read, &held, self.accepted.items()));
-        } else if let Some(carried) = &mut self.carried {
-            carried.settle(changes);
+            let before = self.retained.take().unwrap_or_default();
+            self.retained = Some(before.enter(era, read, &held, self.accepted.items()));
+        } else if let Some(retained) = &mut self.retained {
+            retained.settle(changes);
         }
         self.show();
     }
@@ -305,8 +305,8 @@
     /// Works out what is in force.
     fn show(&mut self) {
         self.clash.clear();
-        let carried = self.carried.as_ref().map(Carried::changes).filter(|changes| !changes.is_empty());
-        self.set = match carried.map(|changes| self.told.apply(&changes)) {
+        let retained = self.retained.as_ref().map(Retained::changes).filter(|changes| !changes.is_empty());
+        self.set = match retained.map(|changes| self.told.apply(&changes)) {
             None => Arc::clone(&self.told),
             Some(Ok(set)) => Arc::new(set),
             Some(Err(faults)) => {
--- a/crates/harefield/src/domain/feed.rs
+++ b/crates/harefield/src/domain/feed.rs
@@ -8,9 +8,9 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::carried::CarriedReport;
 use super::ids::Key;
 use super::news_format::NewsFormat;
+use super::retained::RetainedReport;
 use super::revision::Revision;
 
 /// The values of one space at one revision.
@@ -91,16 +91,16 @@
         /// What is newer.
         news: Box<News>,
         /// What goes before what the platform has.
-        carried: CarriedReport,
+        retained: RetainedReport,
     },
 }
 
 impl News {
     /// Returns the news of the platform, and what is carried on beside them.
     #[must_use]
-    pub fn split(self) -> (Self, Option<CarriedReport>) {
+    pub fn split(self) -> (Self, Option<RetainedReport>) {
         match self {
-            Self::Carrying { news, carried } => (*news, Some(carried)),
+            Self::Carrying { news, retained } => (*news, Some(retained)),
             news => (news, None),
         }
     }
--- a/crates/harefield/src/domain/mod.rs
+++ b/crates/harefield/src/domain/mod.rs
@@ -5,9 +5,9 @@
 
 pub mod accounts;
 pub mod admission;
+pub mod announcement;
 pub mod backoff;
 pub mod buffers;
-pub mod carried;
 pub mod cell;
 pub mod code;
 pub mod cold;
@@ -34,13 +34,13 @@
 pub mod reply;
 pub mod residency;
 pub mod resources;
+pub mod retained;
 pub mod revision;
 pub mod routing;
 pub mod snapshot;
 pub mod suspects;
 pub mod time;
 pub mod view;
-pub mod word;
 pub mod work;
 
 /// Returns a part as a share of the whole; all of nothing is 1.
--- a/crates/harefield/src/domain/news_format.rs
+++ b/crates/harefield/src/domain/news_format.rs
@@ -4,13 +4,13 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::carried::CarriedReport;
 use super::feed::Change;
 use super::feed::Delta;
 use super::feed::Items;
 use super::feed::News;
 use super::feed::Span;
 use super::ids::Era;
+use super::retained::RetainedReport;
 use super::revision::Revision;
 
 /// News as they are written.
@@ -27,7 +27,8 @@
     /// Sent to daemons alone that ask for it.
     Carrying {
         news: Box<NewsFormat>,
-        carried: CarriedReport,
+        #[serde(rename = "carried")]
+        retained: RetainedReport,
     },
 }
 
@@ -80,7 +81,7 @@
             News::Full { revision, items } => {
                 Self::Full { revision: revision.number, items, era: revision.era }
             }
-            News::Carrying { news, carried } => Self::Carrying { news: Box::new((*news).into()), carried },
+            News::Carrying { news, retained } => Self::Carrying { news: Box::new((*news).into()), retained },
         }
     }
 }
@@ -93,8 +94,8 @@
             NewsFormat::Full { revision, items, era } => {
                 Self::Full { revision: Revision::new(era, revision), items }
             }
-            NewsFormat::Carrying { news, carried } => {
-                Self::Carrying { news: Box::new((*news).into()), carried }
+            NewsFormat::Carrying { news, retained } => {
+                Self::Carrying { news: Box::new((*news).into()), retained }
             }
         }
     }
--- a/crates/harefield/src/domain/carried.rs
+++ b/crates/harefield/src/domain/retained.rs
@@ -50,9 +50,9 @@
 /// not carried on is known to be gone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Vec<Revision>", into = "Vec<Revision>")]
-pub struct Context([Option<Revision>; ERAS_KEPT]);
+pub struct ReadHistory([Option<Revision>; ERAS_KEPT]);
 
-impl Context {
+impl ReadHistory {
     /// Returns the context of a daemon that has read an era up to a revision too.
     #[must_use]
     pub fn with(self, read: Revision) -> Self {
@@ -80,7 +80,7 @@
     }
 }
 
-impl From<Vec<Revision>> for Context {
+impl From<Vec<Revision>> for ReadHistory {
     fn from(reads: Vec<Revision>) -> Self {
         let newest: BTreeMap<Era, Revision> = reads.into_iter().fold(BTreeMap::new(), |mut newest, read| {
             let known = newest.entry(read.era).or_insert(read);
@@ -92,22 +92,22 @@
     }
 }
 
-impl From<Context> for Vec<Revision> {
-    fn from(context: Context) -> Self {
+impl From<ReadHistory> for Vec<Revision> {
+    fn from(context: ReadHistory) -> Self {
         context.reads().collect()
     }
 }
 
 /// How far a daemon is in what is in force beside what the platform has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CarriedMark {
+pub struct RetainedMark {
     /// How far it has read the eras that it carries on from; nothing where it entered none.
-    pub context: Context,
+    pub context: ReadHistory,
     /// The edition in force.
     pub edition: Edition,
 }
 
-impl CarriedMark {
+impl RetainedMark {
     /// Says whether a daemon with this one knows something that one with another lacks.
     #[must_use]
     pub fn exceeds(self, other: Self) -> bool {
@@ -117,7 +117,7 @@
 
 /// A value that is carried on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct RetainedValue {
     /// The value.
     pub value: Arc<str>,
     /// Up to when it is known to have been in force.
@@ -126,13 +126,13 @@
 
 /// What is carried on from the eras before into one era.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Carried {
+pub struct Retained {
     /// The era that it is carried into.
     pub era: Era,
     /// How far those before were read.
-    pub context: Context,
+    pub context: ReadHistory,
     /// The values that go before those of the platform.
-    pub kept: BTreeMap<Key, Kept>,
+    pub kept: BTreeMap<Key, RetainedValue>,
     /// The upstreams of the platform's copy that had left, with up to when that is known.
     pub doubted: BTreeMap<Key, Revision>,
     /// When the era was entered; none before that is noted.
@@ -143,13 +143,13 @@
 
 /// What is carried on, as daemons tell each other.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CarriedReport {
+pub struct RetainedReport {
     /// The era that it is carried into.
     pub era: Era,
     /// How far those before were read.
-    pub context: Context,
+    pub context: ReadHistory,
     /// The values that go before those of the platform.
-    pub kept: BTreeMap<Key, Kept>,
+    pub kept: BTreeMap<Key, RetainedValue>,
     /// The upstreams of the platform's copy that had left, with up to when that is known.
     pub doubted: BTreeMap<Key, Revision>,
     /// How long ago the era was entered, in milliseconds.
@@ -158,14 +158,14 @@
 
 /// For how long what is carried on stays.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CarryTimes {
+pub struct RetentionTimes {
     /// An upstream: as long as it needs to write again.
     pub upstream: Duration,
     /// An evacuation: as long as its operator needs to.
     pub operator: Duration,
 }
 
-impl CarryTimes {
+impl RetentionTimes {
     /// Returns the times where upstreams write once each `heartbeat`.
     #[must_use]
     pub fn new(heartbeat: Duration) -> Self {
@@ -173,7 +173,7 @@
     }
 }
 
-impl Carried {
+impl Retained {
     /// Returns that nothing is carried into an era, as at a daemon that started in it.
     #[must_use]
     pub fn nothing(era: Era) -> Self {
@@ -184,10 +184,10 @@
     /// it carried on beside it, where the platform has `listed` in an era.
     #[must_use]
     pub fn enter(self, era: Era, read: Revision, held: &Items, listed: &Items) -> Self {
-        let mut in_force: BTreeMap<Key, Kept> = held
+        let mut in_force: BTreeMap<Key, RetainedValue> = held
             .iter()
             .filter(|(key, _)| !self.doubted.contains_key(*key))
-            .map(|(key, value)| (Arc::clone(key), Kept { value: Arc::clone(value), of: read }))
+            .map(|(key, value)| (Arc::clone(key), RetainedValue { value: Arc::clone(value), of: read }))
             .collect();
         in_force.extend(self.kept);
         let back = listed.keys().filter(|key| is_upstream(key) && !in_force.contains_key(*key));
@@ -249,7 +249,7 @@
 
     /// Drops what has had its time; returns the upstreams that are gone by it. The time runs
     /// from when this was asked first.
-    pub fn expire(&mut self, now: Instant, times: CarryTimes) -> Vec<Key> {
+    pub fn expire(&mut self, now: Instant, times: RetentionTimes) -> Vec<Key> {
         let age = now.saturating_duration_since(*self.since.get_or_insert(now));
         let (upstreams, evacuations) = (age >= times.upstream, age >= times.operator);
         let mut gone = Vec::new();
@@ -272,7 +272,7 @@
     /// Returns when something will have had its time; none where all that is left stays
     /// until it is written again.
     #[must_use]
-    pub fn next_expiry(&self, times: CarryTimes) -> Option<Instant> {
+    pub fn next_expiry(&self, times: RetentionTimes) -> Option<Instant> {
         let since = self.since?;
         let upstreams = !self.doubted.is_empty() || self.kept.keys().any(is_upstream);
         let evacuations = self.kept.keys().any(is_evacuation);
@@ -282,9 +282,9 @@
 
     /// Returns what others are told.
     #[must_use]
-    pub fn report(&self, now: Instant) -> CarriedReport {
+    pub fn report(&self, now: Instant) -> RetainedReport {
         let age = self.since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
-        CarriedReport {
+        RetainedReport {
             era: self.era,
             context: self.context,
             kept: self.kept.clone(),
@@ -294,13 +294,13 @@
     }
 }
 
-impl CarriedReport {
+impl RetainedReport {
     /// Returns what another daemon carries, as it was heard at `now`.
     #[must_use]
-    pub fn heard(self, now: Instant) -> Carried {
+    pub fn heard(self, now: Instant) -> Retained {
         let since = now.checked_sub(Duration::from_millis(self.age)).unwrap_or(now);
         let Self { era, context, kept, doubted, .. } = self;
-        Carried { era, context, kept, doubted, since: Some(since), settled: BTreeSet::new() }
+        Retained { era, context, kept, doubted, since: Some(since), settled: BTreeSet::new() }
     }
 }
 
--- a/crates/harefield/src/domain/routing/report.rs
+++ b/crates/harefield/src/domain/routing/report.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use crate::domain::announcement::Announcement;
 use crate::domain::outcome::Gap;
-use crate::domain::word::Word;
 
 /// What an upstream reports of its load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     /// The load that the reply carried.
     pub load: Option<Load>,
     /// The upstream's word that the reply carried.
-    pub word: Option<Word>,
+    pub word: Option<Announcement>,
 }
 
 /// When an upstream that may not be asked now may be asked again.
--- a/crates/harefield/src/domain/routing/router.rs
+++ b/crates/harefield/src/domain/routing/router.rs
@@ -19,6 +19,8 @@
 use super::report::Verdict;
 use super::searcher::Searcher;
 use super::settled::Settled;
+use crate::domain::announcement::Announcement;
+use crate::domain::announcement::NamedAnnouncement;
 use crate::domain::cell::Cells;
 use crate::domain::cell::connection_share;
 use crate::domain::cold::Allowance;
@@ -31,8 +33,6 @@
 use crate::domain::resources::Upstream;
 use crate::domain::view::OwnUpstream;
 use crate::domain::view::View;
-use crate::domain::word::NamedWord;
-use crate::domain::word::Word;
 
 /// Routes the requests of one worker.
 #[derive(Debug)]
@@ -277,14 +277,14 @@
     }
 
     /// Takes an upstream's word; returns whether it was news.
-    pub fn hear(&mut self, name: &UpstreamId, word: &Word) -> bool {
+    pub fn hear(&mut self, name: &UpstreamId, word: &Announcement) -> bool {
         self.searchers.get_mut(name).is_some_and(|s| s.hear(word))
     }
 
     /// Takes words that peers passed on.
-    pub fn hear_all(&mut self, words: &[NamedWord]) {
+    pub fn hear_all(&mut self, words: &[NamedAnnouncement]) {
         for named in words {
-            self.hear(&named.upstream, &named.word);
+            self.hear(&named.upstream, &named.announcement);
         }
     }
 
--- a/crates/harefield/src/domain/routing/searcher.rs
+++ b/crates/harefield/src/domain/routing/searcher.rs
@@ -12,12 +12,12 @@
 use super::report::Load;
 use super::report::Until;
 use super::window::Window;
+use crate::domain::announcement::Announcement;
 use crate::domain::cold::Spell;
 use crate::domain::ids::Version;
 use crate::domain::outcome::Gap;
 use crate::domain::places::Distance;
 use crate::domain::resources::Upstream;
-use crate::domain::word::Word;
 
 /// One upstream, as one worker sees it.
 #[derive(Clone, Debug)]
@@ -34,7 +34,7 @@
     pub(super) probation: bool,
     pub(super) way: f64,
     pub(super) distance: Distance,
-    pub(super) word: Word,
+    pub(super) word: Announcement,
     pub(super) listed: bool,
     /// When this daemon left the last cell of the upstream; none while it is in one.
     pub(super) left: Option<Instant>,
@@ -65,7 +65,7 @@
             probation: false,
             way: 0.0,
             distance: Distance::Near,
-            word: Word::default(),
+            word: Announcement::default(),
             listed: false,
             left: None,
             evacuated: false,
@@ -126,7 +126,7 @@
 
     /// Returns the upstream's own word.
     #[must_use]
-    pub fn word(&self) -> &Word {
+    pub fn word(&self) -> &Announcement {
         &self.word
     }
 
@@ -177,7 +177,7 @@
     }
 
     /// Takes the upstream's word, heard directly or through a peer.
-    pub fn hear(&mut self, word: &Word) -> bool {
+    pub fn hear(&mut self, word: &Announcement) -> bool {
         self.word.join(word)
     }
 
--- a/crates/harefield/src/engine/message.rs
+++ b/crates/harefield/src/engine/message.rs
@@ -6,6 +6,7 @@
 use std::time::Instant;
 
 use crate::domain::accounts::Asker;
+use crate::domain::announcement::NamedAnnouncement;
 use crate::domain::feed::News;
 use crate::domain::hlc::Stamp;
 use crate::domain::ids::Edition;
@@ -15,7 +16,6 @@
 use crate::domain::query::Query;
 use crate::domain::suspects::Suspect;
 use crate::domain::view::View;
-use crate::domain::word::NamedWord;
 use crate::ports::Exchange;
 use crate::ports::Pull;
 
@@ -111,7 +111,7 @@
     /// A new view to act on.
     View(Arc<View>),
     /// Upstreams' words that peers passed on.
-    Words(Arc<[NamedWord]>),
+    Words(Arc<[NamedAnnouncement]>),
     /// What is known of works under which upstreams ended.
     Suspects(Arc<[Suspect]>),
     /// The daemons as seen now.
@@ -132,7 +132,7 @@
     /// A peer asks for news; the reply is awaited.
     Pull(Pull, async_channel::Sender<News>),
     /// An upstream's word changed.
-    Word(NamedWord),
+    Word(NamedAnnouncement),
     /// What is known of a work under which upstreams ended has changed.
     Suspect(Suspect),
     /// A worker woke from a pause and wants its knowledge confirmed.
--- a/crates/harefield/src/ports/formats.rs
+++ b/crates/harefield/src/ports/formats.rs
@@ -7,8 +7,8 @@
 use super::peers::Mark;
 use super::peers::Pull;
 use super::platform::Space;
-use crate::domain::carried::CarriedMark;
 use crate::domain::ids::Era;
+use crate::domain::retained::RetainedMark;
 use crate::domain::revision::Revision;
 
 /// A mark as it is written.
@@ -20,8 +20,8 @@
     age: Option<u64>,
     #[serde(default, skip_serializing_if = "is_default")]
     era: Era,
-    #[serde(default)]
-    carried: Option<CarriedMark>,
+    #[serde(default, rename = "carried")]
+    retained: Option<RetainedMark>,
 }
 
 /// A pull as it is written.
@@ -31,37 +31,37 @@
     have: Option<u64>,
     #[serde(default, skip_serializing_if = "is_default")]
     era: Era,
-    #[serde(default)]
-    carried: Option<CarriedMark>,
+    #[serde(default, rename = "carried")]
+    retained: Option<RetainedMark>,
 }
 
 impl From<Mark> for MarkFormat {
     fn from(mark: Mark) -> Self {
-        let Mark { space, revision, age, carried } = mark;
+        let Mark { space, revision, age, retained } = mark;
         let (number, era) = split(revision);
-        Self { space, revision: number, age, era, carried }
+        Self { space, revision: number, age, era, retained }
     }
 }
 
 impl From<MarkFormat> for Mark {
     fn from(format: MarkFormat) -> Self {
-        let MarkFormat { space, revision, age, era, carried } = format;
-        Self { space, revision: joined(revision, era), age, carried }
+        let MarkFormat { space, revision, age, era, retained } = format;
+        Self { space, revision: joined(revision, era), age, retained }
     }
 }
 
 impl From<Pull> for PullFormat {
     fn from(pull: Pull) -> Self {
-        let Pull { space, have, carried } = pull;
+        let Pull { space, have, retained } = pull;
         let (number, era) = split(have);
-        Self { space, have: number, era, carried }
+        Self { space, have: number, era, retained }
     }
 }
 
 impl From<PullFormat> for Pull {
     fn from(format: PullFormat) -> Self {
-        let PullFormat { space, have, era, carried } = format;
-        Self { space, have: joined(have, era), carried }
+        let PullFormat { space, have, era, retained } = format;
+        Self { space, have: joined(have, era), retained }
     }
 }
 
--- a/crates/harefield/src/ports/peers.rs
+++ b/crates/harefield/src/ports/peers.rs
@@ -11,7 +11,7 @@
 use super::formats::PullFormat;
 use super::platform::Space;
 use crate::domain::accounts::Asker;
-use crate::domain::carried::CarriedMark;
+use crate::domain::announcement::NamedAnnouncement;
 use crate::domain::feed::News;
 use crate::domain::hlc::Stamp;
 use crate::domain::ids::AccountId;
@@ -25,9 +25,9 @@
 use crate::domain::outcome::Gap;
 use crate::domain::query::ByteQuery;
 use crate::domain::residency::Regions;
+use crate::domain::retained::RetainedMark;
 use crate::domain::revision::Revision;
 use crate::domain::suspects::SuspectReport;
-use crate::domain::word::NamedWord;
 
 /// A request handed to another daemon.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -199,7 +199,7 @@
     pub age: Option<u64>,
     /// What goes before what the platform has at that revision; none from daemons that
     /// know no eras.
-    pub carried: Option<CarriedMark>,
+    pub retained: Option<RetainedMark>,
 }
 
 /// What two daemons tell each other, in both directions.
@@ -216,7 +216,8 @@
     /// Daemons as it knows them.
     pub rows: Vec<Row>,
     /// Upstreams' words that it heard.
-    pub words: Vec<NamedWord>,
+    #[serde(rename = "words")]
+    pub announcements: Vec<NamedAnnouncement>,
     /// What it knows of works under which upstreams ended; none from daemons that do not
     /// say so.
     #[serde(default)]
@@ -232,7 +233,7 @@
     /// The asker's revision.
     pub have: Option<Revision>,
     /// How far the asker is in what is carried on; none from one that does not take it.
-    pub carried: Option<CarriedMark>,
+    pub retained: Option<RetainedMark>,
 }
 
 /// Why a daemon gave no answer.
--- a/crates/harefield/tests/decisions/eras.rs
+++ b/crates/harefield/tests/decisions/eras.rs
@@ -7,9 +7,9 @@
 use crate::eras_world::entry;
 use crate::eras_world::step;
 use crate::support::cases;
-use harefield::domain::carried::Carried;
 use harefield::domain::feed::Items;
 use harefield::domain::resources::ResourceSet;
+use harefield::domain::retained::Retained;
 use harefield::domain::revision::Revision;
 
 proptest! {
@@ -46,8 +46,8 @@
     ]
     .into();
     let nothing = Items::new();
-    let enter = |number, held| Carried::default().enter(2, Revision::new(1, number), held, &nothing);
-    let (behind, mut ahead, mut started) = (enter(40, &held), enter(50, &nothing), Carried::nothing(2));
+    let enter = |number, held| Retained::default().enter(2, Revision::new(1, number), held, &nothing);
+    let (behind, mut ahead, mut started) = (enter(40, &held), enter(50, &nothing), Retained::nothing(2));
     started.join(&behind, &nothing);
     assert_eq!(started.kept, behind.kept);
     ahead.join(&behind, &nothing);
--- a/crates/harefield/tests/decisions/eras_world.rs
+++ b/crates/harefield/tests/decisions/eras_world.rs
@@ -12,8 +12,6 @@
 use serde_json::json;
 
 use crate::support::at;
-use harefield::domain::carried::CarryTimes;
-use harefield::domain::carried::OPERATOR_TIME;
 use harefield::domain::configuration::Configuration;
 use harefield::domain::feed::Change;
 use harefield::domain::feed::Delta;
@@ -24,6 +22,8 @@
 use harefield::domain::ids::Key;
 use harefield::domain::resources::Evacuation;
 use harefield::domain::resources::Upstream;
+use harefield::domain::retained::OPERATOR_TIME;
+use harefield::domain::retained::RetentionTimes;
 use harefield::domain::revision::Revision;
 use harefield::domain::time::millis;
 
@@ -203,14 +203,14 @@
     }
 
     fn hear(&mut self, other: &Configuration, now: Instant) {
-        if !self.config.lacks(other.revision(), Some(other.carried_mark())) {
+        if !self.config.lacks(other.revision(), Some(other.retained_mark())) {
             return;
         }
-        let mark = Some(self.config.carried_mark());
-        let (news, carried) = other.news(self.config.revision(), mark, now).split();
+        let mark = Some(self.config.retained_mark());
+        let (news, retained) = other.news(self.config.revision(), mark, now).split();
         self.config.learn(news);
-        if let Some(carried) = carried {
-            self.config.join(&carried.heard(now));
+        if let Some(retained) = retained {
+            self.config.join(&retained.heard(now));
         }
     }
 }
@@ -251,7 +251,7 @@
             Step::Restart(who) => self.restart(who),
             Step::Wait(time) => self.now += time,
         }
-        let (now, times) = (self.instant(), CarryTimes::new(HEARTBEAT));
+        let (now, times) = (self.instant(), RetentionTimes::new(HEARTBEAT));
         for daemon in &mut self.daemons {
             daemon.config.expire(now, times);
         }
--- a/crates/harefield/tests/decisions/revisions.rs
+++ b/crates/harefield/tests/decisions/revisions.rs
@@ -3,15 +3,15 @@
 use proptest::prelude::*;
 
 use crate::support::cases;
-use harefield::domain::carried::CarriedMark;
-use harefield::domain::carried::CarriedReport;
-use harefield::domain::carried::Context;
-use harefield::domain::carried::Kept;
 use harefield::domain::feed::Delta;
 use harefield::domain::feed::Items;
 use harefield::domain::feed::News;
 use harefield::domain::feed::Span;
 use harefield::domain::ids::Era;
+use harefield::domain::retained::ReadHistory;
+use harefield::domain::retained::RetainedMark;
+use harefield::domain::retained::RetainedReport;
+use harefield::domain::retained::RetainedValue;
 use harefield::domain::revision::Revision;
 use harefield::ports::Mark;
 use harefield::ports::Pull;
@@ -34,11 +34,11 @@
 #[test]
 fn messages_survive() {
     let of = Revision::new(1, 61);
-    let context = Context::default().with(of);
-    let carried = CarriedReport {
+    let context = ReadHistory::default().with(of);
+    let retained = RetainedReport {
         era: 2,
         context,
-        kept: [("evacuations/a".into(), Kept { value: "{}".into(), of })].into(),
+        kept: [("evacuations/a".into(), RetainedValue { value: "{}".into(), of })].into(),
         doubted: [("upstreams/u".into(), of)].into(),
         age: 7,
     };
@@ -48,22 +48,22 @@
         changes: Vec::new(),
         span: Span::Whole,
     };
-    let news = News::Carrying { news: Box::new(News::Deltas(vec![delta])), carried };
+    let news = News::Carrying { news: Box::new(News::Deltas(vec![delta])), retained };
     let bytes = rmp_serde::to_vec_named(&news).expect("it is written");
     assert_eq!(rmp_serde::from_slice::<News>(&bytes).expect("it is read"), news);
-    let mark = CarriedMark { context, edition: 52 };
+    let mark = RetainedMark { context, edition: 52 };
     let told = Mark {
         space: Space::Config,
         revision: Some(Revision::new(2, 58)),
         age: Some(1),
-        carried: Some(mark),
+        retained: Some(mark),
     };
     let bytes = rmp_serde::to_vec_named(&told).expect("it is written");
     assert_eq!(rmp_serde::from_slice::<Mark>(&bytes).expect("it is read"), told);
-    let pull = Pull { space: Space::Config, have: Some(Revision::new(1, 61)), carried: Some(mark) };
+    let pull = Pull { space: Space::Config, have: Some(Revision::new(1, 61)), retained: Some(mark) };
     let bytes = rmp_serde::to_vec_named(&pull).expect("it is written");
     let read = rmp_serde::from_slice::<Pull>(&bytes).expect("it is read");
-    assert_eq!((read.have, read.carried), (pull.have, pull.carried));
+    assert_eq!((read.have, read.retained), (pull.have, pull.retained));
 }
 
 #[test]
@@ -80,7 +80,7 @@
         space: Space::Config,
         revision: Some(Revision::new(2, 58)),
         age: Some(3),
-        carried: Some(CarriedMark::default()),
+        retained: Some(RetainedMark::default()),
     };
     let bytes = rmp_serde::to_vec_named(&told).expect("it is written");
     let read: OldMark = rmp_serde::from_slice(&bytes).expect("it is read");
@@ -88,7 +88,7 @@
     let bytes = rmp_serde::to_vec_named(&read).expect("it is written");
     let heard: Mark = rmp_serde::from_slice(&bytes).expect("it is read");
     assert_eq!(heard.revision, Some(Revision::first(58)), "it is of no era that is above 0");
-    assert_eq!(heard.carried, None);
+    assert_eq!(heard.retained, None);
     let news = News::Full { revision: Revision::new(2, 58), items: Items::new() };
     let bytes = rmp_serde::to_vec_named(&news).expect("it is written");
     let text: serde_json::Value = rmp_serde::from_slice(&bytes).expect("it is read");
--- a/crates/harefield/tests/decisions/routing.rs
+++ b/crates/harefield/tests/decisions/routing.rs
@@ -12,6 +12,8 @@
 use crate::support::router;
 use crate::support::set;
 use crate::support::view;
+use harefield::domain::announcement::Announcement;
+use harefield::domain::announcement::AnnouncementStamp;
 use harefield::domain::ids::UpstreamId;
 use harefield::domain::outcome::Gap;
 use harefield::domain::routing::Ask;
@@ -24,8 +26,6 @@
 use harefield::domain::routing::Verdict;
 use harefield::domain::routing::Window;
 use harefield::domain::view::View;
-use harefield::domain::word::Word;
-use harefield::domain::word::WordStamp;
 
 fn two(now: Instant) -> (Router, [UpstreamId; 2]) {
     (router(&view(&set(1, 2, &[1])), now), [replica(0, 0), replica(0, 1)])
@@ -226,7 +226,7 @@
 fn leaving_never_chosen() {
     let now = Instant::now();
     let (mut router, names) = two(now);
-    let word = Word { stamp: WordStamp { start: 1, change: 1 }, draining: true, held: None };
+    let word = Announcement { stamp: AnnouncementStamp { start: 1, change: 1 }, draining: true, held: None };
     router.hear(&names[0], &word);
     for _ in 0..20 {
         assert_eq!(choose(&mut router, &names, now), Ok(Arc::clone(&names[1])));
@@ -247,7 +247,11 @@
 fn version_held() {
     let now = Instant::now();
     let (mut router, names) = two(now);
-    let word = Word { stamp: WordStamp { start: 1, change: 1 }, draining: false, held: Some(vec![2]) };
+    let word = Announcement {
+        stamp: AnnouncementStamp { start: 1, change: 1 },
+        draining: false,
+        held: Some(vec![2]),
+    };
     router.hear(&names[0], &word);
     assert_eq!(choose(&mut router, &names, now), Ok(Arc::clone(&names[1])));
     assert_eq!(choose(&mut router, &names[..1], now), Err(Gap::SnapshotMissing));
--- a/crates/harefield/tests/decisions/words.rs
+++ b/crates/harefield/tests/decisions/words.rs
@@ -3,13 +3,17 @@
 use proptest::prelude::*;
 
 use crate::support::cases;
-use harefield::control::Wordbook;
-use harefield::domain::word::NamedWord;
-use harefield::domain::word::Word;
-use harefield::domain::word::WordStamp;
+use harefield::control::Announcements;
+use harefield::domain::announcement::Announcement;
+use harefield::domain::announcement::AnnouncementStamp;
+use harefield::domain::announcement::NamedAnnouncement;
 
-fn word(start: u64, change: u64) -> Word {
-    Word { stamp: WordStamp { start, change }, draining: change % 2 == 1, held: Some(vec![change]) }
+fn word(start: u64, change: u64) -> Announcement {
+    Announcement {
+        stamp: AnnouncementStamp { start, change },
+        draining: change % 2 == 1,
+        held: Some(vec![change]),
+    }
 }
 
 proptest! {
@@ -18,7 +22,7 @@
     /// The newest word wins, in whatever order words are heard.
     #[test]
     fn newest_wins(stamps in prop::collection::vec((0_u64..4, 0_u64..4), 1..20)) {
-        let mut held = Word::default();
+        let mut held = Announcement::default();
         for (start, change) in &stamps {
             held.join(&word(*start, *change));
         }
@@ -31,8 +35,8 @@
 
 #[test]
 fn passed_on_a_while() {
-    let mut book = Wordbook::default();
-    let named = NamedWord { upstream: "u".into(), word: word(1, 1) };
+    let mut book = Announcements::default();
+    let named = NamedAnnouncement { upstream: "u".into(), announcement: word(1, 1) };
     assert_eq!(book.join(std::slice::from_ref(&named)).len(), 1);
     assert!(book.join(std::slice::from_ref(&named)).is_empty(), "it is no longer news");
     let mut told = 0;
--- a/crates/harefield/tests/decisions/world.rs
+++ b/crates/harefield/tests/decisions/world.rs
@@ -13,6 +13,8 @@
 use crate::support::router;
 use crate::support::set;
 use crate::support::view;
+use harefield::domain::announcement::Announcement;
+use harefield::domain::announcement::AnnouncementStamp;
 use harefield::domain::event::Event;
 use harefield::domain::fanout::Action;
 use harefield::domain::fanout::AttemptEnd;
@@ -30,8 +32,6 @@
 use harefield::domain::routing::Verdict;
 use harefield::domain::view::Plan;
 use harefield::domain::view::ReplicaLimit;
-use harefield::domain::word::Word;
-use harefield::domain::word::WordStamp;
 
 /// What the world does next to a fan-out.
 #[derive(Clone, Copy, Debug)]
@@ -237,7 +237,8 @@
 
     pub fn drain(&mut self, shard: usize, number: usize) {
         let name = replica(shard, number);
-        let word = Word { stamp: WordStamp { start: 1, change: 1 }, draining: true, held: None };
+        let word =
+            Announcement { stamp: AnnouncementStamp { start: 1, change: 1 }, draining: true, held: None };
         if self.router.hear(&name, &word) {
             self.drained.insert(name.to_string());
         }
--- a/crates/harefield/tests/fleet/current.rs
+++ b/crates/harefield/tests/fleet/current.rs
@@ -5,10 +5,10 @@
 
 use crate::support::Fleet;
 use crate::support::Tuning;
+use harefield::domain::announcement::Announcement;
+use harefield::domain::announcement::AnnouncementStamp;
+use harefield::domain::announcement::NamedAnnouncement;
 use harefield::domain::revision::Revision;
-use harefield::domain::word::NamedWord;
-use harefield::domain::word::Word;
-use harefield::domain::word::WordStamp;
 use harefield::engine::ToControl;
 use harefield::engine::ToWorker;
 use harefield::ports::Space;
@@ -85,9 +85,9 @@
     let fleet = quiet_fleet();
     let others: Vec<usize> = (1..10).collect();
     fleet.cut(&[0], &others, true);
-    let word = Word { stamp: WordStamp { start: 1, change: 1 }, draining: true, held: None };
+    let word = Announcement { stamp: AnnouncementStamp { start: 1, change: 1 }, draining: true, held: None };
     for other in others {
-        let word = NamedWord { upstream: "u1".into(), word: word.clone() };
+        let word = NamedAnnouncement { upstream: "u1".into(), announcement: word.clone() };
         fleet.say(other, ToControl::Word(word));
     }
     fleet.run_for(Duration::from_millis(100));
--- a/crates/harefield/tests/fleet/eras.rs
+++ b/crates/harefield/tests/fleet/eras.rs
@@ -296,7 +296,7 @@
     fleet.blind(0..2);
     fleet.run_for(Duration::from_secs(1));
     let mark =
-        Mark { space: Space::Config, revision: Some(Revision::first(999)), age: Some(0), carried: None };
+        Mark { space: Space::Config, revision: Some(Revision::first(999)), age: Some(0), retained: None };
     for own in 0..2 {
         let (reply, _) = async_channel::bounded(1);
         fleet.say(own, ToControl::Exchange(Box::new(said(mark)), reply));
@@ -313,7 +313,7 @@
         stamp: Stamp::default(),
         marks: vec![mark],
         rows: Vec::new(),
-        words: Vec::new(),
+        announcements: Vec::new(),
         suspects: Vec::new(),
     }
 }
--- a/crates/harefield/tests/fleet/support.rs
+++ b/crates/harefield/tests/fleet/support.rs
@@ -19,7 +19,6 @@
 use harefield::control::Control;
 use harefield::control::ControlPorts;
 use harefield::control::ControlSettings;
-use harefield::domain::carried::CarryTimes;
 use harefield::domain::cell::CellSize;
 use harefield::domain::cold::Bound;
 use harefield::domain::feed::Change;
@@ -29,6 +28,7 @@
 use harefield::domain::membership::Row;
 use harefield::domain::places::Places;
 use harefield::domain::resources::ResourceSet;
+use harefield::domain::retained::RetentionTimes;
 use harefield::domain::revision::Revision;
 use harefield::engine::ToControl;
 use harefield::engine::ToWorker;
@@ -57,8 +57,8 @@
 };
 
 /// Heartbeats that come often.
-pub const CARRY: CarryTimes =
-    CarryTimes { upstream: Duration::from_millis(1500), operator: Duration::from_millis(2500) };
+pub const CARRY: RetentionTimes =
+    RetentionTimes { upstream: Duration::from_millis(1500), operator: Duration::from_millis(2500) };
 
 /// The regions of a fleet, and its availability zones.
 const REGIONS: usize = 3;
--- a/crates/harefield/tests/processes/site_editions.rs
+++ b/crates/harefield/tests/processes/site_editions.rs
@@ -109,7 +109,7 @@
         stamp: stamp(),
         marks: Vec::new(),
         rows: vec![row],
-        words: Vec::new(),
+        announcements: Vec::new(),
         suspects: Vec::new(),
     }
 }
