--- a/crates/harefield/examples/accounts.rs
+++ b/crates/harefield/examples/accounts.rs
@@ -23,7 +23,9 @@
     let key = |number: u32| format!("key-of-account-{number:05}");
     let values: Vec<_> = (0..ACCOUNTS)
         .map(|number| {
-            let Credential::Key(digest) = Credential::of_key(key(number).as_bytes()) else { unreachable!() };
+            let Credential::Key(digest) = Credential::from_key(key(number).as_bytes()) else {
+                unreachable!()
+            };
             let value = format!("{{\"keys\": [\"{}\"], \"rate\": 100, \"burst\": 100}}", digest.hex());
             (format!("accounts/account-{number:05}").into(), value.into())
         })
@@ -33,9 +35,9 @@
     let shown: Vec<String> = (0..ACCOUNTS).step_by(97).map(key).collect();
     let identify = measure(|round| {
         let key = &shown[usize::try_from(round).unwrap_or(0) % shown.len()];
-        black_box(directory.identify(Credential::of_key(key.as_bytes()), false));
+        black_box(directory.identify(Credential::from_key(key.as_bytes()), false));
     });
-    let Identity::Known(client) = directory.identify(Credential::of_key(key(0).as_bytes()), false) else {
+    let Identity::Known(client) = directory.identify(Credential::from_key(key(0).as_bytes()), false) else {
         unreachable!("it is known")
     };
     let start = Instant::now();
--- a/crates/harefield/examples/target.rs
+++ b/crates/harefield/examples/target.rs
@@ -17,12 +17,12 @@
 use harefield::domain::feed::Items;
 use harefield::domain::hosts::HostList;
 use harefield::domain::ids::HostId;
-use harefield::domain::places::Places;
 use harefield::domain::resources::ResourceSet;
 use harefield::domain::revision::Revision;
 use harefield::domain::routing::Budgets;
 use harefield::domain::routing::Policy;
 use harefield::domain::routing::Router;
+use harefield::domain::topology::Topology;
 use harefield::domain::view::View;
 use harefield::domain::view::ViewSources;
 
@@ -127,7 +127,7 @@
 }
 
 /// One region.
-static PLACES: LazyLock<Places> = LazyLock::new(Places::default);
+static PLACES: LazyLock<Topology> = LazyLock::new(Topology::default);
 
 fn sources<'a>(own: &'a HostId, set: &'a Arc<ResourceSet>, hosts: &'a HostList) -> ViewSources<'a> {
     ViewSources {
--- a/crates/harefield/src/adapters/callers.rs
+++ b/crates/harefield/src/adapters/callers.rs
@@ -22,7 +22,7 @@
 use super::http;
 use super::http::BodyError;
 use crate::domain::accounts::Asker;
-use crate::domain::buffers::Use;
+use crate::domain::buffers::Purpose;
 use crate::domain::code::Code;
 use crate::domain::key::Credential;
 use crate::domain::outcome::Answer;
@@ -155,7 +155,7 @@
         Timer::after(limits.time).await;
         None
     };
-    let read = async { Some(http::read_counted(incoming, limits.body, memory, Use::Requests).await) }
+    let read = async { Some(http::read_counted(incoming, limits.body, memory, Purpose::Requests).await) }
         .or(expired)
         .await;
     match read {
--- a/crates/harefield/src/adapters/http/body.rs
+++ b/crates/harefield/src/adapters/http/body.rs
@@ -8,7 +8,7 @@
 use hyper::body::Body;
 use hyper::body::Bytes;
 
-use crate::domain::buffers::Use;
+use crate::domain::buffers::Purpose;
 use crate::memory::Held;
 use crate::memory::LEAST_COUNTED;
 use crate::memory::Memory;
@@ -53,7 +53,7 @@
     mut body: B,
     limit: usize,
     memory: &Memory,
-    held_for: Use,
+    held_for: Purpose,
 ) -> Result<Bytes, BodyError>
 where
     B: Body<Data = Bytes, Error = hyper::Error> + Unpin,
@@ -78,7 +78,7 @@
 /// Counts one more chunk, once all together are worth it.
 async fn count(
     memory: &Memory,
-    held_for: Use,
+    held_for: Purpose,
     held: Option<Held>,
     (chunk, total): (usize, usize),
 ) -> Result<Option<Held>, BodyError> {
@@ -108,7 +108,7 @@
     let size = reply.body().size_hint().exact().and_then(|size| usize::try_from(size).ok());
     let Some(size) = size.filter(|size| *size >= LEAST_COUNTED) else { return reply };
     let (head, body) = reply.into_parts();
-    let counted = memory.hold(Use::Messages, size);
+    let counted = memory.hold(Purpose::Messages, size);
     let Ok(whole) = body.collect().await;
     Response::from_parts(head, bytes(counted.bind(whole.to_bytes())))
 }
--- a/crates/harefield/src/adapters/http/token.rs
+++ b/crates/harefield/src/adapters/http/token.rs
@@ -30,7 +30,7 @@
     let bytes = value.as_bytes();
     match bytes.split_at_checked(KEY_SCHEME.len()) {
         Some((scheme, key)) if scheme.eq_ignore_ascii_case(KEY_SCHEME.as_bytes()) => {
-            Credential::of_key(key.trim_ascii())
+            Credential::from_key(key.trim_ascii())
         }
         _ => Credential::Malformed,
     }
--- a/crates/harefield/src/adapters/metrics.rs
+++ b/crates/harefield/src/adapters/metrics.rs
@@ -15,7 +15,7 @@
 use prometheus_client::metrics::histogram::exponential_buckets;
 use prometheus_client::registry::Registry;
 
-use crate::domain::buffers::Use;
+use crate::domain::buffers::Purpose;
 use crate::domain::event::Cause;
 use crate::domain::event::Event;
 use crate::domain::outcome::Outcome;
@@ -230,13 +230,13 @@
     pub fn meters(&self) -> Meters {
         let kind = |kind: &str| Kind { kind: kind.to_owned() };
         // A family's metric is returned under a lock, which the next one would wait for.
-        let gauge = |held_for: Use| {
+        let gauge = |held_for: Purpose| {
             let metric = self.held.get_or_create(&kind(held_for.name())).clone();
             (held_for, metric)
         };
         let ended = |name: &str| self.ended.get_or_create(&kind(name)).clone();
         let (stalled, evicted) = (ended("stalled"), ended("evicted"));
-        Meters { held: Use::ALL.map(gauge).into(), stalled, evicted }
+        Meters { held: Purpose::ALL.map(gauge).into(), stalled, evicted }
     }
 
     /// Returns the gauge of entries of the platform that name no upstream.
--- a/crates/harefield/src/adapters/opaque.rs
+++ b/crates/harefield/src/adapters/opaque.rs
@@ -11,12 +11,12 @@
 use crate::domain::ids::ShardId;
 use crate::domain::merge::greatest;
 use crate::domain::outcome::Answer;
+use crate::domain::outcome::Contribution;
 use crate::domain::outcome::Coverage;
-use crate::domain::outcome::Missing;
+use crate::domain::outcome::MissingShard;
 use crate::domain::outcome::Outcome;
-use crate::domain::outcome::Part;
 use crate::domain::outcome::SnapshotName;
-use crate::domain::reply::ByteReply;
+use crate::domain::reply::OpaqueReply;
 use crate::domain::reply::Reply;
 
 /// An answer to an opaque request.
@@ -29,17 +29,17 @@
     retry_after: Option<u64>,
     /// How many records are kept where replies are merged.
     merge: Option<usize>,
-    missing: Vec<Missing>,
-    parts: Vec<(ShardId, ByteReply)>,
-    failure: Option<ByteReply>,
+    missing: Vec<MissingShard>,
+    parts: Vec<(ShardId, OpaqueReply)>,
+    failure: Option<OpaqueReply>,
 }
 
 impl OpaqueAnswer {
     /// Takes what there is of an answer; where replies are merged, the first part
     /// carries the records of all.
     pub fn new(answer: &Answer) -> Self {
-        let bytes = |part: &Part| Some((Arc::clone(&part.shard), (**part.reply.bytes()?).clone()));
-        let mut parts: Vec<(ShardId, ByteReply)> = answer.results.iter().filter_map(bytes).collect();
+        let bytes = |part: &Contribution| Some((Arc::clone(&part.shard), (**part.reply.opaque()?).clone()));
+        let mut parts: Vec<(ShardId, OpaqueReply)> = answer.results.iter().filter_map(bytes).collect();
         if let Some(most) = answer.merge {
             merge(&mut parts, most);
         }
@@ -51,13 +51,13 @@
             merge: answer.merge,
             missing: answer.coverage.missing.clone(),
             parts,
-            failure: answer.failure.as_ref().and_then(Reply::bytes).map(|reply| (**reply).clone()),
+            failure: answer.failure.as_ref().and_then(Reply::opaque).map(|reply| (**reply).clone()),
         }
     }
 
     /// Makes the answer that it was taken from, but for merged records.
     pub fn into_answer(self, request: &str) -> Answer {
-        let mut answer = Answer::bare(request, self.outcome, self.code);
+        let mut answer = Answer::empty(request, self.outcome, self.code);
         answer.snapshot = self.snapshot;
         answer.retry_after = self.retry_after;
         answer.merge = self.merge;
@@ -66,15 +66,15 @@
             contributed: self.parts.iter().map(|(shard, _)| Arc::clone(shard)).collect(),
             missing: self.missing,
         };
-        let part = |(shard, reply)| Part { shard, reply: Reply::Bytes(Arc::new(reply)) };
+        let part = |(shard, reply)| Contribution { shard, reply: Reply::Opaque(Arc::new(reply)) };
         answer.results = self.parts.into_iter().map(part).collect();
-        answer.failure = self.failure.map(|reply| Reply::Bytes(Arc::new(reply)));
+        answer.failure = self.failure.map(|reply| Reply::Opaque(Arc::new(reply)));
         answer
     }
 }
 
 /// Merges the records of all parts into the first, which alone carries any then.
-fn merge(parts: &mut [(ShardId, ByteReply)], most: usize) {
+fn merge(parts: &mut [(ShardId, OpaqueReply)], most: usize) {
     let mut records = Bytes::from(greatest(parts.iter().map(|(_, reply)| &*reply.body), most));
     for (_, reply) in parts {
         reply.headers.clear();
--- a/crates/harefield/src/adapters/operators/resources.rs
+++ b/crates/harefield/src/adapters/operators/resources.rs
@@ -18,7 +18,7 @@
 use crate::adapters::http;
 use crate::domain::code::Code;
 use crate::domain::ids::UpstreamId;
-use crate::domain::membership::Row;
+use crate::domain::membership::MemberRow;
 use crate::domain::resources::Account;
 use crate::domain::resources::Fault;
 use crate::domain::resources::ResourceSet;
@@ -186,7 +186,7 @@
 }
 
 fn hosts(status: &Status) -> Vec<Item> {
-    let item = |row: &Row| Item {
+    let item = |row: &MemberRow| Item {
         key: format!("hosts/{}", row.host),
         spec: json!({ "zone": row.zone, "operators": row.operators }),
         accepted: true,
--- a/crates/harefield/src/adapters/peer_server.rs
+++ b/crates/harefield/src/adapters/peer_server.rs
@@ -26,7 +26,7 @@
 use super::peers::PERMITS_PATH;
 use super::peers::PULL_PATH;
 use super::peers::Travelling;
-use crate::domain::buffers::Use;
+use crate::domain::buffers::Purpose;
 use crate::domain::code::Code;
 use crate::domain::key::Credential;
 use crate::domain::query::Query;
@@ -41,7 +41,7 @@
 use crate::ports::Forward;
 use crate::ports::Group;
 use crate::ports::Peers;
-use crate::ports::PermitAsk;
+use crate::ports::PermitRequest;
 use crate::ports::Pull;
 use crate::ports::Upstreams;
 
@@ -74,7 +74,7 @@
     if head.method != Method::POST {
         return http::refusal(Code::WrongMethod, "");
     }
-    let body = match http::read_counted(incoming, MOST_MESSAGE, &server.memory, Use::Messages).await {
+    let body = match http::read_counted(incoming, MOST_MESSAGE, &server.memory, Purpose::Messages).await {
         Ok(body) => body,
         Err(BodyError::NoRoom) => return http::refusal(Code::NoRoom, ""),
         Err(_error) => return http::refusal(Code::BodyTooLarge, ""),
@@ -133,7 +133,7 @@
         request: Some(message.request),
         lookup: message.lookup,
         query: match message.opaque {
-            Some(query) => Query::Bytes(Arc::new(query)),
+            Some(query) => Query::Opaque(Arc::new(query)),
             None => Query::Json(message.query.into()),
         },
         ticket: message.ticket,
@@ -158,7 +158,7 @@
     worker: &Worker<U, P, C>,
     body: &Bytes,
 ) -> Response<Full<Bytes>> {
-    match rmp_serde::from_slice::<PermitAsk>(body) {
+    match rmp_serde::from_slice::<PermitRequest>(body) {
         Ok(message) => http::packed_short(&worker.grant(&message)),
         Err(error) => http::refusal(Code::MalformedBody, &error.to_string()),
     }
--- a/crates/harefield/src/adapters/peers.rs
+++ b/crates/harefield/src/adapters/peers.rs
@@ -22,7 +22,7 @@
 use super::http::Pool;
 use super::http::Traffic;
 use super::opaque::OpaqueAnswer;
-use crate::domain::buffers::Use;
+use crate::domain::buffers::Purpose;
 use crate::domain::feed::News;
 use crate::domain::hlc::Stamp;
 use crate::domain::ids::Edition;
@@ -35,8 +35,8 @@
 use crate::ports::GroupReply;
 use crate::ports::PeerError;
 use crate::ports::Peers;
-use crate::ports::PermitAsk;
 use crate::ports::PermitReply;
+use crate::ports::PermitRequest;
 use crate::ports::Pull;
 
 /// The path of requests handed on.
@@ -155,7 +155,7 @@
             ClientError::Lost => PeerError::Silent,
         })?;
         let status = reply.status();
-        let whole = http::read_counted(reply.into_body(), MOST_REPLY, &self.memory, Use::Messages).await;
+        let whole = http::read_counted(reply.into_body(), MOST_REPLY, &self.memory, Purpose::Messages).await;
         let whole = whole.map_err(|_error| PeerError::Silent)?;
         self.pool.give_back(address, connection);
         match status {
@@ -226,7 +226,7 @@
     async fn permits(
         &self,
         host: &HostId,
-        message: &PermitAsk,
+        message: &PermitRequest,
         limit: Duration,
     ) -> Result<PermitReply, PeerError> {
         let body = rmp_serde::to_vec(message).map_err(|_error| PeerError::Unreachable)?;
--- a/crates/harefield/src/adapters/reading.rs
+++ b/crates/harefield/src/adapters/reading.rs
@@ -17,7 +17,7 @@
 use super::http::Traffic;
 use crate::domain::feed::Change;
 use crate::domain::feed::Delta;
-use crate::domain::feed::Span;
+use crate::domain::feed::DeltaKind;
 use crate::domain::ids::Era;
 use crate::domain::revision::Revision;
 use crate::ports::PlatformError;
@@ -101,7 +101,7 @@
         match reply.status() {
             StatusCode::OK => {}
             status if self.answers.gone.contains(&status) => return Ok(Told { era, body: None }),
-            _ => return Err(PlatformError::TurnedAway(era)),
+            _ => return Err(PlatformError::Rejected(era)),
         }
         let parsed = serde_json::from_slice(reply.body());
         let told = parsed.map(|body| Told { era, body: Some(body) });
@@ -119,7 +119,7 @@
     }
     let mut base = after;
     let deltas = grouped.into_iter().map(|(revision, changes)| {
-        let delta = Delta { base, revision, changes, span: Span::Step };
+        let delta = Delta { base, revision, changes, kind: DeltaKind::Single };
         base = revision;
         delta
     });
--- a/crates/harefield/src/adapters/settings/load.rs
+++ b/crates/harefield/src/adapters/settings/load.rs
@@ -126,7 +126,10 @@
     /// Returns how large cells may be.
     #[must_use]
     pub fn cell(&self) -> CellSize {
-        CellSize { most: self.routing.cell_size, wanted: self.routing.connections.max(self.limits.workers) }
+        CellSize {
+            max_members: self.routing.cell_size,
+            connections: self.routing.connections.max(self.limits.workers),
+        }
     }
 
     /// Returns how many bytes may be held for callers, upstreams and other daemons.
--- a/crates/harefield/src/adapters/upstreams/mod.rs
+++ b/crates/harefield/src/adapters/upstreams/mod.rs
@@ -25,7 +25,7 @@
 use self::pool::Seat;
 use super::http;
 use super::http::Connection;
-use crate::domain::buffers::Use;
+use crate::domain::buffers::Purpose;
 use crate::domain::fanout::AttemptEnd;
 use crate::domain::ids::UpstreamId;
 use crate::domain::outcome::Gap;
@@ -34,7 +34,7 @@
 use crate::memory::Memory;
 use crate::ports::Call;
 use crate::ports::CallEnd;
-use crate::ports::Place;
+use crate::ports::Endpoint;
 use crate::ports::Upstreams;
 
 pub use self::protocol::OwnProtocol;
@@ -72,7 +72,7 @@
 
     /// Makes the request by which an upstream is told that a reply is no
     /// longer wanted; none where the protocol has no word for it.
-    fn cancel(&self, place: &Place, request: &str) -> Option<Request<Full<Bytes>>>;
+    fn cancel(&self, place: &Endpoint, request: &str) -> Option<Request<Full<Bytes>>>;
 }
 
 /// Asks upstreams by HTTP.
@@ -103,11 +103,11 @@
     async fn converse(&self, call: &Call, permit: impl Fn() -> bool) -> CallEnd {
         let mut request = self.protocol.request(call);
         loop {
-            let idle = self.take_idle(&call.place);
+            let idle = self.take_idle(&call.endpoint);
             let reused = idle.is_some();
             let opened = match idle {
                 Some(held) => Ok(held),
-                None => self.open(&call.place, call.share).await,
+                None => self.open(&call.endpoint, call.share).await,
             };
             let (seat, mut connection) = match opened {
                 Ok(held) => held,
@@ -134,7 +134,7 @@
         reply: Response<Incoming>,
     ) -> CallEnd {
         let (head, body) = reply.into_parts();
-        let Ok(whole) = http::read_counted(body, MOST_REPLY, &self.memory, Use::Replies).await else {
+        let Ok(whole) = http::read_counted(body, MOST_REPLY, &self.memory, Purpose::Replies).await else {
             return lost(Gap::ReplyLost, self.protocol.report(&head.headers));
         };
         let closes = closes(&head.headers);
@@ -152,7 +152,7 @@
 }
 
 impl<W: Protocol> Upstreams for HttpUpstreams<W> {
-    async fn ask(&self, call: Call, permit: impl Fn() -> bool) -> CallEnd {
+    async fn send(&self, call: Call, permit: impl Fn() -> bool) -> CallEnd {
         let limit = call.remaining + call.drain;
         let expired = async {
             Timer::after(limit).await;
@@ -160,14 +160,14 @@
         };
         let suspect = async {
             Timer::after(SUSPECT_AFTER).await;
-            self.close_idle(&call.place);
+            self.close_idle(&call.endpoint);
             std::future::pending().await
         };
         let ended = async { Some(self.converse(&call, permit).await) }.or(suspect).or(expired).await;
         ended.unwrap_or_else(|| lost(Gap::ReplyLost, Report::default()))
     }
 
-    async fn has_ended(&self, place: &Place, share: u32) -> bool {
+    async fn has_ended(&self, place: &Endpoint, share: u32) -> bool {
         let looked = async {
             match self.open(place, share).await {
                 Ok((seat, connection)) => {
@@ -189,7 +189,7 @@
         let Some(address) = self.pools.borrow().get(upstream).map(|pool| pool.address) else {
             return;
         };
-        let place = Place { upstream: Arc::clone(upstream), address };
+        let place = Endpoint { upstream: Arc::clone(upstream), address };
         let Some(message) = self.protocol.cancel(&place, request) else {
             return;
         };
@@ -206,7 +206,7 @@
         self.executor.spawn(send).detach();
     }
 
-    fn warm(&self, place: &Place, share: u32, want: usize) -> bool {
+    fn preconnect(&self, place: &Endpoint, share: u32, want: usize) -> bool {
         if self.ready(place) >= want || !self.begin_warming(place, share) {
             return false;
         }
--- a/crates/harefield/src/adapters/upstreams/pool.rs
+++ b/crates/harefield/src/adapters/upstreams/pool.rs
@@ -15,7 +15,7 @@
 use crate::domain::backoff::backoff;
 use crate::domain::ids::UpstreamId;
 use crate::domain::outcome::Gap;
-use crate::ports::Place;
+use crate::ports::Endpoint;
 
 /// How long opening a connection may take.
 const CONNECT_LIMIT: Duration = Duration::from_millis(500);
@@ -68,7 +68,7 @@
 #[derive(Debug)]
 pub(super) struct Seat {
     pools: Pools,
-    place: Place,
+    place: Endpoint,
     kept: bool,
 }
 
@@ -89,7 +89,7 @@
 
 /// Changes the pool of a place, unless it has moved to another address;
 /// returns whether it did.
-fn change(pools: &Pools, place: &Place, change: impl FnOnce(&mut Pool)) -> bool {
+fn change(pools: &Pools, place: &Endpoint, change: impl FnOnce(&mut Pool)) -> bool {
     let mut pools = pools.borrow_mut();
     match pools.get_mut(&place.upstream).filter(|pool| pool.address == place.address) {
         Some(pool) => {
@@ -101,11 +101,11 @@
 }
 
 impl<W: Protocol> HttpUpstreams<W> {
-    fn seat(&self, place: &Place) -> Seat {
+    fn seat(&self, place: &Endpoint) -> Seat {
         Seat { pools: Rc::clone(&self.pools), place: place.clone(), kept: false }
     }
 
-    pub(super) fn take_idle(&self, place: &Place) -> Option<(Seat, Connection)> {
+    pub(super) fn take_idle(&self, place: &Endpoint) -> Option<(Seat, Connection)> {
         let mut pools = self.pools.borrow_mut();
         let pool = pools.get_mut(&place.upstream)?;
         if pool.address != place.address {
@@ -123,7 +123,7 @@
 
     /// Closes the idle connections of a place: they may be as silent as one that has
     /// brought no reply for long, and new ones may work.
-    pub(super) fn close_idle(&self, place: &Place) {
+    pub(super) fn close_idle(&self, place: &Endpoint) {
         change(&self.pools, place, |pool| {
             let idle = u32::try_from(pool.idle.len()).unwrap_or(u32::MAX);
             pool.idle.clear();
@@ -132,7 +132,7 @@
     }
 
     /// Reserves a place for one more connection within the share.
-    fn reserve(&self, place: &Place, share: u32) -> Option<Seat> {
+    fn reserve(&self, place: &Endpoint, share: u32) -> Option<Seat> {
         let mut pools = self.pools.borrow_mut();
         let pool = pools.entry(Arc::clone(&place.upstream)).or_insert_with(|| Pool::new(place.address));
         if pool.address != place.address {
@@ -144,13 +144,13 @@
     }
 
     /// Changes the pool of a place, unless it has moved to another address.
-    pub(super) fn with_pool(&self, place: &Place, with: impl FnOnce(&mut Pool)) {
+    pub(super) fn with_pool(&self, place: &Endpoint, with: impl FnOnce(&mut Pool)) {
         change(&self.pools, place, with);
     }
 
     /// Returns how many connections are idle or being opened ahead of need;
     /// idle ones that the upstream closed are forgotten.
-    pub(super) fn ready(&self, place: &Place) -> usize {
+    pub(super) fn ready(&self, place: &Endpoint) -> usize {
         let mut pools = self.pools.borrow_mut();
         let Some(pool) = pools.get_mut(&place.upstream) else { return 0 };
         let before = pool.idle.len();
@@ -162,7 +162,7 @@
 
     /// Notes that a connection is opened ahead of need; returns whether one may be:
     /// where the share has room, and none failed a moment ago.
-    pub(super) fn begin_warming(&self, place: &Place, share: u32) -> bool {
+    pub(super) fn begin_warming(&self, place: &Endpoint, share: u32) -> bool {
         let mut pools = self.pools.borrow_mut();
         let pool = pools.entry(Arc::clone(&place.upstream)).or_insert_with(|| Pool::new(place.address));
         let cooling = pool.cooling.is_some_and(|until| Instant::now() < until);
@@ -171,7 +171,7 @@
         room
     }
 
-    pub(super) async fn open(&self, place: &Place, share: u32) -> Result<(Seat, Connection), Gap> {
+    pub(super) async fn open(&self, place: &Endpoint, share: u32) -> Result<(Seat, Connection), Gap> {
         let seat = self.reserve(place, share).ok_or(Gap::Overloaded)?;
         let opened = http::connect(&self.executor, place.address, CONNECT_LIMIT).await;
         let connection = opened.map_err(|_unopened| Gap::Unreachable)?;
--- a/crates/harefield/src/adapters/upstreams/protocol.rs
+++ b/crates/harefield/src/adapters/upstreams/protocol.rs
@@ -27,7 +27,7 @@
 use crate::domain::time::millis;
 use crate::ports::Call;
 use crate::ports::CallEnd;
-use crate::ports::Place;
+use crate::ports::Endpoint;
 
 /// The product's own protocol.
 #[derive(Clone, Copy, Debug, Default)]
@@ -55,7 +55,7 @@
         read_report(headers)
     }
 
-    fn cancel(&self, place: &Place, request: &str) -> Option<Request<Full<Bytes>>> {
+    fn cancel(&self, place: &Endpoint, request: &str) -> Option<Request<Full<Bytes>>> {
         let message = Request::delete(format!("/v1/requests/{request}"));
         message.header("host", place.address.to_string()).body(Full::default()).ok()
     }
@@ -69,7 +69,7 @@
         *request.uri_mut() = path;
     }
     let headers = request.headers_mut();
-    put(headers, "host", &call.place.address.to_string());
+    put(headers, "host", &call.endpoint.address.to_string());
     put(headers, "content-type", "application/json");
     put(headers, "harefield-request", &call.echo.request);
     put(headers, "harefield-shard", &call.echo.shard);
--- a/crates/harefield/src/control/announcements.rs
+++ b/crates/harefield/src/control/announcements.rs
@@ -36,7 +36,7 @@
             .words
             .entry(Arc::clone(&named.upstream))
             .or_insert_with(|| Held { word: Announcement::default(), transmits: 0 });
-        let news = held.word.join(&named.announcement);
+        let news = held.word.merge(&named.announcement);
         if news {
             held.transmits = TRANSMITS;
         }
--- a/crates/harefield/src/control/duty.rs
+++ b/crates/harefield/src/control/duty.rs
@@ -22,7 +22,7 @@
 use crate::domain::cell::CellSize;
 use crate::domain::cold::Bound;
 use crate::domain::configuration::Configuration;
-use crate::domain::configuration::Offer;
+use crate::domain::configuration::OfferOutcome;
 use crate::domain::event::Event;
 use crate::domain::event::Sink;
 use crate::domain::feed::Delta;
@@ -30,20 +30,20 @@
 use crate::domain::feed::Items;
 use crate::domain::feed::News;
 use crate::domain::freshness::Freshness;
-use crate::domain::freshness::Pace;
+use crate::domain::freshness::FreshnessSchedule;
 use crate::domain::hlc::HybridClock;
 use crate::domain::hosts::HostList;
 use crate::domain::ids::Era;
 use crate::domain::ids::HostId;
+use crate::domain::membership::MemberRow;
 use crate::domain::membership::Membership;
-use crate::domain::membership::Row;
-use crate::domain::places::Places;
-use crate::domain::reach::Reach;
+use crate::domain::reach::Reachability;
 use crate::domain::retained::RetainedReport;
 use crate::domain::retained::RetentionTimes;
 use crate::domain::revision::Revision;
 use crate::domain::suspects::Suspects;
 use crate::domain::time::millis;
+use crate::domain::topology::Topology;
 use crate::domain::view::View;
 use crate::engine::ToControl;
 use crate::engine::ToWorker;
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug)]
 pub struct ControlSettings {
     /// The daemon's own row.
-    pub own: Row,
+    pub own: MemberRow,
     /// The platform's copies.
     pub copies: Vec<std::net::SocketAddr>,
     /// Daemons to ask at the start.
@@ -75,13 +75,13 @@
     /// How long one watch waits at most.
     pub watch: Duration,
     /// How often this daemon makes sure of what it has.
-    pub pace: Pace,
+    pub pace: FreshnessSchedule,
     /// How many daemons of an availability zone hold the watch.
     pub readers: usize,
     /// For how long what a copy of the platform lacks stays in force.
     pub carry: RetentionTimes,
     /// Where this daemon and the availability zones are.
-    pub places: Places,
+    pub places: Topology,
     /// How large cells may be.
     pub cell: CellSize,
     /// How far above what cold upstreams bear the fleet may go.
@@ -141,7 +141,7 @@
     /// When news were last pulled from another daemon.
     pub(super) pulled: Cell<Option<Instant>>,
     /// How the platform answers, by space.
-    pub(super) reach: RefCell<BTreeMap<Space, Reach>>,
+    pub(super) reach: RefCell<BTreeMap<Space, Reachability>>,
     /// How sure this daemon is that nothing confirmed is missing here, by space.
     pub(super) freshness: RefCell<BTreeMap<Space, Freshness>>,
     /// The proof that those below this daemon were last told.
@@ -275,14 +275,14 @@
     }
 
     fn learn_config(&self, news: News, retained: Option<RetainedReport>) -> bool {
-        let learnt = self.config.borrow_mut().learn(news);
+        let learnt = self.config.borrow_mut().merge_news(news);
         let joined = retained.is_some_and(|retained| self.join_retained(retained));
         learnt || joined
     }
 
     fn learn_hosts(&self, news: News) -> bool {
         match news {
-            News::Current | News::Carrying { .. } => false,
+            News::Current | News::WithRetained { .. } => false,
             News::Deltas(deltas) => deltas.iter().filter(|delta| self.apply_hosts(delta)).count() > 0,
             News::Full { revision, items } => self.replace_hosts(revision, &items),
         }
@@ -307,11 +307,11 @@
     }
 
     /// Takes what became of a revision read from the platform.
-    pub(super) fn judged(self: &Rc<Self>, offer: &Offer) {
+    pub(super) fn judged(self: &Rc<Self>, offer: &OfferOutcome) {
         match offer {
-            Offer::Accepted => self.changed(Space::Config, "platform"),
-            Offer::Old => {}
-            Offer::Refused(faults) => {
+            OfferOutcome::Accepted => self.changed(Space::Config, "platform"),
+            OfferOutcome::Stale => {}
+            OfferOutcome::Rejected(faults) => {
                 let revision = self.config.borrow().seen().unwrap_or_default();
                 let first = faults.first().map(|f| format!("{} {}: {}", f.code, f.key, f.detail));
                 let first = first.unwrap_or_default();
--- a/crates/harefield/src/control/eras.rs
+++ b/crates/harefield/src/control/eras.rs
@@ -96,7 +96,7 @@
 
     /// Notes which era an answer is of that told nothing else.
     pub(super) fn hear_error(&self, space: Space, error: &PlatformError) {
-        if let PlatformError::TurnedAway(era) = error {
+        if let PlatformError::Rejected(era) = error {
             self.hear_era(space, *era, "platform");
         }
     }
@@ -117,7 +117,7 @@
     /// Returns whether a daemon with a mark has something that is missing here.
     pub(super) fn lacks(&self, mark: &Mark) -> bool {
         match mark.space {
-            Space::Config => self.config.borrow().lacks(mark.revision, mark.retained),
+            Space::Config => self.config.borrow().is_behind(mark.revision, mark.retained),
             Space::Hosts => mark.revision > self.hosts.borrow().revision(),
         }
     }
@@ -129,8 +129,8 @@
 
     /// Joins what another daemon carries on; returns whether that changes what is in force.
     pub(super) fn join_retained(&self, retained: RetainedReport) -> bool {
-        let retained = retained.heard(self.ports.clock.now());
-        self.config.borrow_mut().join(&retained)
+        let retained = retained.into_retained(self.ports.clock.now());
+        self.config.borrow_mut().merge_retained(&retained)
     }
 
     /// Lists a space that is in a new era, unless it is told meanwhile.
@@ -184,11 +184,11 @@
     /// Says what is carried on where an era was just entered, and why it cannot be in force.
     pub(super) fn tell_carried(&self) {
         let config = self.config.borrow();
-        if let Some(retained) = config.retained().filter(|retained| retained.since.is_none()) {
-            let (kept, doubted) = (retained.kept.len(), retained.doubted.len());
+        if let Some(retained) = config.retained().filter(|retained| retained.entered_at.is_none()) {
+            let (kept, doubted) = (retained.values.len(), retained.departed.len());
             self.emit(Event::CarriedOn { era: retained.era, kept, doubted });
         }
-        for fault in config.clash() {
+        for fault in config.conflicts() {
             warn!("what is carried on is left out: {} {}: {}", fault.code, fault.key, fault.detail);
         }
     }
--- a/crates/harefield/src/control/freshness.rs
+++ b/crates/harefield/src/control/freshness.rs
@@ -14,8 +14,8 @@
 use crate::domain::event::Event;
 use crate::domain::freshness::Freshness;
 use crate::domain::ids::HostId;
-use crate::domain::readers::below;
-use crate::domain::readers::sources;
+use crate::domain::readers::children;
+use crate::domain::readers::pull_sources;
 use crate::domain::time::millis;
 use crate::engine::ToWorker;
 use crate::ports::Clock;
@@ -30,18 +30,18 @@
     /// Notes that all that the platform confirmed in a space up to `at` is held here, and
     /// passes it on.
     pub(super) fn prove(&self, space: Space, at: Instant) {
-        let news = self.freshness.borrow_mut().entry(space).or_default().prove(at);
+        let news = self.freshness.borrow_mut().entry(space).or_default().record_proof(at);
         if !news {
             return;
         }
         let now = self.ports.clock.now();
-        self.reach.borrow_mut().entry(space).or_default().vouch(at, now);
+        self.reach.borrow_mut().entry(space).or_default().record_proof(at, now);
         if space == Space::Config {
             self.board.prove(at);
             self.tell(&ToWorker::Proven(at));
         }
         let Some(proven) = self.proven() else { return };
-        let step = self.settings.pace.step();
+        let step = self.settings.pace.min_step();
         let due = self.told.get().is_none_or(|told| proven.saturating_duration_since(told) >= step);
         if due && self.joined.get() {
             self.tell_below();
@@ -68,7 +68,7 @@
         self.told.set(self.proven());
         let told = {
             let members = self.members.borrow();
-            members.row(&self.settings.own.host).map(|own| below(own, members.rows())).unwrap_or_default()
+            members.row(&self.settings.own.host).map(|own| children(own, members.rows())).unwrap_or_default()
         };
         self.tell_all(told, |this, _host| this.bare_message());
     }
@@ -88,7 +88,7 @@
 
     /// Returns whether nothing has vouched in time for what is held.
     pub(super) fn is_overdue(&self) -> bool {
-        self.oldest().is_none_or(|age| age >= self.settings.pace.overdue())
+        self.oldest().is_none_or(|age| age >= self.settings.pace.overdue_age())
     }
 
     /// Asks for what is newer whenever the proof of what is held is overdue, until there
@@ -99,24 +99,24 @@
         let mut failures: u32 = 0;
         loop {
             let age = self.oldest();
-            if let Some(age) = age.filter(|age| *age < pace.overdue()) {
+            if let Some(age) = age.filter(|age| *age < pace.overdue_age()) {
                 if std::mem::take(&mut behind) {
                     self.emit(self.age_event(false, age));
                 }
                 failures = 0;
-                self.ports.clock.sleep(pace.overdue().saturating_sub(age)).await;
+                self.ports.clock.sleep(pace.overdue_age().saturating_sub(age)).await;
                 continue;
             }
-            if let Some(age) = age.filter(|age| *age > pace.apply() && !behind) {
+            if let Some(age) = age.filter(|age| *age > pace.deadline() && !behind) {
                 behind = true;
                 self.emit(self.age_event(true, age));
             }
             // As far as known here the platform may be away, and who cannot write has not had
             // the time to: upstreams that live would be given up in an outage after a copy.
-            self.config.borrow_mut().postpone(self.ports.clock.now());
+            self.config.borrow_mut().restart_timer(self.ports.clock.now());
             self.ask_for_newer(failures).await;
             if self.is_overdue() {
-                self.ports.clock.sleep(pace.again(failures)).await;
+                self.ports.clock.sleep(pace.retry_pause(failures)).await;
                 failures = failures.saturating_add(1);
             }
         }
@@ -178,7 +178,7 @@
 
     /// Returns whether the platform was asked a moment ago.
     fn asked_platform(&self) -> bool {
-        let recent = self.settings.pace.again(0);
+        let recent = self.settings.pace.retry_pause(0);
         let now = self.ports.clock.now();
         self.asked.get().is_some_and(|asked| now.saturating_duration_since(asked) < recent)
     }
@@ -190,7 +190,7 @@
             let members = self.members.borrow();
             let round = usize::try_from(round).unwrap_or_default();
             let own = members.row(&self.settings.own.host);
-            own.map(|own| sources(own, members.rows(), ASKED, round)).unwrap_or_default()
+            own.map(|own| pull_sources(own, members.rows(), ASKED, round)).unwrap_or_default()
         };
         let others = self.draw_peers(ASKED).into_iter().filter(|host| !hosts.contains(host));
         let others: Vec<HostId> = others.take(ASKED.saturating_sub(hosts.len())).collect();
--- a/crates/harefield/src/control/gossip.rs
+++ b/crates/harefield/src/control/gossip.rs
@@ -12,7 +12,7 @@
 use super::reader::FOLD_PAUSE;
 use crate::domain::event::Event;
 use crate::domain::ids::HostId;
-use crate::domain::places::Distance;
+use crate::domain::topology::Distance;
 use crate::ports::Clock;
 use crate::ports::Exchange;
 use crate::ports::Mark;
--- a/crates/harefield/src/control/join.rs
+++ b/crates/harefield/src/control/join.rs
@@ -15,8 +15,8 @@
 
 use super::duty::Control;
 use crate::domain::ids::HostId;
-use crate::domain::places::Distance;
-use crate::domain::readers::platform_after;
+use crate::domain::readers::platform_delay;
+use crate::domain::topology::Distance;
 use crate::ports::Clock;
 use crate::ports::Peers;
 use crate::ports::Platform;
@@ -64,7 +64,7 @@
     /// at once where this daemon is a seed, which all others ask, else after a while.
     async fn learn_or_read(self: &Rc<Self>) {
         let is_seed = self.seeds.borrow().contains(&self.settings.own.host);
-        let wait = platform_after(is_seed, self.settings.first_start, self.settings.join);
+        let wait = platform_delay(is_seed, self.settings.first_start, self.settings.join);
         self.learning.set(Some(self.ports.clock.now() + wait));
         let reading = async {
             self.ports.clock.sleep(wait).await;
--- a/crates/harefield/src/control/publish.rs
+++ b/crates/harefield/src/control/publish.rs
@@ -11,8 +11,8 @@
 use crate::domain::announcement::NamedAnnouncement;
 use crate::domain::cell::Candidate;
 use crate::domain::event::Event;
+use crate::domain::membership::MemberRow;
 use crate::domain::membership::PeerState;
-use crate::domain::membership::Row;
 use crate::domain::view::View;
 use crate::domain::view::ViewSources;
 use crate::engine::PeerView;
@@ -60,9 +60,9 @@
         let members = self.members.borrow();
         // A daemon that is stopping still serves what is in progress.
         let own = &self.settings.own.host;
-        let stays = |row: &&Row| row.host == *own || row.state != PeerState::Leaving;
+        let stays = |row: &&MemberRow| row.host == *own || row.state != PeerState::Leaving;
         let present = members.rows().filter(|row| !self.settings.listed && stays(row));
-        let candidate = |row: &Row| Candidate {
+        let candidate = |row: &MemberRow| Candidate {
             host: Arc::clone(&row.host),
             zone: Arc::clone(&row.zone),
             capacity: row.capacity,
@@ -92,7 +92,7 @@
 
     /// Tells the workers which daemons are seen how.
     pub(super) fn tell_peers(&self) {
-        let rows: Vec<Row> = self.members.borrow().rows().cloned().collect();
+        let rows: Vec<MemberRow> = self.members.borrow().rows().cloned().collect();
         self.board.status().peers.clone_from(&rows);
         self.tell(&ToWorker::Peers(Arc::new(PeerView { rows })));
     }
@@ -106,8 +106,8 @@
     }
 
     /// Takes rows from a peer; tells the workers what was news.
-    pub(super) fn meet(self: &Rc<Self>, rows: &[Row]) {
-        let news = self.members.borrow_mut().join(rows);
+    pub(super) fn meet(self: &Rc<Self>, rows: &[MemberRow]) {
+        let news = self.members.borrow_mut().merge(rows);
         for row in &news {
             let (host, state) = (Arc::clone(&row.host), row.state.to_string());
             self.emit(Event::PeerSeen { host, state });
@@ -120,7 +120,7 @@
     /// Shows operators which configuration is in force.
     pub(super) fn show_config(&self) {
         let config = self.config.borrow();
-        let refused = config.refused();
+        let refused = config.rejected();
         self.board.put_set(Arc::clone(config.set()));
         self.board.status().config = ConfigStatus {
             revision: config.revision(),
@@ -135,7 +135,7 @@
     /// a moment ago.
     pub(super) fn was_away(&self) -> bool {
         let reach = self.reach.borrow().get(&Space::Config).copied().unwrap_or_default();
-        reach.was_away(self.ports.clock.now(), GRACE)
+        reach.was_unreachable(self.ports.clock.now(), GRACE)
     }
 
     /// Publishes once more when what was kept is taken to be gone.
--- a/crates/harefield/src/control/reader.rs
+++ b/crates/harefield/src/control/reader.rs
@@ -11,10 +11,10 @@
 
 use super::duty::Control;
 use crate::domain::backoff::backoff;
-use crate::domain::configuration::Offer;
+use crate::domain::configuration::OfferOutcome;
 use crate::domain::event::Event;
 use crate::domain::feed::Delta;
-use crate::domain::freshness::shown_by_watch;
+use crate::domain::freshness::proven_by_watch;
 use crate::domain::ids::Era;
 use crate::domain::readers::is_reader;
 use crate::domain::revision::Revision;
@@ -88,11 +88,11 @@
 
     fn note_lost(&self, space: Space, error: &PlatformError, asked: Instant) {
         // One that answers, and has nothing yet, is not lost.
-        if !matches!(error, PlatformError::Unreachable | PlatformError::TurnedAway(_)) {
+        if !matches!(error, PlatformError::Unreachable | PlatformError::Rejected(_)) {
             return;
         }
         let now = self.ports.clock.now();
-        if self.reach.borrow_mut().entry(space).or_default().lose(now) {
+        if self.reach.borrow_mut().entry(space).or_default().record_failure(now) {
             let waited = millis(now.saturating_duration_since(asked));
             self.emit(Event::PlatformLost { space: space.name().to_owned(), why: error.to_string(), waited });
         }
@@ -100,7 +100,7 @@
 
     fn note_regained(&self, space: Space) {
         let now = self.ports.clock.now();
-        let regained = self.reach.borrow_mut().entry(space).or_default().regain(now);
+        let regained = self.reach.borrow_mut().entry(space).or_default().record_answer(now);
         if let Some(gap) = regained {
             self.emit(Event::PlatformRegained { space: space.name().to_owned(), millis: millis(gap) });
         }
@@ -136,10 +136,10 @@
         let Some(seen) = self.seen(space) else {
             return self.list(copy, space).await;
         };
-        let wait = self.settings.watch.min(self.settings.pace.wait(self.age(space)));
+        let wait = self.settings.watch.min(self.settings.pace.watch_wait(self.age(space)));
         self.watch(copy, space, seen, wait).await?;
         if self.seen(space) > Some(seen) {
-            let fold = self.settings.pace.fold(self.age(space), FOLD_PAUSE);
+            let fold = self.settings.pace.batch_time(self.age(space), FOLD_PAUSE);
             self.ports.clock.sleep(fold).await;
         }
         Ok(())
@@ -219,7 +219,7 @@
             Watched::Restored(era) => return self.enter_era(copy, space, era).await,
         };
         self.hear_era(space, at.era, "platform");
-        let shown = shown_by_watch(asked, self.ports.clock.now(), wait, deltas.is_empty());
+        let shown = proven_by_watch(asked, self.ports.clock.now(), wait, deltas.is_empty());
         let mut read = Read { deltas, at, shown };
         let rest = self.read_rest(copy, space, &mut read).await;
         self.take_deltas(space, &rebase(read.deltas, self.seen(space)));
@@ -284,9 +284,9 @@
         for delta in deltas {
             let offer = self.config.borrow_mut().offer(delta);
             match offer {
-                Offer::Accepted => newer = true,
-                Offer::Old => {}
-                Offer::Refused(_) => self.judged(&offer),
+                OfferOutcome::Accepted => newer = true,
+                OfferOutcome::Stale => {}
+                OfferOutcome::Rejected(_) => self.judged(&offer),
             }
         }
         newer
--- a/crates/harefield/src/daemon/threads.rs
+++ b/crates/harefield/src/daemon/threads.rs
@@ -30,11 +30,11 @@
 use crate::control::ControlPorts;
 use crate::control::ControlSettings;
 use crate::domain::admission::GateLimits;
-use crate::domain::freshness::Pace;
+use crate::domain::freshness::FreshnessSchedule;
+use crate::domain::membership::MemberRow;
 use crate::domain::membership::PeerState;
-use crate::domain::membership::Row;
-use crate::domain::places::Places;
 use crate::domain::retained::RetentionTimes;
+use crate::domain::topology::Topology;
 use crate::engine::Ports;
 use crate::engine::ToControl;
 use crate::engine::ToWorker;
@@ -174,9 +174,9 @@
     }
 }
 
-fn places(context: &Context) -> Places {
+fn places(context: &Context) -> Topology {
     let host = &context.settings.host;
-    Places { zone: host.zone.as_str().into(), regions: host.regions.clone() }
+    Topology { zone: host.zone.as_str().into(), regions: host.regions.clone() }
 }
 
 /// Runs the control duty until the daemon ends.
@@ -210,7 +210,7 @@
 fn control_settings(context: &Context) -> ControlSettings {
     let settings = &context.settings;
     ControlSettings {
-        own: Row {
+        own: MemberRow {
             host: Arc::clone(&context.host),
             zone: settings.host.zone.as_str().into(),
             operators: context.addresses.operators.to_string().into(),
@@ -226,7 +226,7 @@
         join: Duration::from_millis(settings.peers.join_ms),
         first_start: settings.peers.first_start,
         watch: Duration::from_millis(settings.platform.watch_ms),
-        pace: Pace::new(settings.platform.in_force()),
+        pace: FreshnessSchedule::new(settings.platform.in_force()),
         readers: settings.platform.readers,
         carry: RetentionTimes::new(Duration::from_millis(settings.platform.heartbeat_ms)),
         places: places(context),
--- a/crates/harefield/src/domain/accounts/holders.rs
+++ b/crates/harefield/src/domain/accounts/holders.rs
@@ -18,8 +18,8 @@
 
 use crate::domain::ids::AccountId;
 use crate::domain::ids::HostId;
+use crate::domain::membership::MemberRow;
 use crate::domain::membership::PeerState;
-use crate::domain::membership::Row;
 
 /// Names one part of an account's limit.
 pub type SlotId = (AccountId, u32);
@@ -76,7 +76,7 @@
     }
 
     /// Takes the daemons as they are seen now.
-    pub fn see<'a>(&mut self, rows: impl IntoIterator<Item = &'a Row>, now: Instant) {
+    pub fn see<'a>(&mut self, rows: impl IntoIterator<Item = &'a MemberRow>, now: Instant) {
         let mut hosts: BTreeMap<Arc<str>, BTreeSet<HostId>> = BTreeMap::new();
         let mut absent = BTreeMap::new();
         for row in rows {
--- a/crates/harefield/src/domain/announcement.rs
+++ b/crates/harefield/src/domain/announcement.rs
@@ -1,4 +1,4 @@
-//! What an upstream says of itself, ordered by the upstream's own stamp.
+//! Announcements: what an upstream states about itself, ordered by the upstream's own stamp.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,29 +6,29 @@
 use super::ids::UpstreamId;
 use super::ids::Version;
 
-/// Orders the words of one upstream: its start time, then a change counter.
+/// Orders the announcements of one upstream by its start time, then by a change counter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct AnnouncementStamp {
-    /// When the upstream's process started, milliseconds since the epoch.
+    /// When the process of the upstream started, in milliseconds since the epoch.
     pub start: u64,
-    /// How often the upstream's word has changed since.
+    /// How often the announcement has changed since then.
     pub change: u64,
 }
 
-/// An upstream's own word on whether it drains and what it holds.
+/// The statement of an upstream on whether it is draining and which versions it holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// Orders this word among the upstream's own.
+    /// Orders this announcement among those of the upstream.
     pub stamp: AnnouncementStamp,
-    /// Whether the upstream is leaving and takes no new work.
+    /// Whether the upstream is leaving and accepts no new work.
     pub draining: bool,
-    /// The snapshot versions it holds; none where it did not say.
+    /// The snapshot versions that it holds. `None` if it did not state them.
     pub held: Option<Vec<Version>>,
 }
 
 impl Announcement {
-    /// Takes `other` if it is the newer word; returns whether it was.
-    pub fn join(&mut self, other: &Announcement) -> bool {
+    /// Replaces this announcement by `other` if that is newer; returns whether it was.
+    pub fn merge(&mut self, other: &Announcement) -> bool {
         if other.stamp <= self.stamp {
             return false;
         }
@@ -36,19 +36,19 @@
         true
     }
 
-    /// Returns whether the upstream may hold `version`: it says so, or says nothing.
+    /// Returns whether the upstream may hold `version`: it states so, or states nothing.
     #[must_use]
     pub fn may_hold(&self, version: Version) -> bool {
         self.held.as_ref().is_none_or(|held| held.contains(&version))
     }
 }
 
-/// A word with the name of its upstream, as daemons pass it on.
+/// An announcement with the name of its upstream, as gossiped between daemons.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NamedAnnouncement {
-    /// The upstream that the word is of.
+    /// The upstream that made the announcement.
     pub upstream: UpstreamId,
-    /// Its word.
+    /// The announcement itself.
     #[serde(rename = "word")]
     pub announcement: Announcement,
 }
--- a/crates/harefield/src/domain/code.rs
+++ b/crates/harefield/src/domain/code.rs
@@ -1,4 +1,4 @@
-//! The numbered result codes; `docs/ERRORS.md` holds the same table.
+//! The numbered result codes. `docs/ERRORS.md` holds the same table.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -99,7 +99,7 @@
     }
 }
 
-/// Reports that a text names no code.
+/// The error for a text that is not a result code.
 #[derive(Debug, thiserror::Error)]
 #[error("{0} is not a result code")]
 pub struct UnknownCode(String);
--- a/crates/harefield/src/domain/cold/share.rs
+++ b/crates/harefield/src/domain/cold/share.rs
@@ -7,7 +7,7 @@
 use crate::domain::cell::weight;
 use crate::domain::ids::HostId;
 use crate::domain::ids::UpstreamId;
-use crate::domain::places::Places;
+use crate::domain::topology::Topology;
 
 /// Of the allowance, this part is given out: the rest is for moments at which daemons rank
 /// each other differently, as when some join or leave. Two whole rankings fit side by side.
@@ -62,9 +62,9 @@
     zone: &str,
     members: &[&Candidate],
     own: &HostId,
-    places: &Places,
+    places: &Topology,
 ) -> usize {
-    let from = Places { zone: zone.into(), ..places.clone() };
+    let from = Topology { zone: zone.into(), ..places.clone() };
     let Some(nearest) = members.iter().map(|candidate| from.distance(&candidate.zone)).min() else {
         return given_out;
     };
--- a/crates/harefield/src/domain/event.rs
+++ b/crates/harefield/src/domain/event.rs
@@ -1,4 +1,4 @@
-//! The events that make every decision visible.
+//! The events that record every decision. They make up the time line that operators read.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -24,47 +24,47 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
-    /// It is the shard's first.
+    /// The first attempt for the shard.
     First,
-    /// An earlier one failed.
+    /// An earlier attempt failed.
     Retry,
-    /// An earlier one is slow.
+    /// An earlier attempt is slow.
     Hedge,
-    /// The replica is passed over, and it is time to look how it does.
+    /// The replica is being avoided, and the attempt tests whether it has recovered.
     Probe,
 }
 
-/// Why a reply was dropped.
+/// Why a reply was discarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Drop {
-    /// The shard had contributed already.
+    /// The shard had already contributed.
     Duplicate,
-    /// The answer had been cut already.
+    /// The answer had already been cut off.
     Late,
 }
 
-/// One replica's score at a choice; the lowest wins.
+/// The score of one replica when one was chosen; the lowest cost wins.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Score {
     /// The replica.
     pub upstream: UpstreamId,
-    /// Its expected time in milliseconds; none where it may not be asked.
+    /// Its expected time in milliseconds. `None` if it may not be used.
     pub cost: Option<f64>,
-    /// Why it may not be asked.
+    /// Why it may not be used.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub barred: Option<Gap>,
 }
 
-/// One decision, with what it was taken on.
+/// A decision, with the facts that it was based on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 #[expect(missing_docs, reason = "the variants' fields are explained by their types")]
 pub enum Event {
-    /// A request was let in. `waited` and `due` are microseconds from its start to now
-    /// and to when its answer should leave; none where nothing is due before the
-    /// deadline. `objective` is the lookup's, in milliseconds. `work` is the same whenever
-    /// the same is asked again.
+    /// A request was admitted. `waited` and `due` are microseconds from its start, to now and to
+    /// when its answer should be sent; `due` is `None` if nothing is due before the deadline.
+    /// `objective` is that of the lookup, in milliseconds. `work` is equal for repetitions of the
+    /// same request.
     Admitted {
         lookup: String,
         work: WorkId,
@@ -75,119 +75,121 @@
         objective: Option<u64>,
         due: Option<u64>,
     },
-    /// A request of an account was refused, since the account asks more than it may or nobody
-    /// that holds a part of its limit answers.
+    /// A request of an account was refused because the account exceeds its limit, or because nobody
+    /// that holds a part of the limit responds.
     LimitRefused { account: AccountId, code: Code, retry_after: u64 },
     /// A request was refused before it ran.
     Refused { lookup: String, code: Code, retry_after: Option<u64> },
-    /// The snapshot of the answer was chosen.
+    /// The snapshot for the answer was chosen.
     SnapshotChosen { index: String, version: Version, shards: usize },
-    /// A replica was chosen among others.
+    /// A replica was chosen from several.
     ReplicaChosen { shard: ShardId, upstream: UpstreamId, scores: Vec<Score> },
-    /// A shard waits, since no replica may be asked now.
+    /// A shard waits because no replica may be used now.
     Waiting { shard: ShardId, why: Gap },
-    /// A request to an upstream left.
+    /// A request was sent to an upstream.
     Sent { shard: ShardId, upstream: UpstreamId, attempt: AttemptId, cause: Cause },
-    /// A group of shards was handed to a daemon beside their replicas.
+    /// A group of shards was delegated to a daemon near their replicas.
     GroupSent { to: HostId, shards: usize, attempt: AttemptId },
-    /// That daemon answered, or did not; `micros` is the whole time and `way` the part
-    /// of it that the message and the answer travelled, both in microseconds.
+    /// That daemon responded, or failed to. `micros` is the total time, and `way` is the part of it
+    /// that the message and the response spent in transit, both in microseconds.
     GroupEnded { to: HostId, attempt: AttemptId, contributed: usize, missing: usize, micros: u64, way: u64 },
-    /// A group was taken back from a daemon that did not answer.
+    /// A group was taken back from a daemon that did not respond.
     GroupRevoked { from: HostId, attempt: AttemptId },
-    /// A group of shards came from another daemon, which wants an answer after
-    /// `gather` microseconds; none before the deadline.
+    /// A group of shards was received from another daemon, which wants an answer after `gather`
+    /// microseconds; `None` if it can wait until the deadline.
     GroupTaken { from: HostId, work: WorkId, shards: usize, gather: Option<u64> },
-    /// A hedge was due but the budget of extra load is used up.
+    /// A hedge was due, but the budget for extra load is used up.
     HedgeDenied { shard: ShardId },
-    /// A retry was due but the budget of extra load is used up: the shard is given up.
+    /// A retry was due, but the budget for extra load is used up; the shard is given up.
     RetryDenied { shard: ShardId },
-    /// A reply was taken into the answer.
+    /// A reply was included in the answer.
     ReplyTaken { shard: ShardId, upstream: UpstreamId, attempt: AttemptId, micros: u64 },
-    /// A reply was not taken into the answer.
+    /// A reply was discarded.
     ReplyDropped { shard: ShardId, upstream: UpstreamId, attempt: AttemptId, why: Drop },
     /// An attempt failed.
     AttemptFailed { shard: ShardId, upstream: UpstreamId, attempt: AttemptId, why: Gap, ran: bool },
-    /// An upstream ended while it had the request, and nobody else in its fan-out where
-    /// `alone`.
+    /// An upstream ended while it ran the request; `alone` says that no other upstream of the
+    /// fan-out did.
     UpstreamEnded { work: WorkId, upstream: UpstreamId, alone: bool },
-    /// A work runs alone or is withheld for `withheld` milliseconds, since `ends` upstreams
-    /// ended under it, `alone` of them while they ran it alone.
+    /// A piece of work is run on one upstream at a time, or withheld for `withheld` milliseconds,
+    /// because `ends` upstreams ended while they ran it, `alone` of them while they were the only
+    /// one.
     WorkSuspected { work: WorkId, ends: usize, alone: u32, withheld: u64 },
-    /// An answer showed that a work does not end who runs it.
+    /// An answer showed that a piece of work does not crash the upstreams that run it.
     WorkCleared { work: WorkId },
-    /// A work runs on one upstream alone.
+    /// A piece of suspected work is run on a single upstream.
     TrialBegun { work: WorkId, shard: ShardId },
-    /// An attempt was given up; the upstream is told where it can be.
+    /// An attempt was cancelled; the upstream is notified if possible.
     Cancelled { shard: ShardId, upstream: UpstreamId, attempt: AttemptId },
     /// A shard was given up.
     ShardMissing { shard: ShardId, why: Gap, ran: bool },
-    /// The answer was cut while replies were awaited.
+    /// The answer was cut off while replies were still awaited.
     AnswerCut { contributed: usize, awaited: usize },
-    /// The fan-out is tried again at another snapshot.
+    /// The fan-out is repeated at another snapshot.
     SnapshotAbandoned { version: Version, missing: usize },
-    /// The caller was answered.
+    /// The caller was sent an answer.
     Answered { lookup: String, outcome: Outcome, code: Code, contributed: usize, missing: usize, micros: u64 },
-    /// The request was handed to a member of the cell.
+    /// The request was forwarded to a member of the cell.
     Forwarded { to: HostId },
-    /// A member answered, or did not.
+    /// The member answered, or failed to.
     ForwardEnded { to: HostId, outcome: Outcome, code: Code },
-    /// A request came from another daemon.
+    /// A forwarded request was received from another daemon.
     ForwardTaken { from: HostId },
     /// A ticket was issued.
     TicketIssued { ticket: String },
-    /// A ticket was submitted again and its first outcome given.
+    /// A ticket was submitted again and its first outcome returned.
     TicketReplayed { ticket: String },
-    /// The caller went away before its answer.
+    /// The caller disconnected before its answer.
     CallerGone { lookup: String },
     /// A revision came into force.
     ConfigAccepted { revision: Revision, from: String },
-    /// A revision was refused.
+    /// A revision was rejected.
     ConfigRefused { revision: Revision, faults: usize, first: String },
-    /// What the platform told is older than what is held, and was not taken; told once for
-    /// each pair.
+    /// What the platform returned is older than what is held and was ignored. Emitted once for each
+    /// pair of revisions.
     NewsRefused { revision: Revision, held: Revision },
-    /// The platform is in a later era than what is held, which proves nothing any more.
+    /// The platform is in a later era than what is held, so the held values are no longer proven
+    /// fresh.
     EraHeard { era: Era, held: Option<Revision>, from: String },
-    /// What is in force beside what the platform has in a new era: so many values that it
-    /// lacks or has older, and so many upstreams of it that had left.
+    /// A new era was entered: `kept` values are retained that the platform lacks or has in an older
+    /// state, and `doubted` upstreams are ignored that it contains although they had left.
     CarriedOn { era: Era, kept: usize, doubted: usize },
     /// A newer list of hosts is in use.
     HostsListed { revision: Revision, leaving: usize },
-    /// An upstream's word changed.
+    /// The announcement of an upstream changed.
     UpstreamWord { upstream: UpstreamId, draining: bool, held: Vec<Version> },
-    /// Another daemon is seen in another state.
+    /// The state of another daemon changed, as seen by this one.
     PeerSeen { host: HostId, state: String },
     /// The process was paused for this many milliseconds.
     Paused { millis: u64 },
-    /// What was known before a pause is confirmed.
+    /// What was known before a pause has been confirmed.
     Confirmed { millis: u64 },
-    /// A limit on an upstream changed.
+    /// The concurrency limit for an upstream changed.
     LimitChanged { upstream: UpstreamId, window: f64 },
-    /// The platform stopped answering this daemon in a space: a call was given up after
+    /// The platform stopped responding to this daemon for a space; a call was given up after
     /// `waited` milliseconds.
     PlatformLost { space: String, why: String, waited: u64 },
-    /// The platform answers this daemon in a space again, after this many milliseconds.
+    /// The platform responds to this daemon again for a space, after this many milliseconds.
     PlatformRegained { space: String, millis: u64 },
-    /// Something newer, of the configuration or the list of hosts, may have been confirmed
-    /// this many milliseconds ago, longer than it may take to be in force.
+    /// A newer configuration or list of hosts may have been confirmed this many milliseconds ago,
+    /// which is longer than it may take to come into force.
     ConfigBehind { revision: Option<Revision>, millis: u64 },
-    /// What is held is known to be the newest again, as of so long ago.
+    /// What is held is proven to be the newest again, as of this many milliseconds ago.
     ConfigCurrent { revision: Option<Revision>, millis: u64 },
-    /// The settings were read again.
+    /// The settings were reloaded.
     Reloaded { seeds: usize },
-    /// The daemon began to serve.
+    /// The daemon began to serve requests.
     Started { version: String },
-    /// A planned stop began.
+    /// A planned shutdown began.
     StopBegun { running: usize },
-    /// A planned stop ended.
+    /// A planned shutdown ended.
     StopEnded { cut: usize },
-    /// Events were dropped since the ring was full.
+    /// Events were dropped because the ring buffer was full.
     RingOverflow { dropped: u64 },
 }
 
 impl Event {
-    /// Returns whether the event is a detail that sampling may leave out.
+    /// Returns whether the event is a detail that sampling may omit.
     #[must_use]
     pub fn is_detail(&self) -> bool {
         matches!(
@@ -197,7 +199,7 @@
     }
 }
 
-/// An event with where and when it happened.
+/// An event with its time and origin.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     /// The daemon.
@@ -213,9 +215,9 @@
     pub event: Event,
 }
 
-/// Takes the events of one request or duty.
+/// Receives the events of one request or task.
 pub trait Sink {
-    /// Takes one event; never blocks.
+    /// Records one event. Never blocks.
     fn emit(&mut self, event: Event);
 }
 
--- a/crates/harefield/src/domain/fanout/judge.rs
+++ b/crates/harefield/src/domain/fanout/judge.rs
@@ -1,10 +1,10 @@
 //! What a finished fan-out is called.
 
 use crate::domain::code::Code;
+use crate::domain::outcome::Contribution;
 use crate::domain::outcome::Coverage;
 use crate::domain::outcome::Gap;
 use crate::domain::outcome::Outcome;
-use crate::domain::outcome::Part;
 use crate::domain::reply::Reply;
 
 /// What a finished fan-out found.
@@ -17,7 +17,7 @@
     /// Which shards contributed.
     pub coverage: Coverage,
     /// Their contributions.
-    pub parts: Vec<Part>,
+    pub parts: Vec<Contribution>,
     /// What an upstream replied that failed, where it is the caller's business.
     pub failure: Option<Reply>,
     /// How many upstreams each missing shard was sent to, in the same order.
--- a/crates/harefield/src/domain/fanout/machine.rs
+++ b/crates/harefield/src/domain/fanout/machine.rs
@@ -23,10 +23,10 @@
 use crate::domain::event::Sink;
 use crate::domain::ids::AttemptId;
 use crate::domain::ids::ShardId;
+use crate::domain::outcome::Contribution;
 use crate::domain::outcome::Coverage;
 use crate::domain::outcome::Gap;
-use crate::domain::outcome::Missing;
-use crate::domain::outcome::Part;
+use crate::domain::outcome::MissingShard;
 use crate::domain::reply::Reply;
 use crate::domain::routing::Router;
 use crate::domain::time::micros;
@@ -218,14 +218,14 @@
             let may_have_run = shard.may_have_run();
             if let Some(reply) = shard.part {
                 coverage.contributed.push(Arc::clone(&name));
-                parts.push(Part { shard: name, reply });
+                parts.push(Contribution { shard: name, reply });
                 continue;
             }
             failure = failure.or(shard.failure);
             ran |= may_have_run;
             sent.push(shard.sent);
             let why = shard.gap.unwrap_or(Gap::NotAsked);
-            coverage.missing.push(Missing { shard: name, why, ran: may_have_run });
+            coverage.missing.push(MissingShard { shard: name, why, ran: may_have_run });
         }
         coverage.whole = coverage.missing.is_empty();
         let least = self.rules.least(self.plan.shards.len());
--- a/crates/harefield/src/domain/feed.rs
+++ b/crates/harefield/src/domain/feed.rs
@@ -1,5 +1,5 @@
-//! Keyed values that only move forward by revision, with a bounded log of
-//! changes for peers that are a little behind.
+//! Keyed values whose revision only increases, with a bounded log of changes for peers that are a
+//! little behind.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -16,9 +16,9 @@
 /// The values of one space at one revision.
 pub type Items = BTreeMap<Key, Arc<str>>;
 
-/// How many deltas a feed remembers for its peers: as many upstreams as start at once where
-/// the index is cut anew at the users' largest site, and some more, of some 300 bytes each;
-/// one that is farther behind is sent everything.
+/// How many deltas of some 300 bytes each a feed keeps for its peers. That is the number of
+/// upstreams that start at once when the index of the users' largest site is repartitioned, and
+/// some more. A peer that is further behind is sent everything.
 pub const LOG_LENGTH: usize = 1024;
 
 /// A new value for a key, or its removal.
@@ -30,24 +30,24 @@
     pub value: Option<Arc<str>>,
 }
 
-/// What a delta's changes name.
+/// Which changes a delta lists.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Span {
-    /// All that one revision wrote.
+pub enum DeltaKind {
+    /// Everything that a single revision wrote.
     #[default]
-    Step,
-    /// Every key that changed at any of several revisions, also one that has its value
-    /// again: the delta applies at each revision between its ends.
-    Whole,
-    /// The keys that differ between its ends, and applies at its base alone.
-    Ends,
+    Single,
+    /// Every key that changed at any of several revisions, even if it has its old value again. The
+    /// delta applies at every revision from its base to its end.
+    Cumulative,
+    /// The keys that differ between base and end. The delta applies at its base only.
+    Difference,
 }
 
-impl Span {
-    /// Returns what two deltas in a row name together.
+impl DeltaKind {
+    /// Returns the kind of two consecutive deltas combined.
     #[must_use]
-    pub fn joined(self, next: Self) -> Self {
-        if self == Self::Ends || next == Self::Ends { Self::Ends } else { Self::Whole }
+    pub fn combined(self, next: Self) -> Self {
+        if self == Self::Difference || next == Self::Difference { Self::Difference } else { Self::Cumulative }
     }
 }
 
@@ -60,47 +60,47 @@
     pub revision: Revision,
     /// The changes.
     pub changes: Vec<Change>,
-    /// What they name.
-    pub span: Span,
+    /// Which changes are listed.
+    pub kind: DeltaKind,
 }
 
 impl Delta {
-    /// Says whether it brings a daemon at `have` along.
-    fn applies(&self, have: Revision) -> bool {
-        self.base == have || (self.base < have && self.span != Span::Ends)
+    /// Returns whether the delta brings a daemon at `have` up to date.
+    fn applies_to(&self, have: Revision) -> bool {
+        self.base == have || (self.base < have && self.kind != DeltaKind::Difference)
     }
 }
 
-/// What a daemon that asks for news is sent.
+/// The response to a daemon that requests updates.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "NewsFormat", into = "NewsFormat")]
 pub enum News {
-    /// There is nothing newer here.
+    /// The requester has the newest revision already.
     Current,
-    /// The deltas that lead from the asker's revision to the newest.
+    /// The deltas that lead from the requester's revision to the newest.
     Deltas(Vec<Delta>),
-    /// Everything, since the asker is too far behind.
+    /// Everything, because the requester is too far behind.
     Full {
         /// The revision of the items.
         revision: Revision,
         /// All of them.
         items: Items,
     },
-    /// The same, and what is carried on from earlier eras beside it.
-    Carrying {
-        /// What is newer.
+    /// One of the above, together with the values retained from earlier eras.
+    WithRetained {
+        /// The updates of the platform's values.
         news: Box<News>,
-        /// What goes before what the platform has.
+        /// The values that take precedence over the platform's.
         retained: RetainedReport,
     },
 }
 
 impl News {
-    /// Returns the news of the platform, and what is carried on beside them.
+    /// Splits the updates of the platform's values from the retained values.
     #[must_use]
     pub fn split(self) -> (Self, Option<RetainedReport>) {
         match self {
-            Self::Carrying { news, retained } => (*news, Some(retained)),
+            Self::WithRetained { news, retained } => (*news, Some(retained)),
             news => (news, None),
         }
     }
@@ -127,52 +127,53 @@
         &self.items
     }
 
-    /// Takes a whole set of values if it is newer; returns whether it was.
+    /// Replaces all values if the given ones are newer; returns whether they were.
     pub fn replace(&mut self, revision: Revision, items: &Items) -> bool {
         if self.revision.is_some_and(|own| revision <= own) {
             return false;
         }
         let changes = difference(&self.items, items);
-        self.advance(revision, &changes, Span::Ends);
+        self.advance(revision, &changes, DeltaKind::Difference);
         true
     }
 
     /// Applies changes that lead to a newer revision.
-    pub fn advance(&mut self, revision: Revision, changes: &[Change], span: Span) {
-        let mut told = Vec::new();
+    pub fn advance(&mut self, revision: Revision, changes: &[Change], kind: DeltaKind) {
+        let mut logged = Vec::new();
         for change in changes {
             let news = self.change(change);
-            // A value that came back is none for this feed, and one for those between.
-            if news || span == Span::Whole {
-                told.push(change.clone());
+            // A key with an unchanged value is no change for this feed, but may be one for a peer
+            // at a revision in between.
+            if news || kind == DeltaKind::Cumulative {
+                logged.push(change.clone());
             }
         }
         if let Some(base) = self.revision {
-            self.remember(Delta { base, revision, changes: told, span });
+            self.log_delta(Delta { base, revision, changes: logged, kind });
         }
         self.revision = Some(revision);
     }
 
-    /// Applies a delta if it fits on the newest revision; returns whether it did.
+    /// Applies a delta if its base is the newest revision; returns whether it was.
     pub fn apply(&mut self, delta: &Delta) -> bool {
         if self.revision != Some(delta.base) || delta.revision <= delta.base {
             return false;
         }
-        self.advance(delta.revision, &delta.changes, delta.span);
+        self.advance(delta.revision, &delta.changes, delta.kind);
         true
     }
 
-    /// Takes what a peer sent; returns whether anything was newer.
-    pub fn learn(&mut self, news: News) -> bool {
+    /// Merges updates received from a peer; returns whether any was newer.
+    pub fn merge_news(&mut self, news: News) -> bool {
         match news {
             News::Current => false,
             News::Full { revision, items } => self.replace(revision, &items),
             News::Deltas(deltas) => deltas.iter().filter(|delta| self.apply(delta)).count() > 0,
-            News::Carrying { news, .. } => self.learn(*news),
+            News::WithRetained { news, .. } => self.merge_news(*news),
         }
     }
 
-    /// Returns what brings an asker at `have` up to date.
+    /// Returns what brings a requester at `have` up to date.
     #[must_use]
     pub fn since(&self, have: Option<Revision>) -> News {
         let Some(own) = self.revision else {
@@ -185,27 +186,28 @@
             return News::Current;
         }
         let from = self.log.partition_point(|delta| delta.revision <= have);
-        if self.log.get(from).is_none_or(|delta| !delta.applies(have)) {
+        if self.log.get(from).is_none_or(|delta| !delta.applies_to(have)) {
             return self.full(own);
         }
-        News::Deltas(vec![self.merged(from, have, own)])
+        News::Deltas(vec![self.merge_from(from, have, own)])
     }
 
-    /// Merges the deltas from one on: of a key that changed several times, the last counts.
-    fn merged(&self, from: usize, base: Revision, revision: Revision) -> Delta {
+    /// Merges the deltas starting at index `from`. If a key changed several times, its last change
+    /// counts.
+    fn merge_from(&self, from: usize, base: Revision, revision: Revision) -> Delta {
         let deltas = || self.log.iter().skip(from);
         let all = deltas().flat_map(|delta| &delta.changes);
         let newest: BTreeMap<&Key, &Change> = all.map(|change| (&change.key, change)).collect();
-        let span = deltas().map(|delta| delta.span).fold(Span::Whole, Span::joined);
-        Delta { base, revision, changes: newest.into_values().cloned().collect(), span }
+        let kind = deltas().map(|delta| delta.kind).fold(DeltaKind::Cumulative, DeltaKind::combined);
+        Delta { base, revision, changes: newest.into_values().cloned().collect(), kind }
     }
 
     fn full(&self, revision: Revision) -> News {
         News::Full { revision, items: self.items.clone() }
     }
 
-    /// Applies a change; returns whether it is one: upstreams write their entries again and
-    /// again while they start, most of the time with the same in what is decoded of it.
+    /// Applies a change; returns whether it made a difference. While they start, upstreams write
+    /// their entries again and again, mostly with the same decoded content.
     fn change(&mut self, change: &Change) -> bool {
         if self.items.get(&change.key) == change.value.as_ref() {
             return false;
@@ -217,12 +219,12 @@
         true
     }
 
-    /// Keeps a delta for those behind; one that changes nothing is a part of the one before.
-    fn remember(&mut self, delta: Delta) {
+    /// Adds a delta to the log. A delta without changes only extends the previous one.
+    fn log_delta(&mut self, delta: Delta) {
         if delta.changes.is_empty()
-            && delta.span != Span::Ends
+            && delta.kind != DeltaKind::Difference
             && let Some(last) = self.log.back_mut()
-            && last.span != Span::Ends
+            && last.kind != DeltaKind::Difference
         {
             last.revision = delta.revision;
             return;
--- a/crates/harefield/src/domain/freshness.rs
+++ b/crates/harefield/src/domain/freshness.rs
@@ -1,126 +1,126 @@
-//! How sure a daemon is that it has all that the platform has confirmed.
+//! Proof of freshness: up to which time a daemon is certain to have everything that the platform
+//! has confirmed.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use super::backoff::backoff;
 
-/// Until when a daemon is sure that nothing confirmed is missing here.
+/// The time up to which nothing that was confirmed is missing here.
 ///
-/// It is sure up to the moment at which it asked somebody who was, and up to the end
-/// of a watch that brought nothing.
+/// It advances to the moment at which a daemon with a proof was queried, and to the end of a watch
+/// that returned no changes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Freshness {
     proven: Option<Instant>,
 }
 
 impl Freshness {
-    /// Notes that all that was confirmed up to `at` is held; returns whether that was
-    /// not known yet.
-    pub fn prove(&mut self, at: Instant) -> bool {
-        let news = self.proven.is_none_or(|proven| at > proven);
-        if news {
+    /// Records that everything confirmed up to `at` is held; returns whether that was not known
+    /// before.
+    pub fn record_proof(&mut self, at: Instant) -> bool {
+        let advanced = self.proven.is_none_or(|proven| at > proven);
+        if advanced {
             self.proven = Some(at);
         }
-        news
+        advanced
     }
 
-    /// Returns up to when nothing is missing; none before the first proof.
+    /// Returns the time up to which nothing is missing. `None` before the first proof.
     #[must_use]
     pub fn proven(&self) -> Option<Instant> {
         self.proven
     }
 
-    /// Returns for how long a change may have been confirmed that is missing here.
+    /// Returns how long ago the oldest change may have been confirmed that is missing here.
     #[must_use]
     pub fn age(&self, now: Instant) -> Option<Duration> {
         self.proven.map(|proven| now.saturating_duration_since(proven))
     }
 }
 
-/// Returns up to when a watch shows that nothing is missing.
+/// Returns the time up to which a watch proves that nothing is missing.
 ///
-/// One that ended without news after its whole wait was answered no sooner than that;
-/// any other answer may have been on its way, or in the socket of a paused process,
-/// since it was asked for.
+/// A watch that ended without changes after its full wait was answered no sooner than that. Any
+/// other answer may have been in transit, or in the socket of a paused process, since the watch was
+/// requested.
 #[must_use]
-pub fn shown_by_watch(asked: Instant, ended: Instant, wait: Duration, quiet: bool) -> Instant {
-    if quiet && ended.saturating_duration_since(asked) >= wait { asked + wait } else { asked }
+pub fn proven_by_watch(requested: Instant, ended: Instant, wait: Duration, unchanged: bool) -> Instant {
+    if unchanged && ended.saturating_duration_since(requested) >= wait { requested + wait } else { requested }
 }
 
-/// While all is well, what is held is never older than this share of the time within
-/// which a change is to be in force: watches end by then.
-const HELD_SHARE: f64 = 0.4;
+/// In normal operation, what is held is never older than this share of the deadline for applying a
+/// change: watches end by then.
+const MAX_AGE_SHARE: f64 = 0.4;
 
-/// What is older than this share has missed its proof, and the daemon asks by itself.
-/// Two rounds of asking and what they bring fit in the rest; see `docs/PROMISES.md`.
+/// What is older than this share has missed its proof, and the daemon queries its peers. Two rounds
+/// of queries and the updates that they return fit into the rest; see `docs/PROMISES.md`.
 const OVERDUE_SHARE: f64 = 0.5;
 
-/// The pause before a round that brought no proof is followed by another, as a share;
-/// it doubles once, so that a long outage costs each daemon one round a second where
-/// changes are due within 3 s.
-const AGAIN_SHARE: f64 = 0.1;
-const LONGEST_AGAIN_SHARE: f64 = 0.2;
+/// The pause after a round without proof, as a share of the deadline. It doubles once, so that a
+/// long outage costs each daemon one round per second if changes are due within 3 s.
+const RETRY_SHARE: f64 = 0.1;
+const MAX_RETRY_SHARE: f64 = 0.2;
 
-/// A proof that is this much newer, as a share, is passed on.
-const STEP_SHARE: f64 = 0.1;
+/// A proof is passed on if it is newer by at least this share of the deadline.
+const MIN_STEP_SHARE: f64 = 0.1;
 
-/// The shortest wait of a watch: each one is a call that costs.
-const LEAST_WAIT: Duration = Duration::from_millis(100);
+/// The shortest wait of a watch, since every watch costs a call.
+const MIN_WAIT: Duration = Duration::from_millis(100);
 
-/// How often daemons make sure of what they have, so that each confirmed change is in
-/// force within a given time whatever was lost on its way.
+/// The intervals at which daemons renew their proof, chosen so that every confirmed change is in
+/// force within a deadline even if messages are lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pace {
-    apply: Duration,
+pub struct FreshnessSchedule {
+    deadline: Duration,
 }
 
-impl Pace {
-    /// Creates the pace at which a confirmed change is in force within `apply`.
+impl FreshnessSchedule {
+    /// Creates the schedule by which a confirmed change is in force within `deadline`.
     #[must_use]
-    pub fn new(apply: Duration) -> Self {
-        Self { apply }
+    pub fn new(deadline: Duration) -> Self {
+        Self { deadline }
     }
 
-    /// Returns within which time a confirmed change is to be in force.
+    /// Returns the time within which a confirmed change has to be in force.
     #[must_use]
-    pub fn apply(self) -> Duration {
-        self.apply
+    pub fn deadline(self) -> Duration {
+        self.deadline
     }
 
-    /// Returns how long the next watch waits where what is held is of some age.
+    /// Returns how long the next watch waits, given the age of the last proof.
     #[must_use]
-    pub fn wait(self, age: Option<Duration>) -> Duration {
-        self.left(age).max(LEAST_WAIT)
+    pub fn watch_wait(self, age: Option<Duration>) -> Duration {
+        self.time_left(age).max(MIN_WAIT)
     }
 
-    /// Returns how long news may be folded where what is held is of some age: `most`, or
-    /// as long as the next proof can wait.
+    /// Returns how long updates may be batched, given the age of the last proof: `most`, or less if
+    /// the next proof is due before.
     #[must_use]
-    pub fn fold(self, age: Option<Duration>, most: Duration) -> Duration {
-        self.left(age).min(most)
+    pub fn batch_time(self, age: Option<Duration>, most: Duration) -> Duration {
+        self.time_left(age).min(most)
     }
 
-    fn left(self, age: Option<Duration>) -> Duration {
-        self.apply.mul_f64(HELD_SHARE).saturating_sub(age.unwrap_or_default())
+    fn time_left(self, age: Option<Duration>) -> Duration {
+        self.deadline.mul_f64(MAX_AGE_SHARE).saturating_sub(age.unwrap_or_default())
     }
 
-    /// Returns the age from which on a daemon asks by itself.
+    /// Returns the age of a proof from which on a daemon queries its peers itself.
     #[must_use]
-    pub fn overdue(self) -> Duration {
-        self.apply.mul_f64(OVERDUE_SHARE)
+    pub fn overdue_age(self) -> Duration {
+        self.deadline.mul_f64(OVERDUE_SHARE)
     }
 
-    /// Returns the pause after a round that brought no proof, as did `before` others in
-    /// a row before it.
+    /// Returns the pause after a round without proof that was preceded by `before` consecutive
+    /// others.
     #[must_use]
-    pub fn again(self, before: u32) -> Duration {
-        backoff(self.apply.mul_f64(AGAIN_SHARE), before, self.apply.mul_f64(LONGEST_AGAIN_SHARE))
+    pub fn retry_pause(self, failures: u32) -> Duration {
+        backoff(self.deadline.mul_f64(RETRY_SHARE), failures, self.deadline.mul_f64(MAX_RETRY_SHARE))
     }
 
-    /// Returns how much newer a proof must be to be passed on.
+    /// Returns by how much a proof must be newer to be passed on.
     #[must_use]
-    pub fn step(self) -> Duration {
-        self.apply.mul_f64(STEP_SHARE)
+    pub fn min_step(self) -> Duration {
+        self.deadline.mul_f64(MIN_STEP_SHARE)
     }
 }
--- a/crates/harefield/src/domain/hlc.rs
+++ b/crates/harefield/src/domain/hlc.rs
@@ -1,5 +1,5 @@
-//! Hybrid logical time: wall-clock microseconds that never run backwards and
-//! that respect the order in which messages were sent and received.
+//! Hybrid logical time: wall-clock microseconds that never run backwards and respect the order in
+//! which messages were sent and received.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,9 +7,10 @@
 /// A point in hybrid logical time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Stamp {
-    /// Wall-clock microseconds since the Unix epoch, as far as known.
+    /// Wall-clock microseconds since the Unix epoch. Ahead of the local clock if a message with a
+    /// later stamp was received.
     pub micros: u64,
-    /// Orders stamps that share their milliseconds.
+    /// Orders stamps with equal microseconds.
     pub count: u32,
 }
 
@@ -25,13 +26,13 @@
         self.advance(micros, Stamp::default())
     }
 
-    /// Returns the stamp of receiving a message that was sent at `seen`.
-    pub fn receive(&mut self, micros: u64, seen: Stamp) -> Stamp {
-        self.advance(micros, seen)
+    /// Returns the stamp of receiving a message that was sent at `sent`.
+    pub fn receive(&mut self, micros: u64, sent: Stamp) -> Stamp {
+        self.advance(micros, sent)
     }
 
-    fn advance(&mut self, micros: u64, seen: Stamp) -> Stamp {
-        let floor = self.last.max(seen);
+    fn advance(&mut self, micros: u64, sent: Stamp) -> Stamp {
+        let floor = self.last.max(sent);
         self.last = if micros > floor.micros {
             Stamp { micros, count: 0 }
         } else {
--- a/crates/harefield/src/domain/hosts.rs
+++ b/crates/harefield/src/domain/hosts.rs
@@ -11,31 +11,31 @@
 use super::feed::Items;
 use super::ids::HostId;
 
-/// Where a host stands in its life, as the platform lists it.
+/// The state of a host in the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HostState {
-    /// It serves.
+    /// The host serves requests.
     Live,
-    /// It is leaving and takes no new work.
+    /// The host is leaving and accepts no new work.
     Leaving,
 }
 
-/// What a host is for.
+/// The role of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HostRole {
-    /// It runs a daemon of this system; its address is the daemon's peers' address.
+    /// It runs a daemon of this system. Its address is the one on which the daemon accepts peers.
     Harefield,
     /// It runs an upstream.
     Upstream,
 }
 
-/// One row of the platform's list of hosts.
+/// One entry of the platform's list of hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct HostRow {
-    /// What the host is for.
+    /// The role of the host.
     pub role: HostRole,
     /// Whether it is live or leaving.
     pub state: HostState,
@@ -47,12 +47,12 @@
 /// The platform's list of hosts, by address.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HostList {
-    /// The listed rows; rows that cannot be read are left out.
+    /// The listed rows; rows that cannot be parsed are omitted.
     pub rows: BTreeMap<SocketAddr, HostRow>,
 }
 
 impl HostList {
-    /// Reads the list from its keyed JSON values, `hosts/IP:PORT`.
+    /// Parses the list from its keyed JSON values, `hosts/IP:PORT`.
     #[must_use]
     pub fn parse(items: &Items) -> Self {
         let mut list = Self::default();
@@ -62,7 +62,7 @@
         list
     }
 
-    /// Takes what changed; a row that cannot be read is left out.
+    /// Applies changes. A row that cannot be parsed is removed.
     pub fn apply(&mut self, changes: &[Change]) {
         for change in changes {
             self.put(&change.key, change.value.as_deref());
@@ -85,7 +85,7 @@
         rows.map(|(address, _)| *address).collect()
     }
 
-    /// Returns the daemons that are listed as live.
+    /// Returns the daemons listed as live.
     #[must_use]
     pub fn daemons(&self) -> Vec<HostId> {
         let live = self
--- a/crates/harefield/src/domain/ids.rs
+++ b/crates/harefield/src/domain/ids.rs
@@ -1,46 +1,46 @@
-//! Type aliases for the identifiers that cross module borders.
+//! Type aliases for identifiers that are shared between modules.
 
 use std::sync::Arc;
 
-/// Names one daemon: its peers' address, as `IP:PORT`.
+/// Identifies a daemon by the address on which it accepts peers, as `IP:PORT`.
 pub type HostId = Arc<str>;
 
-/// Tells two lives of one daemon apart: start time and random bits.
+/// Distinguishes runs of one daemon: its start time combined with random bits.
 pub type Incarnation = u64;
 
-/// Counts how often a platform came back from a copy of itself.
+/// Counts how often a platform was restored from a backup copy.
 pub type Era = u64;
 
 /// Numbers a snapshot of an index.
 pub type Version = u64;
 
-/// Names a shard across services, as `SERVICE/SHARD`.
+/// Identifies a shard across services, as `SERVICE/SHARD`.
 pub type ShardId = Arc<str>;
 
-/// Names an upstream resource.
+/// Identifies an upstream resource.
 pub type UpstreamId = Arc<str>;
 
-/// Names one request of a caller across processes.
+/// Identifies a caller's request across processes.
 pub type RequestId = Arc<str>;
 
-/// Names a client account.
+/// Identifies a client account.
 pub type AccountId = Arc<str>;
 
-/// Names a piece of work, whoever asks for it and however often: a digest.
+/// Identifies a piece of work by a digest that is equal for repetitions and for all callers.
 pub type WorkId = u64;
 
 /// Numbers the attempts that one request makes on upstreams.
 pub type AttemptId = u32;
 
-/// Names a resource within its space, such as `services/north`.
+/// Identifies a resource within its space, such as `services/north`.
 pub type Key = Arc<str>;
 
-/// Returns the id of a service's shard.
+/// Returns the id of a shard of a service.
 #[must_use]
 pub fn shard_id(service: &str, shard: &str) -> ShardId {
     format!("{service}/{shard}").into()
 }
 
-/// Orders what operators published as a whole; what upstreams say of themselves does
-/// not change it, as it changes revisions.
+/// Orders complete sets of what operators published. Unlike a revision, it does not change with
+/// what upstreams publish about themselves.
 pub type Edition = u64;
--- a/crates/harefield/src/domain/key.rs
+++ b/crates/harefield/src/domain/key.rs
@@ -1,4 +1,4 @@
-//! The keys of client accounts, which are held as digests and never shown.
+//! The keys of client accounts. Only their digests are held, and neither is ever printed.
 
 use serde::Deserialize;
 use serde::Deserializer;
@@ -7,8 +7,8 @@
 use sha2::Digest;
 use sha2::Sha256;
 
-/// The longest key, in bytes; a longer one is not looked up.
-pub const MOST_KEY_BYTES: usize = 256;
+/// The longest key in bytes. A longer one is not looked up.
+pub const MAX_KEY_BYTES: usize = 256;
 
 /// Bytes of a digest.
 const DIGEST_BYTES: usize = 32;
@@ -24,7 +24,7 @@
         Self(Sha256::digest(key).into())
     }
 
-    /// Returns the digest in hexadecimal digits, as resources hold it.
+    /// Returns the digest in hexadecimal digits, the form used in resources.
     #[must_use]
     pub fn hex(&self) -> String {
         self.0.iter().flat_map(|byte| [byte >> 4, byte & 15]).map(digit).collect()
@@ -47,7 +47,7 @@
     char::from_digit(u32::from(nibble), 16).unwrap_or('0')
 }
 
-/// Hides the digest: one of a short key could be searched for.
+/// Hides the digest, because a short key could be found from it by search.
 impl std::fmt::Debug for KeyDigest {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("KeyDigest(..)")
@@ -63,31 +63,31 @@
 impl<'de> Deserialize<'de> for KeyDigest {
     /// The error does not repeat the text, which may be a key by mistake.
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        let bad = || serde::de::Error::custom("expected a SHA-256 digest in hexadecimal digits");
-        let text = String::deserialize(deserializer).map_err(|_error| bad())?;
-        Self::parse(&text).ok_or_else(bad)
+        let invalid = || serde::de::Error::custom("expected a SHA-256 digest in hexadecimal digits");
+        let text = String::deserialize(deserializer).map_err(|_error| invalid())?;
+        Self::parse(&text).ok_or_else(invalid)
     }
 }
 
-/// What a request shows of who sends it.
+/// What a request presents to identify its sender.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Credential {
     /// Nothing.
     #[default]
     Missing,
-    /// Something that is no key, or more than one.
+    /// Something that is not a key, or more than one key.
     Malformed,
     /// A key.
     Key(KeyDigest),
 }
 
 impl Credential {
-    /// Takes a key as it was sent.
+    /// Creates a credential from a key as it was sent.
     #[must_use]
-    pub fn of_key(key: &[u8]) -> Self {
+    pub fn from_key(key: &[u8]) -> Self {
         match key.len() {
             0 => Self::Missing,
-            1..=MOST_KEY_BYTES => Self::Key(KeyDigest::of(key)),
+            1..=MAX_KEY_BYTES => Self::Key(KeyDigest::of(key)),
             _ => Self::Malformed,
         }
     }
--- a/crates/harefield/src/domain/lease.rs
+++ b/crates/harefield/src/domain/lease.rs
@@ -1,37 +1,37 @@
 //! The lease that a worker holds on its own knowledge.
 //!
-//! A process that was paused wakes up believing old facts. The worker renews
-//! this lease on a short timer; when the timer fires too late the lease has
-//! lapsed, and no new work leaves until the facts were confirmed afresh.
+//! A process that was paused resumes with outdated facts. The worker renews this lease on a short
+//! timer. If the timer fires too late, the lease has lapsed, and no new work is sent until the
+//! facts have been confirmed again.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// The longest gap between renewals that still counts as running.
+/// The longest gap between renewals that does not count as a pause.
 pub const PAUSE_LIMIT: Duration = Duration::from_secs(1);
 
 /// How often a worker renews its lease.
 pub const RENEW_EVERY: Duration = Duration::from_millis(100);
 
-/// A timer that is later than this shows that the process was held up; below it lies what
-/// a busy turn of the executor takes.
-const HELD_UP: Duration = Duration::from_millis(50);
+/// A timer that is later than this shows that the process was delayed. A busy turn of the executor
+/// takes less.
+const MIN_DELAY: Duration = Duration::from_millis(50);
 
-/// What a renewal found.
+/// The result of a renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Renewal {
-    /// The process ran all along.
+    /// The process ran without a pause.
     Held,
     /// The process was paused for this long and must confirm its facts.
     Lapsed(Duration),
 }
 
-/// Says whether what the worker knows may still be acted on.
+/// A worker's lease on its knowledge. New work may be sent only while it is held.
 #[derive(Clone, Debug)]
 pub struct Lease {
     renewed: Instant,
     /// By how much the last renewal was late.
-    late: Duration,
+    delay: Duration,
     lapsed: bool,
 }
 
@@ -39,14 +39,14 @@
     /// Creates a lease that is held from `now`.
     #[must_use]
     pub fn new(now: Instant) -> Self {
-        Self { renewed: now, late: Duration::ZERO, lapsed: false }
+        Self { renewed: now, delay: Duration::ZERO, lapsed: false }
     }
 
-    /// Renews the lease on the timer; a late timer lapses it instead.
+    /// Renews the lease from the timer. If the timer is too late, the lease lapses instead.
     pub fn renew(&mut self, now: Instant) -> Renewal {
         let gap = now.saturating_duration_since(self.renewed);
         self.renewed = now;
-        self.late = gap.saturating_sub(RENEW_EVERY);
+        self.delay = gap.saturating_sub(RENEW_EVERY);
         if gap <= PAUSE_LIMIT {
             return Renewal::Held;
         }
@@ -54,35 +54,35 @@
         Renewal::Lapsed(gap)
     }
 
-    /// Ends a lapse: the facts were confirmed by a round that began at `asked`.
+    /// Ends a lapse after the facts were confirmed by a round that began at `asked`.
     ///
-    /// A confirmation asked for before the latest pause is not believed.
-    pub fn confirm(&mut self, asked: Instant, now: Instant) {
-        let fresh = now.saturating_duration_since(asked) <= PAUSE_LIMIT;
-        if fresh && self.within(now) {
+    /// A confirmation that was requested before the latest pause does not count.
+    pub fn confirm(&mut self, requested: Instant, now: Instant) {
+        let recent = now.saturating_duration_since(requested) <= PAUSE_LIMIT;
+        if recent && self.is_current(now) {
             self.lapsed = false;
         }
     }
 
-    /// Returns whether new work may leave at `now`.
+    /// Returns whether new work may be sent at `now`.
     #[must_use]
     pub fn held(&self, now: Instant) -> bool {
-        !self.lapsed && self.within(now)
+        !self.lapsed && self.is_current(now)
     }
 
-    /// Returns for how long what is read now may have waited in its socket.
+    /// Returns how long data that is read now may have waited in its socket.
     ///
-    /// A request names the time that its sender waits, counted from when it was sent. A
-    /// daemon that was held up for 560 ms and counted from when it read it let upstreams
-    /// work half a second past their callers' deadlines.
+    /// A request states the time that its sender waits, counted from when it was sent. A daemon
+    /// that was delayed for 560 ms and counted from when it read the request let upstreams work
+    /// half a second past their callers' deadlines.
     #[must_use]
-    pub fn held_up(&self, now: Instant) -> Duration {
+    pub fn queueing_delay(&self, now: Instant) -> Duration {
         let overdue = now.saturating_duration_since(self.renewed).saturating_sub(RENEW_EVERY);
-        let late = self.late.max(overdue);
-        if late < HELD_UP { Duration::ZERO } else { late }
+        let delay = self.delay.max(overdue);
+        if delay < MIN_DELAY { Duration::ZERO } else { delay }
     }
 
-    fn within(&self, now: Instant) -> bool {
+    fn is_current(&self, now: Instant) -> bool {
         now.saturating_duration_since(self.renewed) <= PAUSE_LIMIT
     }
 }
--- a/crates/harefield/src/domain/membership.rs
+++ b/crates/harefield/src/domain/membership.rs
@@ -1,9 +1,8 @@
-//! What daemons know of each other.
+//! Gossip membership: what daemons know about each other.
 //!
-//! The platform's list lags, so daemons also tell each other what they saw.
-//! Each row is a join of its kind: the higher incarnation wins, then the
-//! higher version, then the worse state. Views may differ for a while; nothing
-//! that must hold depends on their agreement.
+//! The platform's list of hosts lags behind, so daemons also exchange what they observed. Rows
+//! merge deterministically: the higher incarnation wins, then the higher version, then the worse
+//! state. Views may differ for a while; no invariant depends on their agreement.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,22 +13,23 @@
 use super::ids::HostId;
 use super::ids::Incarnation;
 
-/// How often each daemon passes a changed row on. One that hears it passes it on
-/// as often, so that hardly any is missed (some e⁻⁶), and those that are come in turn.
+/// How often each daemon passes on a changed row. Every receiver passes it on as often, so that
+/// hardly any daemon misses it (a share of about e⁻⁶); those that do receive it in the round-robin
+/// part of later messages.
 const TRANSMITS: u32 = 6;
 
-/// The most rows in one message.
-pub const MOST_ROWS: usize = 48;
+/// The maximum number of rows in one message.
+pub const MAX_ROWS: usize = 48;
 
-/// How a daemon is seen; later states win at the same version.
+/// The state of a daemon. At equal versions the later variant wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PeerState {
-    /// It answers.
+    /// It responds.
     Live,
-    /// It did not answer somebody.
+    /// It did not respond to some daemon.
     Suspect,
-    /// It said that it is leaving.
+    /// It announced that it is leaving.
     Leaving,
 }
 
@@ -43,29 +43,29 @@
     }
 }
 
-/// One daemon as seen by the fleet.
+/// The state of one daemon as known to the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Row {
+pub struct MemberRow {
     /// The daemon.
     pub host: HostId,
     /// Its availability zone.
     pub zone: Arc<str>,
-    /// The operators' address, for the time line.
+    /// The address for operators, from which its time line is fetched.
     pub operators: Arc<str>,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Counts the daemon's own statements.
+    /// Counts the statements of the daemon about itself.
     pub version: u64,
     /// Its state.
     pub state: PeerState,
-    /// Whether it said that it cannot reach the platform.
+    /// Whether it stated that it cannot reach the platform.
     pub blind: bool,
-    /// What it can carry, in thousandths of a core.
+    /// The load that it can take, in thousandths of a core.
     #[serde(default)]
     pub capacity: u32,
 }
 
-impl Row {
+impl MemberRow {
     fn rank(&self) -> (Incarnation, u64, PeerState) {
         (self.incarnation, self.version, self.state)
     }
@@ -73,11 +73,11 @@
 
 #[derive(Debug)]
 struct Known {
-    row: Row,
+    row: MemberRow,
     transmits: u32,
 }
 
-/// The rows that one daemon knows, its own among them.
+/// The rows known to one daemon, including its own.
 #[derive(Debug)]
 pub struct Membership {
     own: HostId,
@@ -88,24 +88,24 @@
 impl Membership {
     /// Creates the membership of a daemon that knows only itself.
     #[must_use]
-    pub fn new(own: Row) -> Self {
+    pub fn new(own: MemberRow) -> Self {
         let host = Arc::clone(&own.host);
         let known = Known { row: own, transmits: TRANSMITS };
         Self { own: Arc::clone(&host), rows: BTreeMap::from([(host, known)]), cursor: 0 }
     }
 
     /// Returns every known row.
-    pub fn rows(&self) -> impl Iterator<Item = &Row> {
+    pub fn rows(&self) -> impl Iterator<Item = &MemberRow> {
         self.rows.values().map(|known| &known.row)
     }
 
     /// Returns the row of a daemon.
     #[must_use]
-    pub fn row(&self, host: &HostId) -> Option<&Row> {
+    pub fn row(&self, host: &HostId) -> Option<&MemberRow> {
         self.rows.get(host).map(|known| &known.row)
     }
 
-    /// Returns whether a daemon may be given requests, as far as known.
+    /// Returns whether a daemon may be sent requests, as far as known.
     #[must_use]
     pub fn is_live(&self, host: &HostId) -> bool {
         self.row(host).is_none_or(|row| row.state == PeerState::Live)
@@ -118,12 +118,12 @@
         others.map(|row| Arc::clone(&row.host)).collect()
     }
 
-    /// Joins rows from a peer; returns those that were news.
-    pub fn join(&mut self, rows: &[Row]) -> Vec<Row> {
-        rows.iter().filter(|row| self.join_row(row)).cloned().collect()
+    /// Merges rows from a peer; returns those that were new.
+    pub fn merge(&mut self, rows: &[MemberRow]) -> Vec<MemberRow> {
+        rows.iter().filter(|row| self.merge_row(row)).cloned().collect()
     }
 
-    fn join_row(&mut self, row: &Row) -> bool {
+    fn merge_row(&mut self, row: &MemberRow) -> bool {
         if row.host == self.own {
             self.refute(row);
             return false;
@@ -131,16 +131,16 @@
         if self.row(&row.host).is_some_and(|held| held.rank() >= row.rank()) {
             return false;
         }
-        self.put(row.clone());
+        self.insert_row(row.clone());
         true
     }
 
-    fn put(&mut self, row: Row) {
+    fn insert_row(&mut self, row: MemberRow) {
         self.rows.insert(Arc::clone(&row.host), Known { row, transmits: TRANSMITS });
     }
 
-    /// Answers a rumour about this daemon with a newer statement of its own.
-    fn refute(&mut self, rumour: &Row) {
+    /// Refutes a rumour about this daemon by a newer statement of its own.
+    fn refute(&mut self, rumour: &MemberRow) {
         let Some(known) = self.rows.get_mut(&self.own) else {
             return;
         };
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Notes that a peer did not answer; returns whether that was news.
+    /// Records that a peer did not respond; returns whether it was live before.
     pub fn suspect(&mut self, host: &HostId) -> bool {
         let Some(known) = self.rows.get_mut(host) else {
             return false;
@@ -164,8 +164,7 @@
         true
     }
 
-    /// States whether this daemon can reach the platform; returns whether that
-    /// was news.
+    /// Publishes whether this daemon can reach the platform; returns whether that changed.
     pub fn set_blind(&mut self, blind: bool) -> bool {
         let Some(known) = self.rows.get_mut(&self.own) else { return false };
         if known.row.blind == blind {
@@ -177,7 +176,7 @@
         true
     }
 
-    /// States that this daemon is leaving.
+    /// Publishes that this daemon is leaving.
     pub fn leave(&mut self) {
         if let Some(known) = self.rows.get_mut(&self.own) {
             known.row.version += 1;
@@ -194,11 +193,12 @@
         });
     }
 
-    /// Returns the rows for the next message: own, then changed, then a few in turn.
-    pub fn digest(&mut self) -> Vec<Row> {
-        let mut rows: Vec<Row> = self.row(&self.own).into_iter().cloned().collect();
+    /// Returns the rows for the next message: its own, then changed ones, then a few in round-robin
+    /// order.
+    pub fn digest(&mut self) -> Vec<MemberRow> {
+        let mut rows: Vec<MemberRow> = self.row(&self.own).into_iter().cloned().collect();
         for known in self.rows.values_mut().filter(|known| known.transmits > 0) {
-            if rows.len() >= MOST_ROWS {
+            if rows.len() >= MAX_ROWS {
                 break;
             }
             known.transmits -= 1;
@@ -206,17 +206,17 @@
                 rows.push(known.row.clone());
             }
         }
-        self.fill_in_turn(&mut rows);
+        self.fill_round_robin(&mut rows);
         rows
     }
 
-    fn fill_in_turn(&mut self, rows: &mut Vec<Row>) {
-        const IN_TURN: usize = 8;
-        let room = MOST_ROWS.saturating_sub(rows.len()).min(IN_TURN).min(self.rows.len());
+    fn fill_round_robin(&mut self, rows: &mut Vec<MemberRow>) {
+        const ROUND_ROBIN_ROWS: usize = 8;
+        let room = MAX_ROWS.saturating_sub(rows.len()).min(ROUND_ROBIN_ROWS).min(self.rows.len());
         for _ in 0..room {
             self.cursor = (self.cursor + 1) % self.rows.len();
-            let turn = self.rows.values().nth(self.cursor);
-            let row = turn.map(|known| known.row.clone());
+            let next = self.rows.values().nth(self.cursor);
+            let row = next.map(|known| known.row.clone());
             rows.extend(row.filter(|row| !rows.iter().any(|have| have.host == row.host)));
         }
     }
--- a/crates/harefield/src/domain/merge.rs
+++ b/crates/harefield/src/domain/merge.rs
@@ -1,19 +1,18 @@
-//! Merging the shards' records: fixed-length, compared byte by byte, the
-//! greatest first.
+//! Merging of the shards' records: records of fixed length, compared byte by byte, greatest first.
 
 use std::cmp::Ordering;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Bytes of one record.
+/// The length of a record in bytes.
 pub const RECORD_BYTES: usize = 16;
 
 type Record<'a> = &'a [u8];
 
-/// Returns the greatest `most` records of all bodies, in falling order.
+/// Returns the `most` greatest records of all bodies in descending order.
 ///
-/// Equal records all count. What is left over at the end of a body and is
-/// shorter than a record is none.
+/// Equal records are all kept. A remainder at the end of a body that is shorter than a record is
+/// ignored.
 #[must_use]
 pub fn greatest<'a>(bodies: impl IntoIterator<Item = &'a [u8]>, most: usize) -> Vec<u8> {
     let mut kept: BinaryHeap<Reverse<Record<'a>>> = BinaryHeap::with_capacity(most.min(1024) + 1);
@@ -25,6 +24,6 @@
             kept.push(Reverse(record));
         }
     }
-    // Sorting what is wrapped in `Reverse` upwards puts the greatest first.
+    // Ascending order of `Reverse` values puts the greatest record first.
     kept.into_sorted_vec().into_iter().flat_map(|record| record.0.iter().copied()).collect()
 }
--- a/crates/harefield/src/domain/mod.rs
+++ b/crates/harefield/src/domain/mod.rs
@@ -1,7 +1,7 @@
-//! The decisions of the query tier: pure functions and small state machines.
+//! The decisions of the query tier, as pure functions and small state machines.
 //!
-//! Nothing here does I/O, reads a clock or draws randomness of its own: time
-//! and random numbers are handed in, so that every decision can be replayed.
+//! Nothing here performs I/O, reads a clock or draws random numbers. Time and random numbers are
+//! passed in, so that every decision can be replayed.
 
 pub mod accounts;
 pub mod admission;
@@ -26,7 +26,6 @@
 mod news_format;
 pub mod once;
 pub mod outcome;
-pub mod places;
 pub mod query;
 pub mod reach;
 pub mod readers;
@@ -40,10 +39,11 @@
 pub mod snapshot;
 pub mod suspects;
 pub mod time;
+pub mod topology;
 pub mod view;
 pub mod work;
 
-/// Returns a part as a share of the whole; all of nothing is 1.
+/// Returns `part` divided by `whole`, or 1 if `whole` is 0.
 #[must_use]
 pub fn ratio(part: usize, whole: usize) -> f64 {
     let exact = |n: usize| f64::from(u32::try_from(n).unwrap_or(u32::MAX));
--- a/crates/harefield/src/domain/news_format.rs
+++ b/crates/harefield/src/domain/news_format.rs
@@ -1,19 +1,19 @@
-//! How news are written between daemons: eras beside numbers, so that a daemon that knows
-//! no eras reads the numbers as it did.
+//! The format of updates between daemons. Eras are written beside the revision numbers, so that a
+//! daemon that does not know eras still reads the numbers.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use super::feed::Change;
 use super::feed::Delta;
+use super::feed::DeltaKind;
 use super::feed::Items;
 use super::feed::News;
-use super::feed::Span;
 use super::ids::Era;
 use super::retained::RetainedReport;
 use super::revision::Revision;
 
-/// News as they are written.
+/// Updates as they are written.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) enum NewsFormat {
     Current,
@@ -24,7 +24,7 @@
         #[serde(default)]
         era: Era,
     },
-    /// Sent to daemons alone that ask for it.
+    /// Only sent to daemons that ask for it.
     Carrying {
         news: Box<NewsFormat>,
         #[serde(rename = "carried")]
@@ -44,16 +44,16 @@
     /// The era of the revision.
     #[serde(default)]
     era: Era,
-    /// Whether every key that changed on the way is named; not known of daemons that do not
-    /// say so.
+    /// Whether every key is listed that changed between base and revision. False from daemons that
+    /// do not write the field.
     #[serde(default)]
     whole: bool,
 }
 
 impl From<Delta> for DeltaFormat {
     fn from(delta: Delta) -> Self {
-        let Delta { base, revision, changes, span } = delta;
-        let whole = span != Span::Ends;
+        let Delta { base, revision, changes, kind } = delta;
+        let whole = kind != DeltaKind::Difference;
         Self {
             base: base.number,
             revision: revision.number,
@@ -68,8 +68,8 @@
 impl From<DeltaFormat> for Delta {
     fn from(format: DeltaFormat) -> Self {
         let DeltaFormat { base, revision, changes, from, era, whole } = format;
-        let span = if whole { Span::Whole } else { Span::Ends };
-        Self { base: Revision::new(from, base), revision: Revision::new(era, revision), changes, span }
+        let kind = if whole { DeltaKind::Cumulative } else { DeltaKind::Difference };
+        Self { base: Revision::new(from, base), revision: Revision::new(era, revision), changes, kind }
     }
 }
 
@@ -81,7 +81,9 @@
             News::Full { revision, items } => {
                 Self::Full { revision: revision.number, items, era: revision.era }
             }
-            News::Carrying { news, retained } => Self::Carrying { news: Box::new((*news).into()), retained },
+            News::WithRetained { news, retained } => {
+                Self::Carrying { news: Box::new((*news).into()), retained }
+            }
         }
     }
 }
@@ -95,7 +97,7 @@
                 Self::Full { revision: Revision::new(era, revision), items }
             }
             NewsFormat::Carrying { news, retained } => {
-                Self::Carrying { news: Box::new((*news).into()), retained }
+                Self::WithRetained { news: Box::new((*news).into()), retained }
             }
         }
     }
--- a/crates/harefield/src/domain/once.rs
+++ b/crates/harefield/src/domain/once.rs
@@ -1,9 +1,8 @@
-//! Once-only requests: tickets, and the ledger of the one daemon incarnation
-//! that may run them.
+//! Once-only requests: tickets, and the ledger of the one daemon incarnation that may run them.
 //!
-//! A ticket names one incarnation of one daemon. Only that incarnation runs
-//! the request, whichever entry host it is submitted to. When the incarnation
-//! is gone nobody runs it, and the answer is "may have run".
+//! A ticket names one incarnation of one daemon. Only that incarnation runs the request, whichever
+//! daemon it is submitted to. Once the incarnation is gone nobody runs it, and the answer is "may
+//! have run".
 
 use std::collections::BTreeMap;
 use std::str::FromStr;
@@ -19,23 +18,23 @@
 use super::outcome::Answer;
 use super::outcome::Outcome;
 
-/// How long a ticket may be used after it was issued.
-pub const TICKET_LIFE: Duration = Duration::from_secs(600);
+/// How long a ticket is valid after it was issued.
+pub const TICKET_LIFETIME: Duration = Duration::from_secs(600);
 
-/// How many outcomes the ledger holds.
-pub const MOST_OUTCOMES: usize = 4096;
+/// How many outcomes the ledger keeps.
+pub const MAX_OUTCOMES: usize = 4096;
 
-/// How many tickets may be issued and unused at a time.
-const MOST_OPEN: usize = 65_536;
+/// How many issued tickets may be unused at a time.
+const MAX_OPEN: usize = 65_536;
 
-/// Names the incarnation that may run a request, and the request.
+/// Identifies a request and the incarnation that may run it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ticket {
     /// The daemon.
     pub host: HostId,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// The ticket's number within the incarnation.
+    /// The number of the ticket within the incarnation.
     pub number: u64,
 }
 
@@ -45,7 +44,7 @@
     }
 }
 
-/// Reports a text that is no ticket.
+/// The error for a text that is not a ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not a ticket")]
 pub struct MalformedTicket;
@@ -67,12 +66,12 @@
     }
 }
 
-/// What a ticket is bound to by its first submission.
+/// A digest of the request that a ticket is bound to by its first submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Binding(u64);
 
 impl Binding {
-    /// Binds to a lookup and the bytes of its query.
+    /// Creates the binding for a lookup and the bytes of its query.
     #[must_use]
     pub fn new(lookup: &str, query: &[u8]) -> Self {
         let mut bytes = lookup.as_bytes().to_vec();
@@ -82,16 +81,16 @@
     }
 }
 
-/// What to do with a submission.
+/// What to do with a submitted request.
 #[derive(Debug)]
-pub enum Begin {
-    /// Run it; this is its first submission.
+pub enum SubmitAction {
+    /// Run it, as this is its first submission.
     Run,
-    /// It is running; its outcome will be in the ledger.
+    /// Wait, as it is running; its outcome will be in the ledger.
     Wait,
-    /// It has run; this was its outcome.
+    /// Return this outcome, as it has run.
     Replay(Box<Answer>),
-    /// It is neither run nor known.
+    /// Refuse it, as it cannot be run and no outcome is known.
     Refuse(Outcome, Code),
 }
 
@@ -102,7 +101,7 @@
     Done { binding: Binding, answer: Box<Answer> },
 }
 
-/// The tickets of one incarnation and what became of them.
+/// The tickets of one incarnation and their outcomes.
 #[derive(Debug)]
 pub struct Ledger {
     host: HostId,
@@ -111,20 +110,20 @@
     entries: BTreeMap<u64, Entry>,
     done: usize,
     open: usize,
-    forgotten: u64,
+    evicted: u64,
 }
 
 impl Ledger {
     /// Creates the ledger of one incarnation.
     #[must_use]
     pub fn new(host: HostId, incarnation: Incarnation) -> Self {
-        Self { host, incarnation, next: 1, entries: BTreeMap::new(), done: 0, open: 0, forgotten: 0 }
+        Self { host, incarnation, next: 1, entries: BTreeMap::new(), done: 0, open: 0, evicted: 0 }
     }
 
-    /// Issues a ticket; none while too many are unused.
+    /// Issues a ticket. `None` while too many are unused.
     pub fn issue(&mut self, now: Instant) -> Option<Ticket> {
         self.expire(now);
-        if self.open >= MOST_OPEN {
+        if self.open >= MAX_OPEN {
             return None;
         }
         let number = self.next;
@@ -140,35 +139,35 @@
         ticket.host == self.host && ticket.incarnation == self.incarnation
     }
 
-    /// Takes a submission under a ticket.
-    pub fn begin(&mut self, ticket: &Ticket, binding: Binding, now: Instant) -> Begin {
+    /// Decides what to do with a request submitted under a ticket.
+    pub fn submit(&mut self, ticket: &Ticket, binding: Binding, now: Instant) -> SubmitAction {
         if !self.owns(ticket) {
-            return Begin::Refuse(Outcome::MayHaveRun, Code::TicketGone);
+            return SubmitAction::Refuse(Outcome::MayHaveRun, Code::TicketGone);
         }
         if ticket.number >= self.next {
-            return Begin::Refuse(Outcome::NotRun, Code::MalformedTicket);
+            return SubmitAction::Refuse(Outcome::NotRun, Code::MalformedTicket);
         }
         let fresh = match self.entries.get(&ticket.number) {
-            None => return self.unknown(ticket),
+            None => return self.without_entry(ticket),
             Some(Entry::Running { binding: held } | Entry::Done { binding: held, .. })
                 if *held != binding =>
             {
-                return Begin::Refuse(Outcome::NotRun, Code::TicketMismatch);
+                return SubmitAction::Refuse(Outcome::NotRun, Code::TicketMismatch);
             }
-            Some(Entry::Running { .. }) => return Begin::Wait,
-            Some(Entry::Done { answer, .. }) => return Begin::Replay(answer.clone()),
-            Some(Entry::Open { issued }) => now.saturating_duration_since(*issued) <= TICKET_LIFE,
+            Some(Entry::Running { .. }) => return SubmitAction::Wait,
+            Some(Entry::Done { answer, .. }) => return SubmitAction::Replay(answer.clone()),
+            Some(Entry::Open { issued }) => now.saturating_duration_since(*issued) <= TICKET_LIFETIME,
         };
         self.open -= 1;
         if !fresh {
             self.entries.remove(&ticket.number);
-            return Begin::Refuse(Outcome::NotRun, Code::TicketExpired);
+            return SubmitAction::Refuse(Outcome::NotRun, Code::TicketExpired);
         }
         self.entries.insert(ticket.number, Entry::Running { binding });
-        Begin::Run
+        SubmitAction::Run
     }
 
-    /// Records what became of a request. One that did not run may be submitted again.
+    /// Records the outcome of a request. One that did not run may be submitted again.
     pub fn finish(&mut self, number: u64, answer: &Answer, now: Instant) {
         let Some(Entry::Running { binding }) = self.entries.get(&number) else {
             return;
@@ -181,35 +180,35 @@
         let entry = Entry::Done { binding: *binding, answer: Box::new(answer.clone()) };
         self.entries.insert(number, entry);
         self.done += 1;
-        self.forget_oldest();
+        self.evict_oldest();
     }
 
-    /// A ticket without an entry was never used only if it is newer than all
-    /// that was forgotten.
-    fn unknown(&self, ticket: &Ticket) -> Begin {
-        if ticket.number <= self.forgotten {
-            Begin::Refuse(Outcome::MayHaveRun, Code::OutcomeForgotten)
+    /// Decides about a ticket without an entry. It was certainly never used only if it is newer
+    /// than every forgotten one.
+    fn without_entry(&self, ticket: &Ticket) -> SubmitAction {
+        if ticket.number <= self.evicted {
+            SubmitAction::Refuse(Outcome::MayHaveRun, Code::OutcomeForgotten)
         } else {
-            Begin::Refuse(Outcome::NotRun, Code::TicketExpired)
+            SubmitAction::Refuse(Outcome::NotRun, Code::TicketExpired)
         }
     }
 
-    fn forget_oldest(&mut self) {
-        if self.done <= MOST_OUTCOMES {
+    fn evict_oldest(&mut self) {
+        if self.done <= MAX_OUTCOMES {
             return;
         }
         let oldest = self.entries.iter().find(|(_, entry)| matches!(entry, Entry::Done { .. }));
         if let Some(number) = oldest.map(|(number, _)| *number) {
             self.entries.remove(&number);
             self.done -= 1;
-            self.forgotten = self.forgotten.max(number);
+            self.evicted = self.evicted.max(number);
         }
     }
 
     fn expire(&mut self, now: Instant) {
         while let Some(first) = self.entries.first_entry() {
             match first.get() {
-                Entry::Open { issued } if now.saturating_duration_since(*issued) > TICKET_LIFE => {
+                Entry::Open { issued } if now.saturating_duration_since(*issued) > TICKET_LIFETIME => {
                     first.remove();
                     self.open -= 1;
                 }
--- a/crates/harefield/src/domain/outcome.rs
+++ b/crates/harefield/src/domain/outcome.rs
@@ -1,4 +1,4 @@
-//! What a caller is told: outcome, coverage and the reason of each gap.
+//! What a caller is sent: outcome, coverage and the reason of each gap.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,15 +8,15 @@
 use super::ids::Version;
 use super::reply::Reply;
 
-/// The three things that can have become of a request.
+/// What happened to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The answer holds what the contributing shards replied.
+    /// The answer contains the replies of the contributing shards.
     Answered,
     /// The request did not run on any upstream.
     NotRun,
-    /// The request was written to an upstream whose reply is not known.
+    /// The request was sent to an upstream whose reply is unknown.
     MayHaveRun,
 }
 
@@ -32,38 +32,38 @@
     Leaving,
     /// The replicas' availability zone is evacuated.
     Evacuated,
-    /// No replica holds the snapshot, by its own word or its refusal.
+    /// No replica holds the snapshot, according to its announcement or because it refused.
     SnapshotMissing,
-    /// A replica answered for another snapshot than asked.
+    /// A replica answered for a different snapshot than requested.
     SnapshotWrong,
     /// The replica no longer holds the shard.
     ShardMoved,
-    /// The replicas are cold, and get what they bear.
+    /// The replicas are cold and already receive as many requests as they can take.
     Cold,
-    /// Every replica is busy, shedding or over its connection limit.
+    /// Every replica is busy, shedding load or at its connection limit.
     Overloaded,
     /// No replica could be connected to.
     Unreachable,
-    /// The connection was lost, or the reply was cut short or not valid.
+    /// The connection was lost, or the reply was truncated or invalid.
     ReplyLost,
-    /// The upstream ended while it had the request.
+    /// The upstream ended while it ran the request.
     UpstreamEnded,
     /// The reply belonged to another request.
     ReplyCrossed,
     /// The upstream failed while it ran the request.
     Failed,
-    /// The answer was cut while a reply was awaited.
+    /// The answer was cut off while a reply was awaited.
     Late,
-    /// The answer was cut before the shard could be asked.
+    /// The answer was cut off before the shard could be queried.
     NotAsked,
-    /// The daemon was confirming its knowledge after a pause.
+    /// The daemon was confirming what it knows after a pause.
     Unconfirmed,
-    /// The request is withheld: upstreams end each time that they run it.
+    /// The request is withheld because upstreams end each time they run it.
     Withheld,
 }
 
 impl Gap {
-    /// Returns the reason's name, as answers carry it.
+    /// Returns the name of the reason as written in answers.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -91,72 +91,72 @@
 
 /// A shard that did not contribute.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Missing {
+pub struct MissingShard {
     /// The shard.
     pub shard: ShardId,
     /// Why it did not contribute.
     pub why: Gap,
-    /// Whether the request may have run there all the same.
+    /// Whether the request may nevertheless have run there.
     #[serde(rename = "may-have-run")]
     pub ran: bool,
 }
 
-/// Names exactly the shards that did and did not contribute.
+/// Lists exactly the shards that did and did not contribute.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Coverage {
     /// Whether every shard of the snapshot contributed.
     pub whole: bool,
-    /// The shards that contributed, in the snapshot's order.
+    /// The shards that contributed, in the order of the snapshot.
     pub contributed: Vec<ShardId>,
-    /// The shards that did not, in the snapshot's order.
-    pub missing: Vec<Missing>,
+    /// The shards that did not, in the order of the snapshot.
+    pub missing: Vec<MissingShard>,
 }
 
-/// One shard's contribution to an answer.
+/// The contribution of one shard to an answer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Part {
+pub struct Contribution {
     /// The shard.
     pub shard: ShardId,
     /// The upstream's reply, as sent.
     pub reply: Reply,
 }
 
-/// The whole answer to one request.
+/// The complete answer to a request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Answer {
-    /// The request's id, as the time line knows it.
+    /// The id of the request on the time line.
     pub request: String,
     /// The caller's own id of the request, echoed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub id: Option<String>,
-    /// What became of the request.
+    /// What happened to the request.
     pub outcome: Outcome,
     /// The result code.
     pub code: Code,
     /// The sentence that explains the code.
     pub message: String,
-    /// The index and version that every contribution was drawn from.
+    /// The index and version that all contributions come from.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub snapshot: Option<SnapshotName>,
     /// Which shards contributed.
     pub coverage: Coverage,
-    /// The contributions, one a shard.
-    pub results: Vec<Part>,
-    /// When to come back, in milliseconds, where that may help.
+    /// The contributions, one per shard.
+    pub results: Vec<Contribution>,
+    /// When to retry, in milliseconds, if that may help.
     #[serde(default, rename = "retry-after-ms", skip_serializing_if = "Option::is_none")]
     pub retry_after: Option<u64>,
-    /// A ticket for a once-only request that came without one.
+    /// A ticket, if a once-only request came without one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ticket: Option<String>,
-    /// What an upstream replied that failed; only for opaque requests.
+    /// The reply of an upstream that failed. Only for opaque requests.
     #[serde(skip)]
     pub failure: Option<Reply>,
-    /// How many records are kept where the contributions are to be merged.
+    /// How many records to keep if the contributions are to be merged.
     #[serde(skip)]
     pub merge: Option<usize>,
 }
 
-/// Names one snapshot of one index.
+/// Identifies a snapshot of an index.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotName {
     /// The index.
@@ -168,7 +168,7 @@
 impl Answer {
     /// Creates an answer without contributions.
     #[must_use]
-    pub fn bare(request: &str, outcome: Outcome, code: Code) -> Self {
+    pub fn empty(request: &str, outcome: Outcome, code: Code) -> Self {
         Self {
             request: request.to_owned(),
             id: None,
@@ -185,17 +185,17 @@
         }
     }
 
-    /// Creates a refusal that ran nowhere.
+    /// Creates an answer for a request that was refused before it ran anywhere.
     #[must_use]
     pub fn not_run(request: &str, code: Code, retry_after: Option<u64>) -> Self {
-        let mut answer = Self::bare(request, Outcome::NotRun, code);
+        let mut answer = Self::empty(request, Outcome::NotRun, code);
         answer.retry_after = retry_after;
         answer
     }
 
-    /// Creates an answer for a request whose fate is not known.
+    /// Creates an answer for a request of unknown fate.
     #[must_use]
     pub fn may_have_run(request: &str, code: Code) -> Self {
-        Self::bare(request, Outcome::MayHaveRun, code)
+        Self::empty(request, Outcome::MayHaveRun, code)
     }
 }
--- a/crates/harefield/src/domain/query.rs
+++ b/crates/harefield/src/domain/query.rs
@@ -1,4 +1,4 @@
-//! What a caller asks: JSON on the own interface, an opaque request on others.
+//! Requests of callers: JSON on the native interface, opaque requests on others.
 
 use std::sync::Arc;
 
@@ -8,26 +8,26 @@
 
 use super::reply::Header;
 
-/// A request whose method, path and body mean something to the upstreams only.
+/// A request whose method, path and body have a meaning only for the upstreams.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ByteQuery {
-    /// The caller's own id of this request, handed on as it came.
+pub struct OpaqueQuery {
+    /// The caller's own id of this request, forwarded unchanged.
     pub id: Arc<str>,
     /// The HTTP method.
     pub method: Arc<str>,
     /// Path and query string.
     pub target: Arc<str>,
-    /// The headers that belong to the upstreams.
+    /// The headers that are sent to the upstreams.
     pub headers: Vec<Header>,
     /// The whole body.
     pub body: Bytes,
-    /// The headers that say who asks, as the caller sent them: they go on only where no
+    /// The headers that identify the sender, unchanged. They are sent to upstreams only if no
     /// client accounts are in force.
     #[serde(default, skip_serializing_if = "Claims::is_empty")]
     pub claims: Claims,
 }
 
-/// The headers that say who asks, a key among them: never shown.
+/// Headers that identify the sender, keys among them. They are never printed.
 #[derive(Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Claims(pub Vec<Header>);
@@ -46,8 +46,8 @@
     }
 }
 
-impl ByteQuery {
-    /// Returns the value of a header; empty where there is none.
+impl OpaqueQuery {
+    /// Returns the value of a header; empty if it is missing.
     #[must_use]
     pub fn header(&self, name: &str) -> &[u8] {
         let found = self.headers.iter().chain(&self.claims.0).find(|(held, _)| &**held == name);
@@ -55,33 +55,33 @@
     }
 }
 
-/// What a caller asks.
+/// The query of a request.
 #[derive(Clone, Debug)]
 pub enum Query {
-    /// JSON, as sent; a once-only one needs a ticket.
+    /// JSON, as sent. A once-only request needs a ticket.
     Json(Arc<[u8]>),
-    /// An opaque request, which is known by its caller's own id.
-    Bytes(Arc<ByteQuery>),
+    /// An opaque request, identified by the caller's own id.
+    Opaque(Arc<OpaqueQuery>),
 }
 
 impl Query {
-    /// Returns the query without what the caller said of who asks.
+    /// Returns the query without the headers that identify the sender.
     #[must_use]
     pub fn without_claims(&self) -> Self {
         match self {
-            Self::Bytes(query) if !query.claims.is_empty() => {
-                Self::Bytes(Arc::new(ByteQuery { claims: Claims::default(), ..(**query).clone() }))
+            Self::Opaque(query) if !query.claims.is_empty() => {
+                Self::Opaque(Arc::new(OpaqueQuery { claims: Claims::default(), ..(**query).clone() }))
             }
             other => other.clone(),
         }
     }
 
-    /// Returns the JSON text; empty where the query is an opaque request.
+    /// Returns the JSON text; empty for an opaque request.
     #[must_use]
     pub fn json(&self) -> &[u8] {
         match self {
             Self::Json(json) => json,
-            Self::Bytes(_) => &[],
+            Self::Opaque(_) => &[],
         }
     }
 }
--- a/crates/harefield/src/domain/reach.rs
+++ b/crates/harefield/src/domain/reach.rs
@@ -1,52 +1,52 @@
-//! How the platform answers a daemon in one space.
+//! Whether the platform responds to a daemon for one space.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Since when a space does not answer, and when it last came back.
+/// Since when the platform does not respond for a space, and when it last became reachable again.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Reach {
-    /// Since when it answers nobody, as far as known here.
-    lost: Option<Instant>,
-    /// When it last came back.
-    regained: Option<Instant>,
-    /// Since when this daemon's own calls are not answered.
-    cut: Option<Instant>,
+pub struct Reachability {
+    /// Since when it responds to nobody, as far as known here.
+    unreachable_since: Option<Instant>,
+    /// When it last became reachable again.
+    recovered_at: Option<Instant>,
+    /// Since when this daemon's own calls fail.
+    failing_since: Option<Instant>,
 }
 
-impl Reach {
-    /// Notes that a call was not answered; returns whether the one before was.
-    pub fn lose(&mut self, now: Instant) -> bool {
-        self.lost.get_or_insert(now);
-        let news = self.cut.is_none();
-        self.cut.get_or_insert(now);
-        news
+impl Reachability {
+    /// Records that a call was not answered; returns whether the one before it was.
+    pub fn record_failure(&mut self, now: Instant) -> bool {
+        self.unreachable_since.get_or_insert(now);
+        let first = self.failing_since.is_none();
+        self.failing_since.get_or_insert(now);
+        first
     }
 
-    /// Notes that a call was answered; returns how long the space was away, if it was.
-    pub fn regain(&mut self, now: Instant) -> Option<Duration> {
-        self.come_back(now);
-        self.cut.take().map(|since| now.saturating_duration_since(since))
+    /// Records that a call was answered; returns for how long calls had failed, if they had.
+    pub fn record_answer(&mut self, now: Instant) -> Option<Duration> {
+        self.mark_recovered(now);
+        self.failing_since.take().map(|since| now.saturating_duration_since(since))
     }
 
-    /// Notes that the space answered somebody as of `at`: a daemon that stops reading
-    /// while its own calls fail hears no answer of its own.
-    pub fn vouch(&mut self, at: Instant, now: Instant) {
-        if self.lost.is_some_and(|lost| at > lost) {
-            self.come_back(now);
+    /// Records that somebody's call was answered as of `at`. A daemon that stops reading the
+    /// platform while its own calls fail gets no answer of its own.
+    pub fn record_proof(&mut self, at: Instant, now: Instant) {
+        if self.unreachable_since.is_some_and(|unreachable_since| at > unreachable_since) {
+            self.mark_recovered(now);
         }
     }
 
-    fn come_back(&mut self, now: Instant) {
-        if self.lost.take().is_some() {
-            self.regained = Some(now);
+    fn mark_recovered(&mut self, now: Instant) {
+        if self.unreachable_since.take().is_some() {
+            self.recovered_at = Some(now);
         }
     }
 
-    /// Returns whether the space does not answer, or came back less than `grace` ago.
+    /// Returns whether the platform does not respond, or became reachable less than `grace` ago.
     #[must_use]
-    pub fn was_away(&self, now: Instant, grace: Duration) -> bool {
-        let back = self.regained.is_some_and(|at| now.saturating_duration_since(at) < grace);
-        self.lost.is_some() || back
+    pub fn was_unreachable(&self, now: Instant, grace: Duration) -> bool {
+        let recovered = self.recovered_at.is_some_and(|at| now.saturating_duration_since(at) < grace);
+        self.unreachable_since.is_some() || recovered
     }
 }
--- a/crates/harefield/src/domain/recent.rs
+++ b/crates/harefield/src/domain/recent.rs
@@ -1,37 +1,36 @@
-//! The last few times of a kind, and what is usual among them.
+//! The most recent durations of one kind, and a typical value among them.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How many times are held: a few, so that a change shows soon.
-const HELD: usize = 15;
+/// How many durations are kept. Few, so that a change takes effect soon.
+const CAPACITY: usize = 15;
 
-/// The usual time is the one that this part of those held reach at most, in percent:
-/// few come with more than is usual, but after an outage most come with less, having
-/// used some of it before.
-const USUAL_PERCENT: usize = 80;
+/// The percentile that counts as typical. Few requests come with more time than usual, but after an
+/// outage most come with less, because callers have used some of it on earlier attempts.
+const TYPICAL_PERCENTILE: usize = 80;
 
-/// The last few times of a kind.
+/// The most recent durations of one kind.
 #[derive(Clone, Debug, Default)]
-pub struct Recent {
+pub struct RecentTimes {
     times: VecDeque<Duration>,
 }
 
-impl Recent {
-    /// Takes one time more; the oldest goes.
-    pub fn take(&mut self, time: Duration) {
-        if self.times.len() == HELD {
+impl RecentTimes {
+    /// Records a duration; the oldest one is dropped.
+    pub fn record(&mut self, time: Duration) {
+        if self.times.len() == CAPACITY {
             self.times.pop_front();
         }
         self.times.push_back(time);
     }
 
-    /// Returns the usual time; nothing where there is none.
+    /// Returns the typical duration; zero if none was recorded.
     #[must_use]
-    pub fn usual(&self) -> Duration {
+    pub fn typical(&self) -> Duration {
         let mut sorted: Vec<Duration> = self.times.iter().copied().collect();
         sorted.sort_unstable();
-        let at = sorted.len().saturating_sub(1) * USUAL_PERCENT / 100;
+        let at = sorted.len().saturating_sub(1) * TYPICAL_PERCENTILE / 100;
         sorted.get(at).copied().unwrap_or_default()
     }
 }
--- a/crates/harefield/src/domain/reply.rs
+++ b/crates/harefield/src/domain/reply.rs
@@ -1,4 +1,4 @@
-//! What an upstream replied: JSON on the own interface, opaque bytes on others.
+//! Replies of upstreams: JSON on the native interface, opaque bytes on others.
 
 use std::sync::Arc;
 
@@ -9,19 +9,19 @@
 use serde::Serializer;
 use serde_json::value::RawValue;
 
-/// A header as it stood on the wire; names in lower case.
+/// A header as received; its name is in lower case.
 pub type Header = (Arc<str>, Bytes);
 
 /// A reply of opaque bytes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ByteReply {
+pub struct OpaqueReply {
     /// The HTTP status.
     pub status: u16,
-    /// The headers that belong to the caller.
+    /// The headers that are passed on to the caller.
     pub headers: Vec<Header>,
     /// The whole body.
     pub body: Bytes,
-    /// The upstream's signature over this reply; none where it gave none.
+    /// The upstream's signature over this reply. `None` if it sent none.
     pub signature: Option<Arc<str>>,
 }
 
@@ -31,35 +31,35 @@
     /// JSON, as sent.
     Json(Box<RawValue>),
     /// Opaque bytes.
-    Bytes(Arc<ByteReply>),
+    Opaque(Arc<OpaqueReply>),
 }
 
 impl Reply {
-    /// Returns the reply of opaque bytes; none where it is JSON.
+    /// Returns the opaque reply; `None` if the reply is JSON.
     #[must_use]
-    pub fn bytes(&self) -> Option<&Arc<ByteReply>> {
+    pub fn opaque(&self) -> Option<&Arc<OpaqueReply>> {
         match self {
-            Self::Bytes(reply) => Some(reply),
+            Self::Opaque(reply) => Some(reply),
             Self::Json(_) => None,
         }
     }
 
-    /// Returns the JSON text; empty where the reply is opaque bytes.
+    /// Returns the JSON text; empty if the reply is opaque.
     #[must_use]
     pub fn get(&self) -> &str {
         match self {
             Self::Json(json) => json.get(),
-            Self::Bytes(_) => "",
+            Self::Opaque(_) => "",
         }
     }
 }
 
-/// An answer in JSON names how long an opaque reply is, and does not hold it.
+/// In a JSON answer, an opaque reply is represented by its length only.
 impl Serialize for Reply {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         match self {
             Self::Json(json) => json.serialize(serializer),
-            Self::Bytes(reply) => reply.body.len().serialize(serializer),
+            Self::Opaque(reply) => reply.body.len().serialize(serializer),
         }
     }
 }
--- a/crates/harefield/src/domain/residency.rs
+++ b/crates/harefield/src/domain/residency.rs
@@ -1,15 +1,15 @@
-//! Where a request may be served, and its body read.
+//! Data residency: in which regions a request may be served and its body read.
 //!
-//! Some data may by law be served in some regions only. One decision, [`Residency::allows`],
-//! is asked by everything that sends: plans leave out the replicas of other regions, and so
-//! first attempts, hedges, retries, probes and groups never see them; a request is handed
-//! only to daemons that stand in one of the regions. The daemon that a caller came to may
-//! stand anywhere. Which region a caller is in is not known, so no other daemon beside it
-//! is handed the request either.
+//! By law, some data may be served in some regions only. [`Residency::allows`] is the one decision
+//! that everything that sends data relies on. Plans omit the replicas of other regions, so that
+//! first attempts, hedges, retries, probes and groups never use them. A request is forwarded only
+//! to daemons in one of the regions. The daemon that a caller connects to may be in any region.
+//! Since the region of the caller is unknown, the request is not forwarded to other daemons beside
+//! it either.
 
 use std::sync::Arc;
 
-/// Names of regions, shared by all that carry them.
+/// Names of regions, shared without copying.
 pub type Regions = Arc<[Arc<str>]>;
 
 /// The regions in which a request may be served.
@@ -19,30 +19,29 @@
 }
 
 impl<'a> Residency<'a> {
-    /// Creates the residency of a lookup that names `regions`; everywhere where it names none.
+    /// Creates the residency of a lookup that may be served in `regions`; in any region if empty.
     #[must_use]
     pub fn new(regions: &'a [Arc<str>]) -> Self {
         Self { regions }
     }
 
-    /// Returns whether there are regions in which it may not be served.
+    /// Returns whether there are regions in which the request may not be served.
     #[must_use]
-    pub fn is_bound(self) -> bool {
+    pub fn is_restricted(self) -> bool {
         !self.regions.is_empty()
     }
 
-    /// Returns whether it may be served in a region; not where nobody knows which region it
-    /// is, unless it may be served everywhere.
+    /// Returns whether the request may be served in a region. An unknown region is allowed only if
+    /// there is no restriction.
     #[must_use]
     pub fn allows(self, region: Option<&Arc<str>>) -> bool {
-        !self.is_bound() || region.is_some_and(|region| self.regions.contains(region))
+        !self.is_restricted() || region.is_some_and(|region| self.regions.contains(region))
     }
 }
 
-/// Returns the regions in which a request may be served that two bind; none where they have
-/// no region in common.
+/// Returns the regions allowed by both restrictions. `None` if they have no region in common.
 #[must_use]
-pub fn both(one: &Regions, other: &Regions) -> Option<Regions> {
+pub fn intersect(one: &Regions, other: &Regions) -> Option<Regions> {
     if one.is_empty() || other.is_empty() {
         return Some(Arc::clone(if one.is_empty() { other } else { one }));
     }
--- a/crates/harefield/src/domain/retained.rs
+++ b/crates/harefield/src/domain/retained.rs
@@ -1,18 +1,18 @@
-//! What stays in force though the platform came back from a copy that lacks it.
+//! Values that stay in force after the platform was restored from a backup copy that lacks them.
 //!
-//! The copy is some seconds old: what was written since is missing in it, what was taken
-//! away since is there again. Operators and upstreams write again what they wrote. Until
-//! they have, or have had the time to, what was in force goes before what the copy says:
+//! The copy is a few seconds old: it lacks what was written since, and contains again what was
+//! removed since. Operators and upstreams repeat their writes. Until they have done so, or have had
+//! the time to, the values that were in force take precedence over the copy:
 //!
-//! - a catalog of a lower edition is never put in force, however long it takes;
-//! - an evacuation that the copy lacks goes on for [`OPERATOR_TIME`]; one that the copy has
-//!   again is in force until the operator takes it back again. In doubt a zone is left alone:
-//!   that costs capacity for a while, and to miss an evacuation sends work into a zone that
-//!   may be going down;
-//! - an upstream that the copy lacks, or has as it was before it began to leave or started
-//!   again, stays as it was for the time that it needs to write;
-//! - one that the copy has, and that was known to have left, is none until it writes, or
-//!   until the platform would have dropped an entry that nobody writes.
+//! - A catalog of a lower edition never comes into force, however long it takes.
+//! - An evacuation that the copy lacks continues for [`OPERATOR_TIME`]. One that the copy contains
+//!   again is in force until the operator lifts it again. In doubt a zone is avoided: that costs
+//!   capacity for a while, whereas missing an evacuation sends work into a zone that may be going
+//!   down.
+//! - An upstream that the copy lacks, or contains as it was before it began to leave or restarted,
+//!   keeps its newer entry for the time that it needs to write again.
+//! - An upstream that the copy contains but that was known to have left is ignored until it writes,
+//!   or until the platform would have dropped an entry that nobody writes.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -32,46 +32,46 @@
 use super::resources::Upstream;
 use super::revision::Revision;
 
-/// How many of their heartbeats upstreams have to write again: the platform drops an
-/// entry that is not written for three, and one more for the way.
+/// How many heartbeat intervals upstreams have to write again: the platform drops an entry that is
+/// not written for three, and one more allows for transmission.
 const HEARTBEATS: u32 = 4;
 
-/// For how long an evacuation goes on that nobody has written again: an operator's tool
-/// that retries has written long before; a person who sees the platform come back has
-/// half a minute. A take-back of what the copy lacks may leave no trace in the platform,
-/// so that it is not for ever.
+/// How long an evacuation continues that nobody has written again. An operator's tool that retries
+/// has written long before that; a person who sees the platform come back has half a minute. The
+/// time is limited because lifting an evacuation that the copy lacks may leave no trace in the
+/// platform.
 pub const OPERATOR_TIME: Duration = Duration::from_secs(30);
 
-/// How many eras back is remembered how far they were read: drills are minutes apart, and what
-/// is carried on stays for half a minute.
-const ERAS_KEPT: usize = 4;
+/// How many past eras a [`ReadHistory`] covers. Recovery drills are minutes apart, and retained
+/// values are kept for half a minute.
+const MAX_ERAS: usize = 4;
 
-/// How far the last eras were read, the newest first: what was in force up to there and is
-/// not carried on is known to be gone.
+/// The last revision read in each of the most recent eras, newest era first. A value that was in
+/// force up to one of these revisions and is not retained is known to have been removed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Vec<Revision>", into = "Vec<Revision>")]
-pub struct ReadHistory([Option<Revision>; ERAS_KEPT]);
+pub struct ReadHistory([Option<Revision>; MAX_ERAS]);
 
 impl ReadHistory {
-    /// Returns the context of a daemon that has read an era up to a revision too.
+    /// Returns this history extended by a revision up to which an era was read.
     #[must_use]
     pub fn with(self, read: Revision) -> Self {
-        self.joined(Self::from(vec![read]))
+        self.merged(Self::from(vec![read]))
     }
 
-    /// Says whether a revision was read.
+    /// Returns whether a revision has been read.
     #[must_use]
     pub fn covers(self, revision: Revision) -> bool {
         self.reads().any(|read| read.era == revision.era && read.number >= revision.number)
     }
 
-    /// Says whether one that has read this far knows something that another one lacks.
+    /// Returns whether this history covers a revision that `other` does not.
     #[must_use]
     pub fn exceeds(self, other: Self) -> bool {
         self.reads().any(|read| !other.covers(read))
     }
 
-    fn joined(self, other: Self) -> Self {
+    fn merged(self, other: Self) -> Self {
         self.reads().chain(other.reads()).collect::<Vec<Revision>>().into()
     }
 
@@ -93,80 +93,91 @@
 }
 
 impl From<ReadHistory> for Vec<Revision> {
-    fn from(context: ReadHistory) -> Self {
-        context.reads().collect()
+    fn from(history: ReadHistory) -> Self {
+        history.reads().collect()
     }
 }
 
-/// How far a daemon is in what is in force beside what the platform has.
+/// How much a daemon knows about values that take precedence over the platform's; compared between
+/// daemons to decide who has something newer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetainedMark {
-    /// How far it has read the eras that it carries on from; nothing where it entered none.
-    pub context: ReadHistory,
+    /// How far the daemon has read the eras that it retains values from. Empty if it entered no
+    /// era.
+    #[serde(rename = "context")]
+    pub history: ReadHistory,
     /// The edition in force.
     pub edition: Edition,
 }
 
 impl RetainedMark {
-    /// Says whether a daemon with this one knows something that one with another lacks.
+    /// Returns whether a daemon with this mark knows something that one with `other` lacks.
     #[must_use]
     pub fn exceeds(self, other: Self) -> bool {
-        self.context.exceeds(other.context) || self.edition > other.edition
+        self.history.exceeds(other.history) || self.edition > other.edition
     }
 }
 
-/// A value that is carried on.
+/// A retained value.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetainedValue {
     /// The value.
     pub value: Arc<str>,
-    /// Up to when it is known to have been in force.
-    pub of: Revision,
+    /// The revision up to which the value is known to have been in force.
+    #[serde(rename = "of")]
+    pub known_at: Revision,
 }
 
-/// What is carried on from the eras before into one era.
+/// The values retained from earlier eras in the current era.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Retained {
-    /// The era that it is carried into.
+    /// The era that the values are retained in.
     pub era: Era,
-    /// How far those before were read.
-    pub context: ReadHistory,
-    /// The values that go before those of the platform.
-    pub kept: BTreeMap<Key, RetainedValue>,
-    /// The upstreams of the platform's copy that had left, with up to when that is known.
-    pub doubted: BTreeMap<Key, Revision>,
-    /// When the era was entered; none before that is noted.
-    pub since: Option<Instant>,
-    /// What the platform has told of in this era: nothing from before it holds of that.
-    settled: BTreeSet<Key>,
+    /// How far the earlier eras were read.
+    pub history: ReadHistory,
+    /// The values that take precedence over those of the platform.
+    pub values: BTreeMap<Key, RetainedValue>,
+    /// The upstreams that the platform's copy contains although they had left, with the revision up
+    /// to which that is known.
+    pub departed: BTreeMap<Key, Revision>,
+    /// When the era was entered. `None` until [`expire`](Self::expire) or
+    /// [`restart_timer`](Self::restart_timer) sets it.
+    pub entered_at: Option<Instant>,
+    /// The keys that the platform has reported in this era. Nothing from before the era applies to
+    /// them.
+    reported: BTreeSet<Key>,
 }
 
-/// What is carried on, as daemons tell each other.
+/// The retained values as daemons send them to each other.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetainedReport {
-    /// The era that it is carried into.
+    /// The era that the values are retained in.
     pub era: Era,
-    /// How far those before were read.
-    pub context: ReadHistory,
-    /// The values that go before those of the platform.
-    pub kept: BTreeMap<Key, RetainedValue>,
-    /// The upstreams of the platform's copy that had left, with up to when that is known.
-    pub doubted: BTreeMap<Key, Revision>,
+    /// How far the earlier eras were read.
+    #[serde(rename = "context")]
+    pub history: ReadHistory,
+    /// The values that take precedence over those of the platform.
+    #[serde(rename = "kept")]
+    pub values: BTreeMap<Key, RetainedValue>,
+    /// The upstreams that the platform's copy contains although they had left, with the revision up
+    /// to which that is known.
+    #[serde(rename = "doubted")]
+    pub departed: BTreeMap<Key, Revision>,
     /// How long ago the era was entered, in milliseconds.
     pub age: u64,
 }
 
-/// For how long what is carried on stays.
+/// How long values are retained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetentionTimes {
-    /// An upstream: as long as it needs to write again.
+    /// For an upstream: the time that it needs to write again.
     pub upstream: Duration,
-    /// An evacuation: as long as its operator needs to.
+    /// For an evacuation: the time that its operator needs to write again.
     pub operator: Duration,
 }
 
 impl RetentionTimes {
-    /// Returns the times where upstreams write once each `heartbeat`.
+    /// Returns the times for upstreams that write once per `heartbeat`.
     #[must_use]
     pub fn new(heartbeat: Duration) -> Self {
         Self { upstream: heartbeat * HEARTBEATS, operator: OPERATOR_TIME }
@@ -174,139 +185,147 @@
 }
 
 impl Retained {
-    /// Returns that nothing is carried into an era, as at a daemon that started in it.
+    /// Returns an empty set, as held by a daemon that started in the era.
     #[must_use]
-    pub fn nothing(era: Era) -> Self {
+    pub fn empty(era: Era) -> Self {
         Self { era, ..Self::default() }
     }
 
-    /// Works out what stays of what a daemon `held` of the platform at `read`, and of what
-    /// it carried on beside it, where the platform has `listed` in an era.
+    /// Computes what is retained on entering an era, from what the daemon `held` of the platform at
+    /// revision `read`, what it had retained besides, and what the platform has `listed` in the new
+    /// era.
     #[must_use]
     pub fn enter(self, era: Era, read: Revision, held: &Items, listed: &Items) -> Self {
         let mut in_force: BTreeMap<Key, RetainedValue> = held
             .iter()
-            .filter(|(key, _)| !self.doubted.contains_key(*key))
-            .map(|(key, value)| (Arc::clone(key), RetainedValue { value: Arc::clone(value), of: read }))
+            .filter(|(key, _)| !self.departed.contains_key(*key))
+            .map(|(key, value)| (Arc::clone(key), RetainedValue { value: Arc::clone(value), known_at: read }))
             .collect();
-        in_force.extend(self.kept);
-        let back = listed.keys().filter(|key| is_upstream(key) && !in_force.contains_key(*key));
-        let doubted = back.map(|key| (Arc::clone(key), read)).collect();
-        in_force.retain(|key, kept| outweighs(key, &kept.value, listed.get(key)));
-        Self { era, context: self.context.with(read), kept: in_force, doubted, ..Self::default() }
+        in_force.extend(self.values);
+        let returned = listed.keys().filter(|key| is_upstream(key) && !in_force.contains_key(*key));
+        let departed = returned.map(|key| (Arc::clone(key), read)).collect();
+        in_force.retain(|key, entry| takes_precedence(key, &entry.value, listed.get(key)));
+        Self { era, history: self.history.with(read), values: in_force, departed, ..Self::default() }
     }
 
-    /// Returns what makes what is in force of what the platform has.
+    /// Returns the changes that turn the platform's values into those in force.
     #[must_use]
     pub fn changes(&self) -> Vec<Change> {
-        let kept = self
-            .kept
+        let values = self
+            .values
             .iter()
-            .map(|(key, kept)| Change { key: Arc::clone(key), value: Some(Arc::clone(&kept.value)) });
-        let left = self.doubted.keys().map(|key| Change { key: Arc::clone(key), value: None });
-        kept.chain(left).collect()
+            .map(|(key, entry)| Change { key: Arc::clone(key), value: Some(Arc::clone(&entry.value)) });
+        let left = self.departed.keys().map(|key| Change { key: Arc::clone(key), value: None });
+        values.chain(left).collect()
     }
 
-    /// Takes what the platform has told in this era: it goes before what is carried on, but
-    /// for a catalog of a lower edition.
-    pub fn settle(&mut self, changes: &[Change]) {
+    /// Applies what the platform has reported in this era. It takes precedence over retained
+    /// values, except that a catalog of a lower edition does not replace a retained one.
+    pub fn supersede(&mut self, changes: &[Change]) {
         for Change { key, value } in changes {
-            self.doubted.remove(key);
-            let stays = is_catalog(key)
-                && self.kept.get(key).is_some_and(|kept| outweighs(key, &kept.value, value.as_ref()));
-            if !stays {
-                self.kept.remove(key);
+            self.departed.remove(key);
+            let is_newer = is_catalog(key)
+                && self
+                    .values
+                    .get(key)
+                    .is_some_and(|entry| takes_precedence(key, &entry.value, value.as_ref()));
+            if !is_newer {
+                self.values.remove(key);
             }
-            self.settled.insert(Arc::clone(key));
+            self.reported.insert(Arc::clone(key));
         }
     }
 
-    /// Joins what another daemon carries into the same era, where the platform has
-    /// `listed` here.
+    /// Merges what another daemon retains in the same era, where the platform has `listed` its
+    /// values here.
     ///
-    /// What both carry stays, and what one carries and the other has not read as far: one
-    /// that has, and does not carry it, knows that it is over. Of each catalog the highest
-    /// edition stays.
-    pub fn join(&mut self, other: &Self, listed: &Items) {
-        let (own, theirs) = (self.context, other.context);
-        self.kept
-            .retain(|key, kept| is_catalog(key) || other.kept.contains_key(key) || !theirs.covers(kept.of));
-        self.doubted.retain(|key, of| other.doubted.contains_key(key) || !theirs.covers(*of));
-        for (key, kept) in &other.kept {
-            let held = self.kept.get(key).map(|kept| &kept.value);
-            let open = is_catalog(key) || !(own.covers(kept.of) || self.settled.contains(key));
-            if open && outweighs(key, &kept.value, held) && outweighs(key, &kept.value, listed.get(key)) {
-                self.kept.insert(Arc::clone(key), kept.clone());
+    /// A value stays if both daemons retain it, or if one retains it and the other has not read as
+    /// far. A daemon that has read as far and does not retain a value knows that it was removed. Of
+    /// each catalog the highest edition stays.
+    pub fn merge(&mut self, other: &Self, listed: &Items) {
+        let (own, theirs) = (self.history, other.history);
+        self.values.retain(|key, entry| {
+            is_catalog(key) || other.values.contains_key(key) || !theirs.covers(entry.known_at)
+        });
+        self.departed.retain(|key, of| other.departed.contains_key(key) || !theirs.covers(*of));
+        for (key, entry) in &other.values {
+            let held = self.values.get(key).map(|entry| &entry.value);
+            let accepts = is_catalog(key) || !(own.covers(entry.known_at) || self.reported.contains(key));
+            if accepts
+                && takes_precedence(key, &entry.value, held)
+                && takes_precedence(key, &entry.value, listed.get(key))
+            {
+                self.values.insert(Arc::clone(key), entry.clone());
             }
         }
-        let doubts = other.doubted.iter();
-        let doubts = doubts.filter(|(key, of)| !own.covers(**of) && !self.settled.contains(*key));
-        let doubts = doubts.map(|(key, of)| (Arc::clone(key), *of));
-        self.doubted.extend(doubts.collect::<Vec<(Key, Revision)>>());
-        self.context = own.joined(theirs);
-        self.since = self.since.into_iter().chain(other.since).min();
+        let additions = other.departed.iter();
+        let additions = additions.filter(|(key, of)| !own.covers(**of) && !self.reported.contains(*key));
+        let additions = additions.map(|(key, of)| (Arc::clone(key), *of));
+        self.departed.extend(additions.collect::<Vec<(Key, Revision)>>());
+        self.history = own.merged(theirs);
+        self.entered_at = self.entered_at.into_iter().chain(other.entered_at).min();
     }
 
-    /// Drops what has had its time; returns the upstreams that are gone by it. The time runs
-    /// from when this was asked first.
+    /// Drops the values whose time is over; returns the upstreams that are gone as a result. The
+    /// time starts at the first call.
     pub fn expire(&mut self, now: Instant, times: RetentionTimes) -> Vec<Key> {
-        let age = now.saturating_duration_since(*self.since.get_or_insert(now));
+        let age = now.saturating_duration_since(*self.entered_at.get_or_insert(now));
         let (upstreams, evacuations) = (age >= times.upstream, age >= times.operator);
-        let mut gone = Vec::new();
+        let mut removed = Vec::new();
         if upstreams {
-            self.doubted.clear();
-            gone.extend(self.kept.keys().filter(|key| is_upstream(key)).map(Arc::clone));
+            self.departed.clear();
+            removed.extend(self.values.keys().filter(|key| is_upstream(key)).map(Arc::clone));
         }
-        self.kept.retain(|key, _| !(upstreams && is_upstream(key) || evacuations && is_evacuation(key)));
+        self.values.retain(|key, _| !(upstreams && is_upstream(key) || evacuations && is_evacuation(key)));
         if upstreams && evacuations {
-            self.settled.clear();
+            self.reported.clear();
         }
-        gone
+        removed
     }
 
-    /// Lets its time begin anew: nobody could write up to now.
-    pub fn postpone(&mut self, now: Instant) {
-        self.since = Some(now);
+    /// Restarts the time, since nobody could write until now.
+    pub fn restart_timer(&mut self, now: Instant) {
+        self.entered_at = Some(now);
     }
 
-    /// Returns when something will have had its time; none where all that is left stays
-    /// until it is written again.
+    /// Returns when the next value expires. `None` if all that is left stays until it is written
+    /// again.
     #[must_use]
     pub fn next_expiry(&self, times: RetentionTimes) -> Option<Instant> {
-        let since = self.since?;
-        let upstreams = !self.doubted.is_empty() || self.kept.keys().any(is_upstream);
-        let evacuations = self.kept.keys().any(is_evacuation);
+        let since = self.entered_at?;
+        let upstreams = !self.departed.is_empty() || self.values.keys().any(is_upstream);
+        let evacuations = self.values.keys().any(is_evacuation);
         let of_upstreams = upstreams.then(|| since + times.upstream);
         of_upstreams.into_iter().chain(evacuations.then(|| since + times.operator)).min()
     }
 
-    /// Returns what others are told.
+    /// Returns the report that is sent to other daemons.
     #[must_use]
     pub fn report(&self, now: Instant) -> RetainedReport {
-        let age = self.since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
+        let age = self.entered_at.map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
         RetainedReport {
             era: self.era,
-            context: self.context,
-            kept: self.kept.clone(),
-            doubted: self.doubted.clone(),
+            history: self.history,
+            values: self.values.clone(),
+            departed: self.departed.clone(),
             age: super::time::millis(age),
         }
     }
 }
 
 impl RetainedReport {
-    /// Returns what another daemon carries, as it was heard at `now`.
+    /// Converts a report that was received at `now`.
     #[must_use]
-    pub fn heard(self, now: Instant) -> Retained {
+    pub fn into_retained(self, now: Instant) -> Retained {
         let since = now.checked_sub(Duration::from_millis(self.age)).unwrap_or(now);
-        let Self { era, context, kept, doubted, .. } = self;
-        Retained { era, context, kept, doubted, since: Some(since), settled: BTreeSet::new() }
+        let Self { era, history, values, departed, .. } = self;
+        Retained { era, history, values, departed, entered_at: Some(since), reported: BTreeSet::new() }
     }
 }
 
-/// Says whether what is held under a key goes before what a copy says.
-fn outweighs(key: &Key, held: &str, listed: Option<&Arc<str>>) -> bool {
-    // Most are the same, and none of those is parsed: there may be 80,000 upstreams.
+/// Returns whether the value held under a key takes precedence over the copy's.
+fn takes_precedence(key: &Key, held: &str, listed: Option<&Arc<str>>) -> bool {
+    // Most values are equal; skipping those avoids parsing up to 80,000 upstreams.
     if listed.is_some_and(|listed| **listed == *held) {
         return false;
     }
@@ -319,8 +338,8 @@
     is_upstream(key) && listed.is_none_or(|listed| is_newer_upstream(held, listed))
 }
 
-/// Says whether an upstream's entry is a later one than another: of a later start, or of
-/// one that has begun to leave.
+/// Returns whether `held` is a later entry of an upstream than `listed`: of a later start, or of an
+/// upstream that has begun to leave.
 fn is_newer_upstream(held: &str, listed: &str) -> bool {
     let read = |text: &str| serde_json::from_str::<Upstream>(text).ok();
     let (Some(held), Some(listed)) = (read(held), read(listed)) else { return false };
--- a/crates/harefield/src/domain/revision.rs
+++ b/crates/harefield/src/domain/revision.rs
@@ -1,4 +1,4 @@
-//! The order of what a platform confirmed, also where it comes back from a copy.
+//! The order of the platform's changes, even across restores from a backup copy.
 
 use std::fmt;
 use std::str::FromStr;
@@ -12,18 +12,18 @@
 
 use super::ids::Era;
 
-/// Orders the changes of one platform space: by era, then by the platform's counter.
+/// Orders the changes of one space of the platform: by era, then by the platform's counter.
 ///
-/// A platform that comes back from a copy counts on from there and gives numbers out again,
-/// in its next era. Compared without their eras, a number that was held hid every change up
-/// to it: four changes were confirmed and in force nowhere for up to 5 s.
+/// A platform that was restored from a copy continues to count from there and reuses numbers, in
+/// its next era. When numbers were compared without eras, a held number hid every change up to it:
+/// four changes were confirmed but in force nowhere for up to 5 s.
 ///
-/// It is written as its number in the first era, and as a text `ERA.NUMBER` after it.
+/// It is written as its number in the first era, and as a text `ERA.NUMBER` afterwards.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Revision {
-    /// How often the platform had come back from a copy; 0 of platforms that never do.
+    /// How often the platform had been restored from a copy; 0 for platforms that never are.
     pub era: Era,
-    /// The platform's counter; it rises with each change of an era.
+    /// The platform's counter, which increases with every change within an era.
     pub number: u64,
 }
 
@@ -34,7 +34,7 @@
         Self { era, number }
     }
 
-    /// Creates a revision of a platform that never comes back from a copy.
+    /// Creates a revision in era 0, for a platform that was never restored from a copy.
     #[must_use]
     pub const fn first(number: u64) -> Self {
         Self::new(0, number)
@@ -66,14 +66,14 @@
 
 impl<'de> Deserialize<'de> for Revision {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_any(Reading)
+        deserializer.deserialize_any(RevisionVisitor)
     }
 }
 
 /// Reads a number, or a text of an era and a number.
-struct Reading;
+struct RevisionVisitor;
 
-impl Visitor<'_> for Reading {
+impl Visitor<'_> for RevisionVisitor {
     type Value = Revision;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/harefield/src/domain/routing/choice.rs
+++ b/crates/harefield/src/domain/routing/choice.rs
@@ -12,7 +12,7 @@
 use crate::domain::ids::UpstreamId;
 use crate::domain::ids::Version;
 use crate::domain::outcome::Gap;
-use crate::domain::places::Distance;
+use crate::domain::topology::Distance;
 
 /// A replica chosen, with every candidate's score.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/harefield/src/domain/routing/router.rs
+++ b/crates/harefield/src/domain/routing/router.rs
@@ -29,8 +29,8 @@
 use crate::domain::ids::UpstreamId;
 use crate::domain::ids::Version;
 use crate::domain::lease::Lease;
-use crate::domain::places::Places;
 use crate::domain::resources::Upstream;
+use crate::domain::topology::Topology;
 use crate::domain::view::OwnUpstream;
 use crate::domain::view::View;
 
@@ -41,7 +41,7 @@
     pub(super) paces: HashMap<Arc<str>, Pace>,
     pub(super) policy: Policy,
     budgets: Budgets,
-    pub(super) places: Places,
+    pub(super) places: Topology,
     pub(super) relays: Relays,
     /// How many daemons share connections at the least.
     least_sharers: u32,
@@ -94,7 +94,7 @@
             paces: HashMap::new(),
             policy,
             budgets,
-            places: Places::default(),
+            places: Topology::default(),
             relays: Relays::default(),
             least_sharers: 1,
             cells: Cells::default(),
@@ -108,7 +108,7 @@
 
     /// Takes where this daemon and the availability zones are.
     #[must_use]
-    pub fn at(mut self, places: Places) -> Self {
+    pub fn at(mut self, places: Topology) -> Self {
         self.places = places;
         self
     }
--- a/crates/harefield/src/domain/routing/searcher.rs
+++ b/crates/harefield/src/domain/routing/searcher.rs
@@ -16,8 +16,8 @@
 use crate::domain::cold::Spell;
 use crate::domain::ids::Version;
 use crate::domain::outcome::Gap;
-use crate::domain::places::Distance;
 use crate::domain::resources::Upstream;
+use crate::domain::topology::Distance;
 
 /// One upstream, as one worker sees it.
 #[derive(Clone, Debug)]
@@ -178,7 +178,7 @@
 
     /// Takes the upstream's word, heard directly or through a peer.
     pub fn hear(&mut self, word: &Announcement) -> bool {
-        self.word.join(word)
+        self.word.merge(word)
     }
 
     /// Takes how many idle connections are open.
--- a/crates/harefield/src/domain/routing/zones.rs
+++ b/crates/harefield/src/domain/routing/zones.rs
@@ -14,13 +14,13 @@
 use super::sharing::Carrier;
 use crate::domain::ids::HostId;
 use crate::domain::ids::UpstreamId;
+use crate::domain::membership::MemberRow;
 use crate::domain::membership::PeerState;
-use crate::domain::membership::Row;
-use crate::domain::places::Distance;
+use crate::domain::topology::Distance;
 
 impl Router {
     /// Takes the other daemons as they are seen now; they are handed groups.
-    pub fn see_daemons<'a>(&mut self, rows: impl IntoIterator<Item = &'a Row>) {
+    pub fn see_daemons<'a>(&mut self, rows: impl IntoIterator<Item = &'a MemberRow>) {
         let places = &self.places;
         let seen = rows.into_iter().map(|row| Seen {
             host: Arc::clone(&row.host),
--- a/crates/harefield/src/domain/snapshot.rs
+++ b/crates/harefield/src/domain/snapshot.rs
@@ -1,4 +1,4 @@
-//! The choice of the one snapshot that an answer is drawn from.
+//! The choice of the one snapshot that an answer is computed from.
 
 use std::sync::Arc;
 
@@ -7,36 +7,36 @@
 use super::ratio;
 use super::view::Plan;
 
-/// Chooses the newest snapshot that every shard can be asked at; where there
-/// is none, the one that most shards can be asked at.
+/// Chooses the newest snapshot for which every shard has a usable replica. If there is none,
+/// chooses the one that covers the most shards.
 ///
-/// `usable` says whether an upstream may be asked at a version. `plans` are in
-/// order of age, newest first.
+/// `usable` returns whether an upstream may be queried at a version. `plans` are ordered from
+/// newest to oldest.
 pub fn choose<F>(plans: &[Arc<Plan>], usable: F) -> Option<&Arc<Plan>>
 where
     F: Fn(&UpstreamId, Version) -> bool,
 {
     let mut best: Option<(f64, &Arc<Plan>)> = None;
     for plan in plans {
-        let part = covered(plan, &usable);
-        if part >= 1.0 {
+        let share = coverage(plan, &usable);
+        if share >= 1.0 {
             return Some(plan);
         }
-        if best.is_none_or(|(most, _)| part > most) {
-            best = Some((part, plan));
+        if best.is_none_or(|(highest, _)| share > highest) {
+            best = Some((share, plan));
         }
     }
     best.map(|(_, plan)| plan)
 }
 
-fn covered<F>(plan: &Plan, usable: &F) -> f64
+fn coverage<F>(plan: &Plan, usable: &F) -> f64
 where
     F: Fn(&UpstreamId, Version) -> bool,
 {
-    let can = plan
+    let usable_shards = plan
         .shards
         .iter()
         .filter(|shard| shard.replicas.iter().any(|replica| usable(replica, plan.version)))
         .count();
-    ratio(can, plan.shards.len())
+    ratio(usable_shards, plan.shards.len())
 }
--- a/crates/harefield/src/domain/places.rs
+++ b/crates/harefield/src/domain/topology.rs
@@ -1,10 +1,10 @@
-//! Where upstreams stand, as seen from this daemon.
+//! The location of upstreams relative to this daemon.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// How far an upstream is; nearer ones go first, since bytes between regions
-/// are dear and take long.
+/// The distance of an upstream. Nearer ones are preferred, since bytes between regions are
+/// expensive and slow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
     /// In the same availability zone, or not known to be elsewhere.
@@ -16,23 +16,23 @@
     Far,
 }
 
-/// The daemon's own place, and the regions of all availability zones.
+/// The zone of this daemon, and the regions of all availability zones.
 #[derive(Clone, Debug, Default)]
-pub struct Places {
-    /// The daemon's availability zone; where it is empty all is near.
+pub struct Topology {
+    /// The availability zone of the daemon. If it is empty, everything counts as near.
     pub zone: Arc<str>,
     /// The region of each availability zone.
     pub regions: BTreeMap<Arc<str>, Arc<str>>,
 }
 
-impl Places {
-    /// Returns the region of an availability zone; the zone itself where nobody says.
+impl Topology {
+    /// Returns the region of an availability zone, or the zone itself if its region is unknown.
     #[must_use]
     pub fn region_of<'a>(&'a self, zone: &'a Arc<str>) -> &'a Arc<str> {
         self.regions.get(zone).unwrap_or(zone)
     }
 
-    /// Returns how far an availability zone is.
+    /// Returns the distance of an availability zone.
     #[must_use]
     pub fn distance(&self, zone: &str) -> Distance {
         if self.zone.is_empty() || self.regions.is_empty() || *self.zone == *zone {
--- a/crates/harefield/src/domain/view/builder.rs
+++ b/crates/harefield/src/domain/view/builder.rs
@@ -110,7 +110,7 @@
                 let shards = service.shards.keys();
                 let holders = shards.map(|shard| set.holders.get(&shard_id(name, shard)).map(Arc::clone));
                 sources.holders.extend(holders);
-                if lookup.residency().is_bound() {
+                if lookup.residency().is_restricted() {
                     for shard in service.shards.keys() {
                         sources.zones.extend(self.zones_of(&shard_id(name, shard)));
                     }
@@ -140,7 +140,7 @@
     fn plans_of(&self, lookup: &Lookup, member: bool) -> Option<Vec<Arc<Plan>>> {
         let set = self.sources.set;
         let (index_name, index) = set.indexes.get_key_value(lookup.index.as_str())?;
-        let bound = lookup.residency().is_bound();
+        let bound = lookup.residency().is_restricted();
         let whole = lookup.services.is_empty() && !bound;
         if let Some(plans) = self.plans.borrow().get(lookup.index.as_str()).filter(|_| whole) {
             return Some(plans.clone());
--- a/crates/harefield/src/domain/view/mod.rs
+++ b/crates/harefield/src/domain/view/mod.rs
@@ -33,11 +33,11 @@
 use super::ids::Edition;
 use super::ids::HostId;
 use super::ids::UpstreamId;
-use super::places::Places;
 use super::resources::Bounds;
 use super::resources::ResourceSet;
 use super::resources::Upstream;
 use super::revision::Revision;
+use super::topology::Topology;
 
 /// An upstream that this daemon may dial.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -72,7 +72,7 @@
     /// How large cells may be.
     pub size: CellSize,
     /// Which region each availability zone is in.
-    pub places: &'a Places,
+    pub places: &'a Topology,
     /// How far above what cold upstreams bear the fleet may go.
     pub cold: Bound,
     /// Whether lookups that are not public ask for a key also where no account is published.
--- a/crates/harefield/src/engine/attempt.rs
+++ b/crates/harefield/src/engine/attempt.rs
@@ -41,8 +41,8 @@
 use crate::ports::Call;
 use crate::ports::CallEnd;
 use crate::ports::Clock;
+use crate::ports::Endpoint;
 use crate::ports::Peers;
-use crate::ports::Place;
 use crate::ports::Upstreams;
 use crate::telemetry::Batch;
 use crate::telemetry::Trace;
@@ -267,7 +267,7 @@
             };
         };
         let call = Call {
-            place: Place { upstream, address },
+            endpoint: Endpoint { upstream, address },
             share,
             echo: attempt.echo(),
             remaining: attempt.job.deadline.saturating_duration_since(now),
@@ -285,7 +285,7 @@
             let takes = router.searcher(&attempt.send.upstream).is_some_and(|s| s.takes_work().is_ok());
             now < attempt.job.deadline && !withheld && takes && router.lease().held(now)
         };
-        self.ports.upstreams.ask(call, permit).await
+        self.ports.upstreams.send(call, permit).await
     }
 
     /// Takes what an attempt showed into the routing, and tells other daemons
--- a/crates/harefield/src/engine/caution.rs
+++ b/crates/harefield/src/engine/caution.rs
@@ -44,9 +44,9 @@
 use crate::domain::work::Work;
 use crate::ports::CallEnd;
 use crate::ports::Clock;
+use crate::ports::Endpoint;
 use crate::ports::PeerError;
 use crate::ports::Peers;
-use crate::ports::Place;
 use crate::ports::Upstreams;
 use crate::telemetry::Batch;
 use crate::telemetry::Trace;
@@ -184,7 +184,7 @@
         let found = self.router.borrow().searcher(upstream).map(|s| (s.spec().address, s.share()));
         // One that the configuration no longer names has ended, or is about to.
         let Some((address, share)) = found else { return true };
-        let place = Place { upstream: Arc::clone(upstream), address };
+        let place = Endpoint { upstream: Arc::clone(upstream), address };
         self.ports.upstreams.has_ended(&place, share).await
     }
 
--- a/crates/harefield/src/engine/find.rs
+++ b/crates/harefield/src/engine/find.rs
@@ -11,7 +11,7 @@
 use crate::domain::admission::Arrival;
 use crate::domain::code::Code;
 use crate::domain::residency::Regions;
-use crate::domain::residency::both;
+use crate::domain::residency::intersect;
 use crate::domain::resources::Lookup;
 use crate::domain::view::LookupPlan;
 use crate::domain::work::Work;
@@ -145,7 +145,7 @@
     /// Returns for how long what is read now may have waited here.
     pub(super) fn held_up(&self) -> Duration {
         let now = self.ports.clock.now();
-        self.router.borrow().lease().held_up(now)
+        self.router.borrow().lease().queueing_delay(now)
     }
 
     /// Returns within which time an answer with enough shards is given to a caller that
@@ -177,8 +177,8 @@
     fn used_time(&self, name: &Arc<str>, left: Duration) -> Duration {
         let mut time_limits = self.time_limits.borrow_mut();
         let usual = time_limits.entry(Arc::clone(name)).or_default();
-        usual.take(left);
-        usual.usual().saturating_sub(left)
+        usual.record(left);
+        usual.typical().saturating_sub(left)
     }
 
     /// Waits for the lease after a pause; a once-only request does not wait,
@@ -200,7 +200,7 @@
 
 /// Returns the regions in which an asker's requests for a lookup may be served.
 fn regions_of(plan: &LookupPlan, asker: &Asker) -> Result<Regions, Code> {
-    both(&plan.lookup.regions, &asker.regions).ok_or(Code::NoRegion)
+    intersect(&plan.lookup.regions, &asker.regions).ok_or(Code::NoRegion)
 }
 
 /// Within which time an answer is given that has enough shards.
--- a/crates/harefield/src/engine/group.rs
+++ b/crates/harefield/src/engine/group.rs
@@ -19,9 +19,9 @@
 use crate::domain::fanout::Rules;
 use crate::domain::ids::UpstreamId;
 use crate::domain::outcome::Gap;
-use crate::domain::query::ByteQuery;
+use crate::domain::query::OpaqueQuery;
 use crate::domain::query::Query;
-use crate::domain::reply::ByteReply;
+use crate::domain::reply::OpaqueReply;
 use crate::domain::reply::Reply;
 use crate::domain::routing::RelayVerdict;
 use crate::domain::time::micros;
@@ -82,8 +82,8 @@
     fn group_message(&self, job: &Job, plan: &Plan, rules: &Rules, hand: &Hand) -> Group {
         let left = job.deadline.saturating_duration_since(self.ports.clock.now());
         let query = match &job.query {
-            Query::Bytes(query) => (**query).clone(),
-            Query::Json(_) => ByteQuery::default(),
+            Query::Opaque(query) => (**query).clone(),
+            Query::Json(_) => OpaqueQuery::default(),
         };
         Group {
             from: Arc::clone(&self.settings.host),
@@ -171,13 +171,13 @@
     for part in reply.parts {
         let Some(slot) = all.get_mut(part.at).filter(|slot| slot.is_none()) else { continue };
         let body = records.take().unwrap_or_default();
-        let reply = ByteReply {
+        let reply = OpaqueReply {
             status: 200,
             body: body.into(),
             signature: Some(part.signature),
             ..Default::default()
         };
-        *slot = Some(Brought::Part(Reply::Bytes(Arc::new(reply))));
+        *slot = Some(Brought::Part(Reply::Opaque(Arc::new(reply))));
     }
     for gap in reply.missing {
         let Some(slot) = all.get_mut(gap.at).filter(|slot| slot.is_none()) else { continue };
--- a/crates/harefield/src/engine/handing.rs
+++ b/crates/harefield/src/engine/handing.rs
@@ -174,7 +174,7 @@
     ) -> Forward {
         let now = self.ports.clock.now();
         let opaque = match &request.query {
-            Query::Bytes(query) => Some((**query).clone()),
+            Query::Opaque(query) => Some((**query).clone()),
             Query::Json(_) => None,
         };
         let back = self.time_back(host);
--- a/crates/harefield/src/engine/members.rs
+++ b/crates/harefield/src/engine/members.rs
@@ -8,10 +8,10 @@
 use super::find::Found;
 use super::worker::Worker;
 use crate::domain::ids::HostId;
+use crate::domain::membership::MemberRow;
 use crate::domain::membership::PeerState;
-use crate::domain::membership::Row;
-use crate::domain::places::Distance;
 use crate::domain::residency::Residency;
+use crate::domain::topology::Distance;
 use crate::ports::Clock;
 use crate::ports::Peers;
 use crate::ports::Upstreams;
@@ -84,7 +84,7 @@
         }
     }
 
-    fn distance_to(&self, row: Option<&Row>) -> Distance {
+    fn distance_to(&self, row: Option<&MemberRow>) -> Distance {
         row.map_or(Distance::Far, |row| self.settings.places.distance(&row.zone))
     }
 
@@ -101,6 +101,6 @@
     }
 }
 
-fn is_live(row: Option<&Row>) -> bool {
+fn is_live(row: Option<&MemberRow>) -> bool {
     row.is_none_or(|row| row.state == PeerState::Live)
 }
--- a/crates/harefield/src/engine/message.rs
+++ b/crates/harefield/src/engine/message.rs
@@ -12,7 +12,7 @@
 use crate::domain::ids::Edition;
 use crate::domain::ids::HostId;
 use crate::domain::key::Credential;
-use crate::domain::membership::Row;
+use crate::domain::membership::MemberRow;
 use crate::domain::query::Query;
 use crate::domain::suspects::Suspect;
 use crate::domain::view::View;
@@ -86,13 +86,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct PeerView {
     /// Every known daemon, in the order of their names.
-    pub rows: Vec<Row>,
+    pub rows: Vec<MemberRow>,
 }
 
 impl PeerView {
     /// Returns what is known of a daemon.
     #[must_use]
-    pub fn row(&self, host: &HostId) -> Option<&Row> {
+    pub fn row(&self, host: &HostId) -> Option<&MemberRow> {
         let at = self.rows.binary_search_by(|row| row.host.cmp(host)).ok()?;
         self.rows.get(at)
     }
--- a/crates/harefield/src/engine/once.rs
+++ b/crates/harefield/src/engine/once.rs
@@ -14,9 +14,9 @@
 use crate::domain::code::Code;
 use crate::domain::event::Event;
 use crate::domain::event::Sink;
-use crate::domain::once::Begin;
 use crate::domain::once::Binding;
 use crate::domain::once::Ledger;
+use crate::domain::once::SubmitAction;
 use crate::domain::once::Ticket;
 use crate::domain::outcome::Answer;
 use crate::domain::outcome::Outcome;
@@ -101,19 +101,19 @@
         }
         let binding = Binding::new(&request.lookup, request.query.json());
         loop {
-            let begin = self.lock_ledger().begin(ticket, binding, self.ports.clock.now());
+            let begin = self.lock_ledger().submit(ticket, binding, self.ports.clock.now());
             match begin {
-                Begin::Run => return self.run_once(request, found, ticket.number, trace).await,
-                Begin::Replay(answer) => {
+                SubmitAction::Run => return self.run_once(request, found, ticket.number, trace).await,
+                SubmitAction::Replay(answer) => {
                     trace.emit(Event::TicketReplayed { ticket: ticket.to_string() });
                     return *answer;
                 }
-                Begin::Refuse(Outcome::NotRun, code) => return refuse(trace, code, Duration::ZERO),
-                Begin::Refuse(_, code) => return may_have_run(trace, code),
-                Begin::Wait if self.ports.clock.now() >= found.deadline => {
+                SubmitAction::Refuse(Outcome::NotRun, code) => return refuse(trace, code, Duration::ZERO),
+                SubmitAction::Refuse(_, code) => return may_have_run(trace, code),
+                SubmitAction::Wait if self.ports.clock.now() >= found.deadline => {
                     return may_have_run(trace, Code::DeadlinePassed);
                 }
-                Begin::Wait => self.ports.clock.sleep(POLL_EVERY).await,
+                SubmitAction::Wait => self.ports.clock.sleep(POLL_EVERY).await,
             }
         }
     }
--- a/crates/harefield/src/engine/permits.rs
+++ b/crates/harefield/src/engine/permits.rs
@@ -19,13 +19,13 @@
 use crate::domain::accounts::Reserve;
 use crate::domain::code::Code;
 use crate::domain::ids::HostId;
-use crate::domain::places::Distance;
 use crate::domain::time::millis;
+use crate::domain::topology::Distance;
 use crate::ports::Clock;
 use crate::ports::PeerError;
 use crate::ports::Peers;
-use crate::ports::PermitAsk;
 use crate::ports::PermitReply;
+use crate::ports::PermitRequest;
 use crate::ports::Upstreams;
 
 /// How long a holder may take to answer; far more than a round trip between regions.
@@ -136,7 +136,7 @@
         let holder = self.holders.borrow().holder(&slot, now);
         let Some(host) = holder.filter(|host| self.may_ask(host, now)) else { return Asked::NoAnswer };
         let wanted = self.with_reserve(client, |reserve| reserve.wanted());
-        let ask = PermitAsk { account: slot.0, part, wanted };
+        let ask = PermitRequest { account: slot.0, part, wanted };
         let reply = if host == self.settings.host {
             self.grant_own(&ask, limit)
         } else {
@@ -175,7 +175,7 @@
     }
 
     /// Answers another daemon that wants permits.
-    pub fn grant(&self, ask: &PermitAsk) -> PermitReply {
+    pub fn grant(&self, ask: &PermitRequest) -> PermitReply {
         let view = self.view.borrow();
         let Some(client) = view.directory.client(&ask.account) else { return PermitReply::NotHeld };
         let Some(limit) = FleetLimit::of(&client.account, &self.settings.overage) else {
@@ -190,7 +190,7 @@
     }
 
     /// Grants permits from a part that this daemon holds.
-    fn grant_own(&self, ask: &PermitAsk, limit: &FleetLimit) -> PermitReply {
+    fn grant_own(&self, ask: &PermitRequest, limit: &FleetLimit) -> PermitReply {
         let now = self.ports.clock.now();
         let parts = limit.parts(self.holders.borrow().wanted());
         if ask.part >= parts || self.unsettled_for(now).is_some() {
--- a/crates/harefield/src/engine/relay.rs
+++ b/crates/harefield/src/engine/relay.rs
@@ -49,7 +49,7 @@
         self.receive(group.stamp);
         let mut trace = self.request_trace(Some(&group.request));
         self.hear_reports(&group.suspects);
-        let query = Query::Bytes(Arc::new(std::mem::take(&mut group.query)));
+        let query = Query::Opaque(Arc::new(std::mem::take(&mut group.query)));
         let work = Work::new(&group.lookup, group.asker.account.as_ref(), &query);
         trace.emit(Event::GroupTaken {
             from: Arc::clone(&group.from),
@@ -138,7 +138,7 @@
     /// Leaves the replicas out of a plan that stand in other regions than those named.
     pub(super) fn narrow(&self, plan: Plan, regions: &[Arc<str>]) -> Plan {
         let residency = Residency::new(regions);
-        if !residency.is_bound() {
+        if !residency.is_restricted() {
             return plan;
         }
         let router = self.router.borrow();
@@ -153,11 +153,11 @@
         most: usize,
         took: Duration,
     ) -> GroupReply {
-        let bodies = finished.parts.iter().filter_map(|part| part.reply.bytes()).map(|reply| &*reply.body);
+        let bodies = finished.parts.iter().filter_map(|part| part.reply.opaque()).map(|reply| &*reply.body);
         let records = greatest(bodies, most);
         let place = |shard: &ShardId| shards.iter().position(|name| name == shard);
         let parts = finished.parts.iter().filter_map(|part| {
-            let signature = part.reply.bytes()?.signature.as_ref().map(Arc::clone)?;
+            let signature = part.reply.opaque()?.signature.as_ref().map(Arc::clone)?;
             Some(GroupPart { at: place(&part.shard)?, signature })
         });
         let missing = finished.coverage.missing.iter().zip(&finished.sent).filter_map(|(missing, sent)| {
--- a/crates/harefield/src/engine/room.rs
+++ b/crates/harefield/src/engine/room.rs
@@ -5,7 +5,7 @@
 
 use super::find::Found;
 use super::worker::Worker;
-use crate::domain::buffers::Use;
+use crate::domain::buffers::Purpose;
 use crate::domain::fanout::Finished;
 use crate::memory::Held;
 use crate::ports::Clock;
@@ -32,13 +32,13 @@
         if expected < LEAST_BOOKED {
             return Ok(None);
         }
-        let booked = self.memory.take_soon(Use::Expected, expected).await;
+        let booked = self.memory.take_soon(Purpose::Expected, expected).await;
         booked.map(Some).ok_or_else(|| self.memory.come_back().unwrap_or(COME_BACK))
     }
 
     /// Learns how much the replies to a request came to.
     pub(super) fn learn_size(&self, found: &Found, finished: &Finished) {
-        let replies = finished.parts.iter().filter_map(|part| part.reply.bytes());
+        let replies = finished.parts.iter().filter_map(|part| part.reply.opaque());
         let total: usize = replies.map(|reply| reply.body.len()).sum();
         let mut sizes = self.sizes.borrow_mut();
         let known = sizes.get(&found.plan.name).copied().unwrap_or(0);
--- a/crates/harefield/src/engine/run.rs
+++ b/crates/harefield/src/engine/run.rs
@@ -150,7 +150,7 @@
         if let Some(answer) = self.caution(request, found, trace).await {
             return answer;
         }
-        if found.plan.lookup.repeatable || matches!(request.query, Query::Bytes(_)) {
+        if found.plan.lookup.repeatable || matches!(request.query, Query::Opaque(_)) {
             return self.run_or_forward(request, found, trace).await;
         }
         self.once(request, found, trace).await
@@ -355,7 +355,7 @@
 /// Says whether a request's shards may be handed on in groups: their records are
 /// merged on the way, and what is lost with a daemon may be asked again.
 fn is_mergeable(job: &Job) -> bool {
-    job.merge.is_some() && !job.once && matches!(job.query, Query::Bytes(_))
+    job.merge.is_some() && !job.once && matches!(job.query, Query::Opaque(_))
 }
 
 pub(super) fn refuse<C: Clock>(trace: &Trace<C>, code: Code, wait: Duration) -> Answer {
@@ -381,7 +381,7 @@
 
 pub(super) fn answer<C: Clock>(trace: &Trace<C>, plan: &Plan, finished: Finished, found: &Found) -> Answer {
     let request = trace.request().map_or("", |id| id);
-    let mut answer = Answer::bare(request, finished.outcome, finished.code);
+    let mut answer = Answer::empty(request, finished.outcome, finished.code);
     answer.snapshot = Some(SnapshotName { index: plan.index.to_string(), version: plan.version });
     answer.coverage = finished.coverage;
     answer.results = finished.parts;
--- a/crates/harefield/src/engine/warm.rs
+++ b/crates/harefield/src/engine/warm.rs
@@ -10,8 +10,8 @@
 use super::worker::Worker;
 use crate::domain::ids::UpstreamId;
 use crate::ports::Clock;
+use crate::ports::Endpoint;
 use crate::ports::Peers;
-use crate::ports::Place;
 use crate::ports::Upstreams;
 
 /// How long a new worker waits first: until it knows most of the fleet it takes
@@ -69,9 +69,9 @@
             }
             let address = searcher.spec().address;
             let want = router.ready_connections(name, now);
-            (Place { upstream: Arc::clone(name), address }, searcher.share(), want)
+            (Endpoint { upstream: Arc::clone(name), address }, searcher.share(), want)
         };
-        let opening = self.ports.upstreams.warm(&place, share, want);
+        let opening = self.ports.upstreams.preconnect(&place, share, want);
         let idle = self.ports.upstreams.idle(name);
         self.router.borrow_mut().set_idle(name, idle);
         opening
