--- a/crates/harefield/src/engine/worker.rs
+++ b/crates/harefield/src/engine/worker.rs
@@ -38,8 +38,7 @@
 use crate::domain::ids::RequestId;
 use crate::domain::ids::WorkId;
 use crate::domain::once::Ledger;
-use crate::domain::places::Places;
-use crate::domain::recent::Recent;
+use crate::domain::recent::RecentTimes;
 use crate::domain::resources::Bounds;
 use crate::domain::routing::Budget;
 use crate::domain::routing::Budgets;
@@ -50,6 +49,7 @@
 use crate::domain::routing::Router;
 use crate::domain::routing::rerun_part;
 use crate::domain::suspects::Suspects;
+use crate::domain::topology::Topology;
 use crate::domain::view::View;
 use crate::memory::Memory;
 use crate::ports::Clock;
@@ -87,7 +87,7 @@
     /// How many daemons are taken to share it before any is known.
     pub daemons: u32,
     /// Where this daemon and the availability zones are.
-    pub places: Places,
+    pub places: Topology,
     /// What is kept of an objective for the answer's way back.
     pub margin: Duration,
     /// After how many times the slow pace a hedge is due; none for no hedges.
@@ -157,7 +157,7 @@
     /// Whose turn it is in each divided lookup.
     pub(super) turns: RefCell<HashMap<Arc<str>, Vec<i64>>>,
     /// The time that requests of each lookup usually come with.
-    pub(super) time_limits: RefCell<HashMap<Arc<str>, Recent>>,
+    pub(super) time_limits: RefCell<HashMap<Arc<str>, RecentTimes>>,
     /// The newest edition that other daemons ran requests of this one under, and when
     /// that was last seen.
     pub(super) seen_edition: Cell<Option<(Edition, Instant)>>,
--- a/crates/harefield/src/memory/held.rs
+++ b/crates/harefield/src/memory/held.rs
@@ -3,13 +3,13 @@
 use bytes::Bytes;
 
 use super::Memory;
-use crate::domain::buffers::Use;
+use crate::domain::buffers::Purpose;
 
 /// Bytes that are held, until dropped.
 #[derive(Debug)]
 pub struct Held {
     memory: Memory,
-    purpose: Use,
+    purpose: Purpose,
     bytes: usize,
 }
 
@@ -26,7 +26,7 @@
 }
 
 impl Held {
-    pub(super) fn new(memory: Memory, purpose: Use, bytes: usize) -> Self {
+    pub(super) fn new(memory: Memory, purpose: Purpose, bytes: usize) -> Self {
         Self { memory, purpose, bytes }
     }
 
--- a/crates/harefield/src/memory/mod.rs
+++ b/crates/harefield/src/memory/mod.rs
@@ -21,7 +21,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 
 use crate::domain::buffers::Buffers;
-use crate::domain::buffers::Use;
+use crate::domain::buffers::Purpose;
 use crate::domain::buffers::WriterId;
 
 pub use self::held::Held;
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Meters {
     /// Bytes held, by use.
-    pub held: BTreeMap<Use, Gauge>,
+    pub held: BTreeMap<Purpose, Gauge>,
     /// Connections ended, since their peers took nothing for long.
     pub stalled: Counter,
     /// Connections ended to make room.
@@ -94,13 +94,13 @@
 
     /// Takes bytes in where they fit.
     #[must_use]
-    pub fn take(&self, held_for: Use, bytes: usize) -> Option<Held> {
-        let taken = self.lock().buffers.take(held_for, bytes);
+    pub fn take(&self, held_for: Purpose, bytes: usize) -> Option<Held> {
+        let taken = self.lock().buffers.reserve(held_for, bytes);
         taken.then(|| Held::new(self.clone(), held_for, bytes))
     }
 
     /// Takes bytes in, ending connections whose peers do not read where that makes room.
-    pub async fn take_soon(&self, held_for: Use, bytes: usize) -> Option<Held> {
+    pub async fn take_soon(&self, held_for: Purpose, bytes: usize) -> Option<Held> {
         if let Some(held) = self.take(held_for, bytes) {
             return Some(held);
         }
@@ -119,7 +119,7 @@
 
     /// Counts bytes that are there already.
     #[must_use]
-    pub fn hold(&self, held_for: Use, bytes: usize) -> Held {
+    pub fn hold(&self, held_for: Purpose, bytes: usize) -> Held {
         self.lock().buffers.add(held_for, bytes);
         Held::new(self.clone(), held_for, bytes)
     }
@@ -127,13 +127,13 @@
     /// Returns when to come back where something did not fit.
     #[must_use]
     pub fn come_back(&self) -> Option<Duration> {
-        self.lock().buffers.next_end(self.shared.stall, Instant::now())
+        self.lock().buffers.next_eviction(self.shared.stall, Instant::now())
     }
 
     /// Ends connections so that so many bytes fit; returns whether that is enough.
     fn make_room(&self, bytes: usize, now: Instant) -> bool {
         let account = self.lock();
-        let ended = account.buffers.make_room(bytes, now);
+        let ended = account.buffers.pick_evictions(bytes, now);
         let endings: Vec<_> = ended.iter().filter_map(|id| account.writers.get(id)).map(Arc::clone).collect();
         drop(account);
         for ending in &endings {
--- a/crates/harefield/src/platform/callers.rs
+++ b/crates/harefield/src/platform/callers.rs
@@ -24,9 +24,9 @@
 use crate::domain::merge::greatest;
 use crate::domain::outcome::Answer;
 use crate::domain::outcome::Outcome;
-use crate::domain::query::ByteQuery;
+use crate::domain::query::OpaqueQuery;
 use crate::domain::query::Query;
-use crate::domain::reply::ByteReply;
+use crate::domain::reply::OpaqueReply;
 use crate::engine::LookupRequest;
 use crate::engine::Origin;
 use crate::engine::Worker;
@@ -73,7 +73,7 @@
     let target = head.uri.path_and_query().map_or("/", |target| target.as_str());
     let mut handed_on = headers::handed_on(&head.headers);
     let claims = headers::take_claims(&mut handed_on);
-    let query = ByteQuery {
+    let query = OpaqueQuery {
         id: id.as_str().into(),
         method: head.method.as_str().into(),
         target: target.into(),
@@ -84,7 +84,7 @@
     Ok(LookupRequest {
         request: Some(id),
         lookup: lookup.to_string(),
-        query: Query::Bytes(Arc::new(query)),
+        query: Query::Opaque(Arc::new(query)),
         ticket: None,
         limit,
         origin: Origin::Caller,
@@ -107,18 +107,18 @@
             None => answer
                 .results
                 .first()
-                .and_then(|part| part.reply.bytes())
+                .and_then(|part| part.reply.opaque())
                 .map_or_else(|| refuse(Code::Internal, None), |reply| handed_back(reply)),
         };
     }
-    match answer.failure.as_ref().and_then(|reply| reply.bytes()).filter(|_| answer.merge.is_none()) {
+    match answer.failure.as_ref().and_then(|reply| reply.opaque()).filter(|_| answer.merge.is_none()) {
         Some(failure) => handed_back(failure),
         None => refuse(answer.code, answer.retry_after),
     }
 }
 
 /// Hands an upstream's reply back as it came.
-fn handed_back(reply: &ByteReply) -> Response<Full<Bytes>> {
+fn handed_back(reply: &OpaqueReply) -> Response<Full<Bytes>> {
     let mut back = Response::new(http::bytes(reply.body.clone()));
     *back.status_mut() = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::BAD_GATEWAY);
     headers::put_all(back.headers_mut(), &reply.headers);
@@ -127,7 +127,7 @@
 
 /// Merges the shards' records into one answer.
 fn merged(answer: &Answer, most: usize) -> Response<Full<Bytes>> {
-    let replies = || answer.results.iter().filter_map(|part| part.reply.bytes());
+    let replies = || answer.results.iter().filter_map(|part| part.reply.opaque());
     let body = greatest(replies().map(|reply| &*reply.body), most);
     let signatures: Vec<&str> = replies().filter_map(|reply| reply.signature.as_deref()).collect();
     let mut back = Response::new(http::bytes(body));
--- a/crates/harefield/src/platform/upstreams.rs
+++ b/crates/harefield/src/platform/upstreams.rs
@@ -18,7 +18,7 @@
 use crate::domain::fanout::AttemptEnd;
 use crate::domain::outcome::Gap;
 use crate::domain::query::Query;
-use crate::domain::reply::ByteReply;
+use crate::domain::reply::OpaqueReply;
 use crate::domain::reply::Reply;
 use crate::domain::routing::Load;
 use crate::domain::routing::Report;
@@ -26,7 +26,7 @@
 use crate::domain::time::millis;
 use crate::ports::Call;
 use crate::ports::CallEnd;
-use crate::ports::Place;
+use crate::ports::Endpoint;
 
 /// The protocol of the users' upstreams.
 #[derive(Clone, Copy, Debug, Default)]
@@ -34,7 +34,7 @@
 
 impl Protocol for SignedProtocol {
     fn request(&self, call: &Call) -> Request<Full<Bytes>> {
-        let Query::Bytes(query) = &call.query else {
+        let Query::Opaque(query) = &call.query else {
             return Request::new(Full::default());
         };
         let mut request = Request::new(Full::new(query.body.clone()));
@@ -53,7 +53,7 @@
             headers::put(request.headers_mut(), headers::ACCOUNT, account);
         }
         headers::put(request.headers_mut(), headers::TIME_LEFT, &left.to_string());
-        headers::put(request.headers_mut(), headers::EXPECTED, &call.place.upstream);
+        headers::put(request.headers_mut(), headers::EXPECTED, &call.endpoint.upstream);
         request
     }
 
@@ -70,7 +70,7 @@
         if is_encoded(reply.headers()) || (answered && text(reply.headers(), headers::SIGNATURE).is_none()) {
             return Reading { end: lost(Gap::Failed, report), keep: false };
         }
-        let reply = Reply::Bytes(Arc::new(reply_of(reply)));
+        let reply = Reply::Opaque(Arc::new(reply_of(reply)));
         let (end, verdict) = if answered {
             (AttemptEnd::Answered(reply), Verdict::Good)
         } else {
@@ -84,7 +84,7 @@
     }
 
     /// Closing the connection is the only word for it; see `keep`.
-    fn cancel(&self, _place: &Place, _request: &str) -> Option<Request<Full<Bytes>>> {
+    fn cancel(&self, _place: &Endpoint, _request: &str) -> Option<Request<Full<Bytes>>> {
         None
     }
 }
@@ -102,7 +102,7 @@
 /// Says whether a reply is the one to this call: a late one to an earlier
 /// request carries that one's id.
 fn is_own(call: &Call, headers: &HeaderMap) -> bool {
-    let Query::Bytes(query) = &call.query else { return false };
+    let Query::Opaque(query) = &call.query else { return false };
     text(headers, headers::CALLER_ID).is_none_or(|id| *id == *query.id)
 }
 
@@ -134,9 +134,9 @@
     }
 }
 
-fn reply_of(reply: Response<Bytes>) -> ByteReply {
+fn reply_of(reply: Response<Bytes>) -> OpaqueReply {
     let signature = text(reply.headers(), headers::SIGNATURE).map(Arc::from);
     let handed_on = headers::handed_on(reply.headers());
     let status = reply.status().as_u16();
-    ByteReply { status, headers: handed_on, body: reply.into_body(), signature }
+    OpaqueReply { status, headers: handed_on, body: reply.into_body(), signature }
 }
--- a/crates/harefield/src/ports/clock.rs
+++ b/crates/harefield/src/ports/clock.rs
@@ -1,9 +1,9 @@
-//! The clock port.
+//! The port to the clock.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Tells the time and waits for it.
+/// Provides the time and timers.
 pub trait Clock: Copy + 'static {
     /// Returns the monotonic time.
     fn now(&self) -> Instant;
--- a/crates/harefield/src/ports/formats.rs
+++ b/crates/harefield/src/ports/formats.rs
@@ -1,5 +1,5 @@
-//! How marks and pulls are written between daemons: eras beside numbers, so that a daemon
-//! that knows no eras reads the numbers as it did.
+//! The format of marks and pulls between daemons. Eras are written beside the revision numbers, so
+//! that a daemon that does not know eras still reads the numbers.
 
 use serde::Deserialize;
 use serde::Serialize;
--- a/crates/harefield/src/ports/mod.rs
+++ b/crates/harefield/src/ports/mod.rs
@@ -1,5 +1,4 @@
-//! The small traits through which the engine and the control duty meet their
-//! surroundings.
+//! The ports: traits through which the engine and the control task reach their environment.
 
 mod clock;
 mod formats;
@@ -18,8 +17,8 @@
 pub use peers::Mark;
 pub use peers::PeerError;
 pub use peers::Peers;
-pub use peers::PermitAsk;
 pub use peers::PermitReply;
+pub use peers::PermitRequest;
 pub use peers::Pull;
 pub use platform::Listing;
 pub use platform::Platform;
@@ -28,5 +27,5 @@
 pub use platform::Watched;
 pub use upstreams::Call;
 pub use upstreams::CallEnd;
-pub use upstreams::Place;
+pub use upstreams::Endpoint;
 pub use upstreams::Upstreams;
--- a/crates/harefield/src/ports/peers.rs
+++ b/crates/harefield/src/ports/peers.rs
@@ -20,46 +20,46 @@
 use crate::domain::ids::Incarnation;
 use crate::domain::ids::ShardId;
 use crate::domain::ids::UpstreamId;
-use crate::domain::membership::Row;
+use crate::domain::membership::MemberRow;
 use crate::domain::outcome::Answer;
 use crate::domain::outcome::Gap;
-use crate::domain::query::ByteQuery;
+use crate::domain::query::OpaqueQuery;
 use crate::domain::residency::Regions;
 use crate::domain::retained::RetainedMark;
 use crate::domain::revision::Revision;
 use crate::domain::suspects::SuspectReport;
 
-/// A request handed to another daemon.
+/// A request that is forwarded to another daemon.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Forward {
-    /// The daemon that hands it on.
+    /// The daemon that forwards it.
     pub from: HostId,
-    /// When it left, in hybrid logical time.
+    /// When it was sent, in hybrid logical time.
     pub stamp: Stamp,
-    /// The request's id.
+    /// The id of the request.
     pub request: String,
     /// The lookup.
     pub lookup: String,
-    /// The query, where it is JSON.
+    /// The query, if it is JSON.
     #[serde(with = "serde_bytes")]
     pub query: Vec<u8>,
-    /// The query, where it is an opaque request.
-    pub opaque: Option<ByteQuery>,
+    /// The query, if it is an opaque request.
+    pub opaque: Option<OpaqueQuery>,
     /// The ticket of a once-only request.
     pub ticket: Option<String>,
     /// The time left, in milliseconds.
     pub remaining: u64,
-    /// After this time an answer with enough shards goes out, in microseconds.
+    /// The time after which an answer with enough shards is sent, in microseconds.
     pub gather: Option<u64>,
-    /// The edition that the request was let in under, or a newer one that the daemon
-    /// that hands it on knows of: one with an older edition must not run it.
+    /// The edition that the request was admitted under, or a newer one that the forwarding daemon
+    /// knows of. A daemon with an older edition must not run it.
     pub edition: Edition,
-    /// Whether another daemon was handed the request before.
+    /// Whether the request was forwarded to another daemon before.
     pub again: bool,
-    /// Whether its objective had passed when it came.
+    /// Whether the objective of the request had passed when it was received.
     #[serde(default)]
     pub late: bool,
-    /// What the daemon that hands it on knows of its work, where upstreams ended under it.
+    /// What the forwarding daemon knows about the work if upstreams ended while they ran it.
     #[serde(default)]
     pub suspects: Vec<SuspectReport>,
     /// Whose request it is.
@@ -67,57 +67,58 @@
     pub asker: Asker,
 }
 
-/// A member's answer to a request that was handed on.
+/// The answer of a cell member to a forwarded request.
 #[derive(Clone, Debug)]
 pub struct Forwarded {
     /// The answer.
     pub answer: Answer,
-    /// When it left, in hybrid logical time.
+    /// When it was sent, in hybrid logical time.
     pub stamp: Stamp,
-    /// The edition that it was given under.
+    /// The edition that it was computed under.
     pub edition: Edition,
 }
 
-/// A group of shards handed to a daemon beside their replicas.
+/// A group of shards that is delegated to a daemon near their replicas.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Group {
-    /// The daemon that hands it on.
+    /// The daemon that delegates it.
     pub from: HostId,
-    /// When it left, in hybrid logical time.
+    /// When it was sent, in hybrid logical time.
     pub stamp: Stamp,
-    /// The request's id.
+    /// The id of the request.
     pub request: String,
     /// The lookup.
     pub lookup: String,
-    /// The index that the shards are of, as the daemon that hands it on sees it.
+    /// The index that the shards belong to, as seen by the delegating daemon.
     pub index: String,
     /// The shards.
     pub shards: Vec<ShardId>,
-    /// Of some shards, by their places in the group, the only replicas that may be asked. An
-    /// empty name stands for one that the daemon chooses; former versions know none, and
-    /// keep to the others.
+    /// For some shards, by index within the group: the only replicas that may be used. An empty
+    /// name stands for a replica that the receiving daemon chooses. Earlier versions do not know
+    /// the empty name and use the other replicas.
     pub only: Vec<(usize, Vec<UpstreamId>)>,
     /// The query.
-    pub query: ByteQuery,
-    /// How many records are kept of all shards together.
+    pub query: OpaqueQuery,
+    /// How many records to keep of all shards together.
     pub most: usize,
-    /// How many shards must be in before the answer goes out short of some.
+    /// How many shards must have replied before an incomplete answer is sent.
     pub needed: usize,
     /// The time left, in microseconds.
     pub remaining: u64,
-    /// After this time an answer with enough shards goes out, in microseconds.
+    /// The time after which an answer with enough shards is sent, in microseconds.
     pub gather: Option<u64>,
-    /// Whether another daemon was handed the request before.
+    /// Whether the request was sent to another daemon before.
     pub again: bool,
-    /// How many shards must still be possible; once fewer are, what is in goes out at
-    /// once. None from daemons that do not say so: as many as are needed.
+    /// How many shards must still be able to contribute; once fewer are, the replies received so
+    /// far are sent at once. `None` from daemons that do not write the field, which means as many
+    /// as are needed.
     #[serde(default)]
     pub possible: Option<usize>,
-    /// What the daemon that hands it on knows of its work, where upstreams ended under it.
+    /// What the delegating daemon knows about the work if upstreams ended while they ran it.
     #[serde(default)]
     pub suspects: Vec<SuspectReport>,
-    /// The only regions in which it may be served, as that daemon knows them; everywhere
-    /// where empty. The daemon that takes it keeps to these, and to those that it knows.
+    /// The only regions in which the request may be served, as known to the delegating daemon; any
+    /// region if empty. The receiving daemon obeys these and those that it knows itself.
     #[serde(default)]
     pub regions: Regions,
     /// Whose request it is.
@@ -125,23 +126,23 @@
     pub asker: Asker,
 }
 
-/// Asks the holder of a part of an account's limit for permits.
+/// Requests permits from the holder of a part of an account's limit.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct PermitAsk {
+pub struct PermitRequest {
     /// The account.
     pub account: AccountId,
-    /// The part, by its number.
+    /// The number of the part.
     pub part: u32,
-    /// How many permits are wanted.
+    /// How many permits are requested.
     pub wanted: u32,
 }
 
-/// What a holder answers.
+/// The response of a holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitReply {
-    /// So many permits, one at least.
+    /// This many permits, at least one.
     Granted(u32),
-    /// None; one is free after so many milliseconds.
+    /// No permit; one becomes available after this many milliseconds.
     Empty(u64),
     /// The daemon does not hold that part.
     NotHeld,
@@ -150,7 +151,7 @@
 /// A shard of a group that contributed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct GroupPart {
-    /// Its place in the group.
+    /// The index of the shard within the group.
     pub at: usize,
     /// The upstream's signature over its reply.
     pub signature: Arc<str>,
@@ -159,34 +160,34 @@
 /// A shard of a group that did not contribute.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct GroupGap {
-    /// Its place in the group.
+    /// The index of the shard within the group.
     pub at: usize,
-    /// Why.
+    /// The reason.
     pub why: Gap,
     /// Whether the request may have run there.
     pub ran: bool,
-    /// How many upstreams it was sent to.
+    /// How many upstreams the request was sent to.
     pub sent: u32,
 }
 
-/// What a group's shards brought.
+/// The result of a group of shards.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct GroupReply {
-    /// When it left, in hybrid logical time.
+    /// When it was sent, in hybrid logical time.
     pub stamp: Stamp,
-    /// Whether the daemon did not take the group; nothing was sent then.
+    /// Whether the daemon declined the group; nothing was sent to upstreams in that case.
     pub declined: bool,
-    /// How long the daemon took, in microseconds.
+    /// How long the daemon worked on the group, in microseconds.
     pub took: u64,
     /// The shards that contributed.
     pub parts: Vec<GroupPart>,
     /// The shards that did not.
     pub missing: Vec<GroupGap>,
-    /// The greatest records of all that contributed.
+    /// The greatest records of all shards that contributed.
     pub records: ByteBuf,
 }
 
-/// How far a daemon is in one space.
+/// How far a daemon is in one space: its high-water mark.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "MarkFormat", into = "MarkFormat")]
 pub struct Mark {
@@ -194,66 +195,67 @@
     pub space: Space,
     /// The revision in use; none before the first.
     pub revision: Option<Revision>,
-    /// For how many milliseconds a newer one may have been confirmed; none where
-    /// nothing vouches for the revision.
+    /// How many milliseconds ago a newer revision may have been confirmed. `None` if there is no
+    /// proof of freshness for the revision.
     pub age: Option<u64>,
-    /// What goes before what the platform has at that revision; none from daemons that
-    /// know no eras.
+    /// The mark of the values that take precedence over the platform's at that revision. `None`
+    /// from daemons that do not know eras.
     pub retained: Option<RetainedMark>,
 }
 
-/// What two daemons tell each other, in both directions.
+/// The gossip that two daemons exchange, in both directions.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Exchange {
-    /// The daemon that speaks.
+    /// The sending daemon.
     pub from: HostId,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// When, in hybrid logical time.
+    /// When it was sent, in hybrid logical time.
     pub stamp: Stamp,
-    /// How far it is.
+    /// How far the daemon is in each space.
     pub marks: Vec<Mark>,
-    /// Daemons as it knows them.
-    pub rows: Vec<Row>,
-    /// Upstreams' words that it heard.
+    /// The state of daemons, as known to the sender.
+    pub rows: Vec<MemberRow>,
+    /// The announcements of upstreams that it received.
     #[serde(rename = "words")]
     pub announcements: Vec<NamedAnnouncement>,
-    /// What it knows of works under which upstreams ended; none from daemons that do not
-    /// say so.
+    /// What it knows about work under which upstreams ended. Empty from daemons that do not write
+    /// the field.
     #[serde(default)]
     pub suspects: Vec<SuspectReport>,
 }
 
-/// Asks a daemon for what is newer than the asker has.
+/// Requests from a daemon what is newer than the sender's revision.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(from = "PullFormat", into = "PullFormat")]
 pub struct Pull {
     /// The space.
     pub space: Space,
-    /// The asker's revision.
+    /// The sender's revision.
     pub have: Option<Revision>,
-    /// How far the asker is in what is carried on; none from one that does not take it.
+    /// The mark of the sender's retained values. `None` from a daemon that does not understand
+    /// them.
     pub retained: Option<RetainedMark>,
 }
 
 /// Why a daemon gave no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PeerError {
-    /// Nothing was sent.
-    #[error("the daemon could not be connected to")]
+    /// The message was not sent.
+    #[error("could not connect to the daemon")]
     Unreachable,
-    /// The message was sent, and no valid answer came.
+    /// The message was sent, but no valid answer was received.
     #[error("the daemon was sent the message and did not answer")]
     Silent,
 }
 
-/// Speaks to other daemons.
+/// Communicates with other daemons.
 pub trait Peers: Clone + 'static {
-    /// Hands a request to another daemon and awaits the answer.
+    /// Forwards a request to another daemon and waits for the answer.
     ///
     /// # Errors
     ///
-    /// Returns whether the request had been sent when it failed.
+    /// Returns an error that says whether the request had been sent when it failed.
     fn forward(
         &self,
         host: &HostId,
@@ -261,11 +263,11 @@
         limit: Duration,
     ) -> impl Future<Output = Result<Forwarded, PeerError>>;
 
-    /// Hands a group of shards to another daemon and awaits what they bring.
+    /// Delegates a group of shards to another daemon and waits for the result.
     ///
     /// # Errors
     ///
-    /// Returns whether the group had been sent when it failed.
+    /// Returns an error that says whether the group had been sent when it failed.
     fn group(
         &self,
         host: &HostId,
@@ -273,23 +275,23 @@
         limit: Duration,
     ) -> impl Future<Output = Result<GroupReply, PeerError>>;
 
-    /// Asks the holder of a part of an account's limit for permits.
+    /// Requests permits from the holder of a part of an account's limit.
     ///
     /// # Errors
     ///
-    /// Returns whether the message had been sent when it failed.
+    /// Returns an error that says whether the message had been sent when it failed.
     fn permits(
         &self,
         host: &HostId,
-        message: &PermitAsk,
+        message: &PermitRequest,
         limit: Duration,
     ) -> impl Future<Output = Result<PermitReply, PeerError>>;
 
-    /// Tells a daemon what is known here and hears what is known there.
+    /// Gossips with a daemon: sends what is known here and receives what is known there.
     ///
     /// # Errors
     ///
-    /// Returns whether the message had been sent when it failed.
+    /// Returns an error that says whether the message had been sent when it failed.
     fn exchange(
         &self,
         host: &HostId,
@@ -297,11 +299,11 @@
         limit: Duration,
     ) -> impl Future<Output = Result<Exchange, PeerError>>;
 
-    /// Fetches what a daemon has that is newer.
+    /// Pulls what a daemon has that is newer.
     ///
     /// # Errors
     ///
-    /// Returns whether the message had been sent when it failed.
+    /// Returns an error that says whether the message had been sent when it failed.
     fn pull(
         &self,
         host: &HostId,
--- a/crates/harefield/src/ports/platform.rs
+++ b/crates/harefield/src/ports/platform.rs
@@ -1,4 +1,5 @@
-//! The port to the platform's service, which can only be read and watched.
+//! The port to the platform, the users' configuration and membership service. It can only be read
+//! and watched.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,7 +12,7 @@
 use crate::domain::ids::Era;
 use crate::domain::revision::Revision;
 
-/// A space of keyed values with revisions of its own.
+/// A space of keyed values with its own revisions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Space {
@@ -25,7 +26,7 @@
     /// Both spaces.
     pub const ALL: [Self; 2] = [Self::Config, Self::Hosts];
 
-    /// Returns the space's name in paths.
+    /// Returns the name of the space in paths.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -35,31 +36,31 @@
     }
 }
 
-/// A whole space, read page by page.
+/// All values of a space, read page by page.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listing {
-    /// The revision that the first page was read at.
+    /// The revision at which the first page was read.
     pub first: Revision,
-    /// The revision that the last page was read at.
+    /// The revision at which the last page was read.
     pub last: Revision,
     /// The values.
     pub items: Items,
 }
 
-/// What a watch returned.
+/// The result of a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Watched {
-    /// What changed since.
+    /// What changed since the revision that was watched from.
     Changes {
-        /// One delta a revision; none where nothing changed.
+        /// One delta per revision; empty if nothing changed.
         deltas: Vec<Delta>,
         /// The revision up to which nothing else changed.
         at: Revision,
     },
-    /// The platform no longer has the changes since; list again.
+    /// The platform no longer has these changes; the space has to be listed again.
     Compacted,
-    /// It came back from a copy, and is in this era: nothing that it tells leads on from what
-    /// was held before; list again.
+    /// The platform was restored from a copy and is in this era. Nothing it returns continues from
+    /// what was held before; the space has to be listed again.
     Restored(Era),
 }
 
@@ -69,34 +70,35 @@
     /// It could not be reached, or not in time.
     #[error("the platform did not answer")]
     Unreachable,
-    /// It turned the call away, in this era.
-    #[error("the platform turned the call away")]
-    TurnedAway(Era),
-    /// What it told is older than what is held: of an earlier era, or of a copy that is behind.
-    #[error("the platform is behind, at {0}")]
+    /// It rejected the call, and is in this era.
+    #[error("the platform rejected the call")]
+    Rejected(Era),
+    /// It returned a revision older than the one held: of an earlier era, or from a copy that is
+    /// behind.
+    #[error("the platform is behind, at revision {0}")]
     Behind(Revision),
-    /// It came back from a copy while it was read; what was read is of two eras.
-    #[error("the platform came back from a copy while it was read")]
+    /// It was restored from a copy while it was being read, so that what was read is from two eras.
+    #[error("the platform was restored from a copy while it was being read")]
     Restored,
-    /// It answered something that is not its protocol.
-    #[error("the platform's answer is not valid: {0}")]
+    /// It returned something that does not conform to its protocol.
+    #[error("the platform's answer is invalid: {0}")]
     Malformed(String),
 }
 
-/// Reads and watches one copy of the platform's service.
+/// Reads and watches one replica of the platform.
 pub trait Platform: Clone + 'static {
-    /// Reads a whole space.
+    /// Reads a complete space.
     ///
     /// # Errors
     ///
-    /// Returns why the copy gave no valid answer.
+    /// Returns why the replica gave no valid answer.
     fn list(&self, copy: SocketAddr, space: Space) -> impl Future<Output = Result<Listing, PlatformError>>;
 
     /// Waits up to `wait` for changes after a revision.
     ///
     /// # Errors
     ///
-    /// Returns why the copy gave no valid answer.
+    /// Returns why the replica gave no valid answer.
     fn watch(
         &self,
         copy: SocketAddr,
--- a/crates/harefield/src/ports/upstreams.rs
+++ b/crates/harefield/src/ports/upstreams.rs
@@ -11,9 +11,9 @@
 use crate::domain::routing::Report;
 use crate::domain::routing::Verdict;
 
-/// An upstream and where it listens.
+/// An upstream and its address.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Endpoint {
     /// The upstream.
     pub upstream: UpstreamId,
     /// Where it listens.
@@ -23,15 +23,15 @@
 /// One request to one upstream.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Whom to ask.
-    pub place: Place,
+    /// Where to send the request.
+    pub endpoint: Endpoint,
     /// How many connections to it may be open.
     pub share: u32,
-    /// What the reply must echo: request and attempt, shard, version.
+    /// What the reply has to echo: request and attempt, shard, version.
     pub echo: Echo,
-    /// The time that the request has left.
+    /// The time left for the request.
     pub remaining: Duration,
-    /// How long past that its reply is awaited to keep the connection.
+    /// How much longer the reply is awaited so that the connection can be reused.
     pub drain: Duration,
     /// Whether the request must not run twice.
     pub once: bool,
@@ -48,31 +48,31 @@
     pub end: AttemptEnd,
     /// For the routing.
     pub verdict: Verdict,
-    /// What the reply said of the upstream.
+    /// What the reply stated about the upstream.
     pub report: Report,
 }
 
-/// Asks upstreams.
+/// Sends requests to upstreams.
 pub trait Upstreams: Clone + 'static {
-    /// Sends a call once and awaits its reply.
+    /// Sends a call once and waits for its reply.
     ///
-    /// `permit` is asked right before the first byte is written; where it
-    /// says no, nothing is sent.
-    fn ask(&self, call: Call, permit: impl Fn() -> bool) -> impl Future<Output = CallEnd>;
+    /// `permit` is called right before the first byte is written. If it returns false, nothing is
+    /// sent.
+    fn send(&self, call: Call, permit: impl Fn() -> bool) -> impl Future<Output = CallEnd>;
 
-    /// Says whether an upstream that lost a reply has ended: nobody takes connections where
-    /// it was. One that is slow to take them, or lost its connections alone, has not.
-    fn has_ended(&self, place: &Place, share: u32) -> impl Future<Output = bool>;
+    /// Returns whether an upstream that lost a reply has ended, which is the case if nobody accepts
+    /// connections at its address. An upstream that is slow to accept them, or has only lost its
+    /// connections, has not ended.
+    fn has_ended(&self, place: &Endpoint, share: u32) -> impl Future<Output = bool>;
 
-    /// Tells an upstream that a reply is no longer wanted, where that costs
-    /// no new connection.
+    /// Tells an upstream that a reply is no longer wanted, if that needs no new connection.
     fn cancel(&self, upstream: &UpstreamId, request: &str);
 
-    /// Opens a connection ahead of need, where fewer than `want` are idle and
-    /// the share has room; returns whether one is being opened.
-    fn warm(&self, place: &Place, share: u32, want: usize) -> bool;
+    /// Opens a connection in advance if fewer than `want` are idle and the limit `share` allows
+    /// another; returns whether one is being opened.
+    fn preconnect(&self, place: &Endpoint, share: u32, want: usize) -> bool;
 
-    /// Closes idle connections to all upstreams but those named.
+    /// Closes idle connections to all upstreams for which `keep` returns false.
     fn keep_only(&self, keep: impl Fn(&UpstreamId) -> bool);
 
     /// Returns how many idle connections to an upstream are open.
--- a/crates/harefield/src/telemetry/board.rs
+++ b/crates/harefield/src/telemetry/board.rs
@@ -21,7 +21,7 @@
 use crate::domain::ids::Incarnation;
 use crate::domain::ids::UpstreamId;
 use crate::domain::ids::Version;
-use crate::domain::membership::Row;
+use crate::domain::membership::MemberRow;
 use crate::domain::resources::Fault;
 use crate::domain::resources::ResourceSet;
 use crate::domain::revision::Revision;
@@ -106,7 +106,7 @@
     /// Its configuration.
     pub config: ConfigStatus,
     /// The daemons as it sees them.
-    pub peers: Vec<Row>,
+    pub peers: Vec<MemberRow>,
     /// Bytes that control has sent and received since the start.
     pub control_bytes: u64,
     /// Whether a planned stop has begun.
@@ -208,7 +208,7 @@
 
     /// Notes that every change confirmed up to `at` is in force.
     pub fn prove(&self, at: Instant) {
-        self.freshness.lock().unwrap_or_else(PoisonError::into_inner).prove(at);
+        self.freshness.lock().unwrap_or_else(PoisonError::into_inner).record_proof(at);
     }
 
     /// Returns what is counted and measured, with how old what is in force may be now.
--- a/crates/harefield/tests/decisions/accounts.rs
+++ b/crates/harefield/tests/decisions/accounts.rs
@@ -26,10 +26,10 @@
 use harefield::domain::feed::Change;
 use harefield::domain::key::Credential;
 use harefield::domain::key::KeyDigest;
-use harefield::domain::key::MOST_KEY_BYTES;
+use harefield::domain::key::MAX_KEY_BYTES;
 use harefield::domain::membership::PeerState;
 use harefield::domain::query::Claims;
-use harefield::domain::residency::both;
+use harefield::domain::residency::intersect;
 use harefield::domain::resources::Account;
 use harefield::domain::resources::ResourceSet;
 
@@ -55,7 +55,7 @@
 #[test]
 fn key_opens() {
     let directory = Directory::new(&set(&[("apex", "a"), ("birch", "b")]).expect("it is valid"), false);
-    let name = |key: &str, public| match directory.identify(Credential::of_key(key.as_bytes()), public) {
+    let name = |key: &str, public| match directory.identify(Credential::from_key(key.as_bytes()), public) {
         Identity::Known(client) => client.name.to_string(),
         Identity::Anyone(asker) => format!("anyone, open {}", asker.is_open()),
         Identity::Missing => "missing".to_owned(),
@@ -63,7 +63,7 @@
     };
     assert_eq!([name("a", false), name("b", true), name("c", false)], ["apex", "birch", "unknown"]);
     assert_eq!([name("", false), name("", true)], ["missing", "anyone, open false"]);
-    assert_eq!(name(&"a".repeat(MOST_KEY_BYTES + 1), true), "missing");
+    assert_eq!(name(&"a".repeat(MAX_KEY_BYTES + 1), true), "missing");
     assert_eq!(name("c", true), "unknown", "a key that is shown must be one");
     let open = Directory::new(&set(&[]).expect("it is valid"), false);
     assert!(
@@ -104,7 +104,7 @@
 #[test]
 fn regions_both_bind() {
     let regions = |names: &[&str]| names.iter().map(|name| Arc::from(*name)).collect::<Arc<[Arc<str>]>>();
-    let common = |one: &[&str], other: &[&str]| both(&regions(one), &regions(other));
+    let common = |one: &[&str], other: &[&str]| intersect(&regions(one), &regions(other));
     assert_eq!(common(&[], &["n"]), Some(regions(&["n"])));
     assert_eq!(common(&["n", "s"], &["s", "w"]), Some(regions(&["s"])));
     assert_eq!(common(&["n"], &["s"]), None);
--- a/crates/harefield/tests/decisions/cells.rs
+++ b/crates/harefield/tests/decisions/cells.rs
@@ -1,4 +1,4 @@
-//! Cells are bounded, balanced and steady.
+//! Cells are bounded in size, balanced, and stable when hosts change.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,15 +14,15 @@
 use harefield::domain::cell::assign;
 use harefield::domain::cell::assign_by_zone;
 use harefield::domain::cell::connection_share;
-use harefield::domain::cell::sizes as sizes_of;
+use harefield::domain::cell::sizes as cell_sizes;
 use harefield::domain::ids::HostId;
 
 fn hosts(count: usize) -> Vec<HostId> {
     (0..count).map(|n| format!("10.0.{}.{}:7200", n / 250, n % 250).into()).collect()
 }
 
-/// Makes a fleet of `strong` daemons of half a core and `weak` ones of an eighth in
-/// each of some availability zones.
+/// Returns a fleet with `strong` daemons of half a core and `weak` ones of an eighth of a core in
+/// each availability zone.
 fn fleet(zones: usize, strong: usize, weak: usize) -> Vec<Candidate> {
     let one = |zone: usize, n: usize| Candidate {
         host: format!("10.{zone}.0.{n}:7200").into(),
@@ -41,7 +41,7 @@
     (0..count).map(|n| (format!("index-{n:03}").into(), size)).collect()
 }
 
-fn places(cells: &Cells) -> BTreeMap<HostId, usize> {
+fn cells_per_host(cells: &Cells) -> BTreeMap<HostId, usize> {
     let mut counts = BTreeMap::new();
     for host in cells.values().flat_map(|cell| cell.iter()) {
         *counts.entry(Arc::clone(host)).or_default() += 1;
@@ -59,8 +59,8 @@
 proptest! {
     #![proptest_config(cases(60))]
 
-    /// Each cell has its size, or everyone; no host has more than its part,
-    /// and views of one list agree.
+    /// Each cell has its size or contains every host, no host is in more cells than its share, and
+    /// the order of the list does not matter.
     #[test]
     fn sized_and_bounded(indexes in 1_usize..40, count in 1_usize..120, size in 1_usize..30) {
         let sizes = sizes(indexes, size);
@@ -72,19 +72,19 @@
             prop_assert_eq!(distinct.len(), cell.len());
         }
         let bound = (indexes * size.min(count)).div_ceil(count);
-        let most = places(&cells).values().copied().max().unwrap_or(0);
-        prop_assert!(most <= bound + 1, "{} places, bound {}", most, bound);
+        let most = cells_per_host(&cells).values().copied().max().unwrap_or(0);
+        prop_assert!(most <= bound + 1, "{} cells for one host, bound {}", most, bound);
         let mut reversed = hosts;
         reversed.reverse();
         prop_assert_eq!(pairs(&assign(&sizes, &reversed)), pairs(&cells));
     }
 
-    /// Each availability zone has its part of every cell, or all its daemons; those
-    /// that are seen not to answer are no part of it, and views of one fleet agree.
+    /// Each cell has an equal share of members in every availability zone, or all its daemons.
+    /// Unresponsive daemons do not count, and the order of the list does not matter.
     #[test]
-    fn zones_alike(zones in 1_usize..5, weak in 1_usize..12, size in 1_usize..20, silent in 0_usize..6) {
+    fn zones_equal(zones in 1_usize..5, weak in 1_usize..12, size in 1_usize..20, unresponsive in 0_usize..6) {
         let mut fleet = fleet(zones, 2, weak);
-        for candidate in fleet.iter_mut().take(silent) {
+        for candidate in fleet.iter_mut().take(unresponsive) {
             candidate.live = false;
         }
         let live = fleet.iter().filter(|candidate| candidate.live).count();
@@ -102,7 +102,7 @@
         prop_assert_eq!(pairs(&assign_by_zone(&sizes(3, size), &fleet)), pairs(&cells));
     }
 
-    /// Old and new members together keep within the connections.
+    /// The old and the new members together stay within the connection limit.
     #[test]
     fn share_fits(connections in 1_u32..200, sharers in 1_u32..300) {
         let share = connection_share(connections, sharers);
@@ -114,28 +114,32 @@
 }
 
 #[test]
-fn few_hosts_everyone() {
+fn small_fleet_all_members() {
     let set = set(3, 2, &[1]);
-    let cells = assign(&sizes_of(&set, CellSize::default(), 7), &hosts(7));
-    assert_eq!(cells["i"].len(), 7, "25 connections are enough for seven");
+    let cells = assign(&cell_sizes(&set, CellSize::default(), 7), &hosts(7));
+    assert_eq!(cells["i"].len(), 7, "25 connections are enough for seven members");
 }
 
 #[test]
 fn connections_bound_cell() {
     let set = set(3, 2, &[1]);
-    let cells = assign(&sizes_of(&set, CellSize { most: 60, wanted: 1 }, 100), &hosts(100));
-    assert_eq!(cells["i"].len(), 22, "nine tenths of 25 connections");
-    let cells = assign(&sizes_of(&set, CellSize { most: 60, wanted: 2 }, 100), &hosts(100));
+    let cells = assign(&cell_sizes(&set, CellSize { max_members: 60, connections: 1 }, 100), &hosts(100));
+    assert_eq!(cells["i"].len(), 22, "90 % of 25 connections");
+    let cells = assign(&cell_sizes(&set, CellSize { max_members: 60, connections: 2 }, 100), &hosts(100));
     assert_eq!(cells["i"].len(), 11, "two connections for each member");
 }
 
 #[test]
-fn nearly_everyone_is_everyone() {
+fn all_members_with_fewer_connections() {
     let set = set(3, 2, &[1]);
-    let size = CellSize { most: 60, wanted: 3 };
-    let members = |daemons: usize| assign(&sizes_of(&set, size, daemons), &hosts(daemons))["i"].len();
-    assert_eq!([7, 8, 11].map(members), [7, 8, 11], "two connections for each are enough");
-    assert_eq!([12, 60].map(members), [7, 7], "a larger fleet hands requests on to members with three each");
+    let size = CellSize { max_members: 60, connections: 3 };
+    let members = |daemons: usize| assign(&cell_sizes(&set, size, daemons), &hosts(daemons))["i"].len();
+    assert_eq!([7, 8, 11].map(members), [7, 8, 11], "two connections for each member are enough");
+    assert_eq!(
+        [12, 60].map(members),
+        [7, 7],
+        "a larger fleet forwards requests to members with three connections each"
+    );
 }
 
 #[test]
@@ -165,12 +169,12 @@
     fleet[0].live = false;
     let cells = assign_by_zone(&sizes(1, 2), &fleet);
     let cell = &cells["index-000"];
-    assert_eq!(cell.len(), 3, "it may live all the same, and one joins the other");
+    assert_eq!(cell.len(), 3, "it may still be running, and another one is added to the other strong one");
     assert!(cell.contains(&fleet[0].host) && cell.contains(&fleet[1].host));
 }
 
 #[test]
-fn small_fleet_everyone() {
+fn small_zoned_fleet_all_members() {
     let fleet = fleet(3, 1, 1);
     let cells = assign_by_zone(&sizes(2, 7), &fleet);
     assert!(cells.values().all(|cell| cell.len() == 6), "the connections are enough for all six");
--- a/crates/harefield/tests/decisions/cold.rs
+++ b/crates/harefield/tests/decisions/cold.rs
@@ -21,9 +21,8 @@
 use harefield::domain::cold::Spell;
 use harefield::domain::hosts::HostList;
 use harefield::domain::ids::HostId;
-use harefield::domain::membership::Row;
+use harefield::domain::membership::MemberRow;
 use harefield::domain::outcome::Gap;
-use harefield::domain::places::Places;
 use harefield::domain::resources::ResourceSet;
 use harefield::domain::revision::Revision;
 use harefield::domain::routing::Ask;
@@ -33,6 +32,7 @@
 use harefield::domain::routing::Report;
 use harefield::domain::routing::Router;
 use harefield::domain::routing::Verdict;
+use harefield::domain::topology::Topology;
 use harefield::domain::view::View;
 use harefield::domain::view::ViewSources;
 
@@ -53,9 +53,9 @@
 /// How often each daemon tries to send.
 const TRY_EVERY: u64 = 50;
 
-fn places(zone: &str) -> Places {
+fn places(zone: &str) -> Topology {
     let regions = ZONES.iter().map(|zone| ((*zone).into(), (*zone).into())).collect();
-    Places { zone: zone.into(), regions }
+    Topology { zone: zone.into(), regions }
 }
 
 /// Returns a set of one shard with one upstream, which is cold and bears `per_s`.
@@ -119,7 +119,7 @@
             listed: None,
             hosts: &HostList::default(),
             fleet,
-            size: CellSize { most: MEMBERS, wanted: 1 },
+            size: CellSize { max_members: MEMBERS, connections: 1 },
             places: &places(ZONES[self.life.number % 3]),
             cold: BOUND,
             keyed: false,
@@ -127,7 +127,7 @@
         self.router.apply(&self.view, now);
         let others = fleet.iter().filter(|other| other.host != self.host);
         let rows: Vec<_> =
-            others.map(|other| Row { host: Arc::clone(&other.host), ..row(0, &other.zone) }).collect();
+            others.map(|other| MemberRow { host: Arc::clone(&other.host), ..row(0, &other.zone) }).collect();
         self.router.see_daemons(&rows);
     }
 
--- a/crates/harefield/tests/decisions/configuration.rs
+++ b/crates/harefield/tests/decisions/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration only moves forward, and only to sets without faults.
+//! The configuration only moves forward, and only to resource sets without faults.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,23 +12,23 @@
 use crate::support::values;
 use harefield::domain::code::Code;
 use harefield::domain::configuration::Configuration;
-use harefield::domain::configuration::Offer;
+use harefield::domain::configuration::OfferOutcome;
 use harefield::domain::feed::Change;
 use harefield::domain::feed::Delta;
+use harefield::domain::feed::DeltaKind;
 use harefield::domain::feed::Feed;
 use harefield::domain::feed::Items;
 use harefield::domain::feed::News;
-use harefield::domain::feed::Span;
 use harefield::domain::resources::ResourceSet;
 use harefield::domain::revision::Revision;
 
-/// The platform's whole history: what each revision changed, and its items.
+/// The complete history of the platform: the changes of each revision, and the resulting items.
 struct History {
     changes: Vec<Vec<Change>>,
     states: Vec<Items>,
 }
 
-/// Makes a history; an odd choice breaks the set, an even one mends it.
+/// Creates a history. An odd choice introduces a fault, an even one removes it.
 fn history(choices: &[u8]) -> History {
     let mut state = items(values(2, 2, &[1]));
     let mut states = vec![state.clone()];
@@ -56,7 +56,7 @@
             base: number(revision),
             revision: number(revision + 1),
             changes: self.changes[revision].clone(),
-            span: Span::Step,
+            kind: DeltaKind::Single,
         }
     }
 
@@ -66,17 +66,17 @@
     }
 }
 
-/// What reaches one daemon.
+/// An event at one daemon.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// A copy of the platform answers a watch with one revision.
+    /// A replica of the platform answers a watch with one revision.
     Watch(usize),
-    /// A copy answers a watch with several, from one revision on.
+    /// A replica answers a watch with several revisions, starting from a given one.
     WatchMany(usize, usize),
-    /// A copy, up to date or stale, is listed whole.
+    /// A replica, up to date or stale, is listed.
     List(usize),
-    /// The daemon hears from another one.
-    Hear(usize),
+    /// The daemon receives updates from another one.
+    Receive(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -84,15 +84,15 @@
         4 => any::<usize>().prop_map(Step::Watch),
         4 => (any::<usize>(), 1_usize..6).prop_map(|(from, count)| Step::WatchMany(from, count)),
         2 => any::<usize>().prop_map(Step::List),
-        3 => any::<usize>().prop_map(Step::Hear),
+        3 => any::<usize>().prop_map(Step::Receive),
     ]
 }
 
 proptest! {
     #![proptest_config(cases(300))]
 
-    /// Whatever order news reach a fleet in, no daemon goes back, none has a
-    /// faulty set in force, and two at one revision have the same set.
+    /// In whatever order updates reach a fleet, no daemon goes back to an older revision, none has
+    /// a faulty set in force, and two daemons at the same revision have the same set.
     #[test]
     fn never_reverts(
         choices in prop::collection::vec(any::<u8>(), 1..10),
@@ -128,12 +128,12 @@
                     let revision = Revision::first(u64::try_from(at + 1).expect("small"));
                     let _offer = fleet[who].offer_all(revision, &history.states[at]);
                 }
-                Step::Hear(n) => {
+                Step::Receive(n) => {
                     let news = fleet[n % 3].since(fleet[who].revision());
-                    fleet[who].learn(news);
+                    fleet[who].merge_news(news);
                 }
             }
-            prop_assert!(fleet[who].revision() >= before, "it went back");
+            prop_assert!(fleet[who].revision() >= before, "it went back to an older revision");
             if let Some(revision) = fleet[who].revision() {
                 prop_assert!(history.is_good(revision), "revision {} has faults", revision);
                 let at = usize::try_from(revision.number).expect("small") - 1;
@@ -141,12 +141,12 @@
                 prop_assert_eq!(&**fleet[who].set(), &expected);
             }
         }
-        // Once everyone has heard from everyone, all have the same in force.
+        // After every daemon has received updates from every other, all have the same set in force.
         for _ in 0..2 {
             for who in 0..3 {
                 for other in 0..3 {
                     let news = fleet[other].since(fleet[who].revision());
-                    fleet[who].learn(news);
+                    fleet[who].merge_news(news);
                 }
             }
         }
@@ -155,33 +155,33 @@
         prop_assert_eq!(fleet[0].set(), fleet[2].set());
     }
 
-    /// A feed brings any asker up to date, whatever it has.
+    /// A feed brings any requester up to date, whatever revision it has.
     #[test]
-    fn feed_brings_along(count in 1_usize..90, have in 0_usize..90) {
+    fn feed_updates_any_requester(count in 1_usize..90, have in 0_usize..90) {
         let mut feed = Feed::default();
-        let mut asker = Feed::default();
+        let mut requester = Feed::default();
         for revision in 1..=count {
             let number = u64::try_from(revision).expect("small");
             let mut state = feed.items().clone();
             state.insert(format!("k{}", revision % 7).into(), revision.to_string().into());
             feed.replace(Revision::first(number), &state);
             if revision == have {
-                asker = feed.clone();
+                requester = feed.clone();
             }
         }
-        let news = feed.since(asker.revision());
-        asker.learn(news);
-        prop_assert_eq!(asker.revision(), feed.revision());
-        prop_assert_eq!(asker.items(), feed.items());
+        let news = feed.since(requester.revision());
+        requester.merge_news(news);
+        prop_assert_eq!(requester.revision(), feed.revision());
+        prop_assert_eq!(requester.items(), feed.items());
     }
 
-    /// Whatever is watched, listed or heard in which order: at one revision all have the same
-    /// values, also where a value came back in between.
+    /// In whatever order revisions are watched, listed and received, all feeds have the same values
+    /// at the same revision, even if a value returned to an earlier one in between.
     ///
-    /// A daemon that heard that a key has the value it had two revisions before noted no change,
-    /// and told so to one that was at the revision between, which kept the value of then: an
-    /// upstream whose entry lapsed and came back as it was stayed away at those daemons until it
-    /// changed once more.
+    /// Guards against a lost update: a daemon that received the value which a key had two revisions
+    /// before recorded no change. It reported none to a peer at the revision in between, which kept
+    /// that revision's value. An upstream whose entry expired and came back unchanged then stayed
+    /// missing at such peers until its next change.
     #[test]
     fn values_that_return(
         values in proptest::collection::vec((0_u8..2, 0_u8..3), 2..20),
@@ -214,7 +214,7 @@
                 1 => (at + 1..=to).for_each(|at| watch(&mut feeds[who], number(at), &changes[at])),
                 _ => {
                     let news = feeds[other].since(feeds[who].revision());
-                    feeds[who].learn(news);
+                    feeds[who].merge_news(news);
                 }
             }
             let held = feeds[who].revision().expect("it has one");
@@ -224,15 +224,15 @@
     }
 }
 
-/// Takes what a watch told of one revision.
+/// Applies the changes of one revision, as received from a watch.
 fn watch(feed: &mut Feed, revision: Revision, changes: &[Change]) {
-    feed.advance(revision, changes, Span::Step);
+    feed.advance(revision, changes, DeltaKind::Single);
 }
 
 #[test]
 fn same_again_costs_nothing() {
-    // Upstreams write their entries again and again, with nothing new in what is decoded:
-    // other daemons are told of the revision alone, from any revision between.
+    // Upstreams write their entries again and again without new content. Peers are sent only the
+    // new revision number, whichever revision in between they are at.
     let mut feed = Feed::default();
     let mut state = feed.items().clone();
     state.insert("k".into(), "1".into());
@@ -240,23 +240,23 @@
     let behind: Vec<Feed> = (2..3000)
         .map(|revision| {
             let change = Change { key: "k".into(), value: Some("1".into()) };
-            feed.advance(Revision::first(revision), &[change], Span::Step);
+            feed.advance(Revision::first(revision), &[change], DeltaKind::Single);
             feed.clone()
         })
         .step_by(700)
         .collect();
-    for mut asker in behind {
-        let News::Deltas(deltas) = feed.since(asker.revision()) else {
-            assert_eq!(asker.revision(), feed.revision());
+    for mut requester in behind {
+        let News::Deltas(deltas) = feed.since(requester.revision()) else {
+            assert_eq!(requester.revision(), feed.revision());
             continue;
         };
-        assert!(deltas.iter().all(|delta| delta.changes.is_empty()), "nothing is told anew");
-        asker.learn(News::Deltas(deltas));
-        assert_eq!((asker.revision(), asker.items()), (feed.revision(), feed.items()));
+        assert!(deltas.iter().all(|delta| delta.changes.is_empty()), "nothing is sent again");
+        requester.merge_news(News::Deltas(deltas));
+        assert_eq!((requester.revision(), requester.items()), (feed.revision(), feed.items()));
     }
 }
 
-/// A change to the set of [`values`], good or bad.
+/// A change to the set of [`values`], valid or not.
 fn any_change() -> impl Strategy<Value = Change> {
     let upstream = json!({ "address": "127.0.0.1:9", "zone": "a", "slots": 1, "connections": 1 });
     let pick = |key: &str, value: Option<Value>| Change {
@@ -292,10 +292,10 @@
 proptest! {
     #![proptest_config(cases(500))]
 
-    /// Judging what a change touches comes to the same verdict, and the same
-    /// set, as reading everything anew.
+    /// Validating only what a change affects gives the same result, and the same set, as parsing
+    /// everything again.
     #[test]
-    fn touched_is_enough(batches in prop::collection::vec(prop::collection::vec(any_change(), 1..5), 1..8)) {
+    fn affected_part_is_enough(batches in prop::collection::vec(prop::collection::vec(any_change(), 1..5), 1..8)) {
         let mut state = items(values(2, 2, &[1]));
         let mut set = ResourceSet::parse(&state).expect("it is valid");
         for changes in batches {
@@ -307,13 +307,13 @@
                 };
             }
             let mut whole = ResourceSet::parse(&next);
-            let mut touched = set.apply(&changes);
-            if let (Err(a), Err(b)) = (&mut whole, &mut touched) {
+            let mut affected = set.apply(&changes);
+            if let (Err(a), Err(b)) = (&mut whole, &mut affected) {
                 a.sort_by(|x, y| (&x.key, &x.detail).cmp(&(&y.key, &y.detail)));
                 b.sort_by(|x, y| (&x.key, &x.detail).cmp(&(&y.key, &y.detail)));
             }
-            prop_assert_eq!(&touched, &whole);
-            if let Ok(good) = touched {
+            prop_assert_eq!(&affected, &whole);
+            if let Ok(good) = affected {
                 set = good;
                 state = next;
             }
@@ -322,28 +322,28 @@
 }
 
 #[test]
-fn faulty_between_good() {
+fn faulty_revision_skipped() {
     let history = history(&[1, 0]);
     let mut config = Configuration::default();
-    assert_eq!(config.offer_all(Revision::first(1), &history.states[0]), Offer::Accepted);
-    assert!(matches!(config.offer(&history.delta(1)), Offer::Refused(_)));
-    assert_eq!(config.revision(), Some(Revision::first(1)), "the last good set stays in force");
-    assert_eq!(config.refused().map(|refused| refused.revision), Some(Revision::first(2)));
-    assert_eq!(config.offer(&history.delta(2)), Offer::Accepted);
+    assert_eq!(config.offer_all(Revision::first(1), &history.states[0]), OfferOutcome::Accepted);
+    assert!(matches!(config.offer(&history.delta(1)), OfferOutcome::Rejected(_)));
+    assert_eq!(config.revision(), Some(Revision::first(1)), "the last valid set stays in force");
+    assert_eq!(config.rejected().map(|refused| refused.revision), Some(Revision::first(2)));
+    assert_eq!(config.offer(&history.delta(2)), OfferOutcome::Accepted);
     assert_eq!(config.revision(), Some(Revision::first(3)));
-    assert!(config.refused().is_none());
+    assert!(config.rejected().is_none());
 }
 
 #[test]
-fn late_starter() {
+fn late_start() {
     let history = history(&[1]);
     let mut first = Configuration::default();
     first.offer_all(Revision::first(1), &history.states[0]);
     first.offer(&history.delta(1));
     let mut second = Configuration::default();
-    assert!(matches!(second.offer_all(Revision::first(2), &history.states[1]), Offer::Refused(_)));
+    assert!(matches!(second.offer_all(Revision::first(2), &history.states[1]), OfferOutcome::Rejected(_)));
     assert_eq!(second.revision(), None);
-    assert!(second.learn(first.since(None)), "a peer has the last good set");
+    assert!(second.merge_news(first.since(None)), "a peer has the last valid set");
     assert_eq!(second.revision(), Some(Revision::first(1)));
 }
 
@@ -352,13 +352,15 @@
     let history = history(&[0, 0]);
     let mut config = Configuration::default();
     config.offer_all(Revision::first(3), &history.states[2]);
-    assert_eq!(config.offer_all(Revision::first(1), &history.states[0]), Offer::Old);
-    assert_eq!(config.offer(&history.delta(1)), Offer::Old);
+    assert_eq!(config.offer_all(Revision::first(1), &history.states[0]), OfferOutcome::Stale);
+    assert_eq!(config.offer(&history.delta(1)), OfferOutcome::Stale);
     assert_eq!(config.revision(), Some(Revision::first(3)));
-    assert!(!config.learn(News::Full { revision: Revision::first(2), items: history.states[1].clone() }));
+    assert!(
+        !config.merge_news(News::Full { revision: Revision::first(2), items: history.states[1].clone() })
+    );
 }
 
-/// Returns the codes of a set's faults, by key.
+/// Returns the code of each fault of a set, by key.
 fn faults(changes: &[(&str, Value)]) -> BTreeMap<String, Code> {
     let mut all = values(2, 2, &[1]);
     all.extend(changes.iter().map(|(key, value)| ((*key).to_owned(), value.clone())));
@@ -367,7 +369,7 @@
 }
 
 #[test]
-fn every_fault_named() {
+fn every_fault_reported() {
     let found = faults(&[
         ("services/t", json!({ "shards": { "0": ["ghost"] } })),
         ("upstreams/bad", json!({ "address": "nowhere" })),
--- a/crates/harefield/tests/decisions/eras.rs
+++ b/crates/harefield/tests/decisions/eras.rs
@@ -1,5 +1,5 @@
-//! Eras of the platform, on decisions alone: drawn histories of writes and copies, against a
-//! model of what was confirmed that never forgets.
+//! Eras of the platform: random histories of writes and restores, checked against a model that
+//! knows everything that was ever confirmed.
 
 use proptest::prelude::*;
 
@@ -15,14 +15,14 @@
 proptest! {
     #![proptest_config(cases(1500))]
 
-    /// Whatever is written, lost and heard in which order: no edition goes back, no evacuation
-    /// that is known is missed, nobody that left is asked again, and once all have written
-    /// again, everything that was confirmed is in force, and nothing else.
+    /// In whatever order changes are written, lost and received: no edition goes back, no known
+    /// evacuation is missed, and no upstream that left is queried again. Once everybody has written
+    /// again, exactly what was confirmed is in force.
     #[test]
     fn nothing_forgotten(steps in proptest::collection::vec(step(), 1..60)) {
         let mut world = World::new();
         for step in steps {
-            world.take(step);
+            world.apply(step);
             world.check()?;
         }
         world.settle();
@@ -37,8 +37,9 @@
 
 #[test]
 fn read_as_far_knows_better() {
-    // A daemon that stood still since revision 40 has what was gone by 50: one that has read
-    // that far takes none of it, and it gives it up; one that has read less takes it.
+    // A daemon that was paused at revision 40 holds values that were removed by revision 50. A
+    // daemon that has read that far accepts none of them, and the paused one gives them up; a
+    // daemon that has read less accepts them.
     let held: Items = [
         ("upstreams/u".into(), entry(1, 1, false).into()),
         ("evacuations/z".into(), "{}".into()),
@@ -47,14 +48,14 @@
     .into();
     let nothing = Items::new();
     let enter = |number, held| Retained::default().enter(2, Revision::new(1, number), held, &nothing);
-    let (behind, mut ahead, mut started) = (enter(40, &held), enter(50, &nothing), Retained::nothing(2));
-    started.join(&behind, &nothing);
-    assert_eq!(started.kept, behind.kept);
-    ahead.join(&behind, &nothing);
-    let kept: Vec<&str> = ahead.kept.keys().map(|key| &**key).collect();
-    assert_eq!(kept, ["catalogs/operator"], "of catalogs the highest edition stays");
+    let (behind, mut ahead, mut new) = (enter(40, &held), enter(50, &nothing), Retained::empty(2));
+    new.merge(&behind, &nothing);
+    assert_eq!(new.values, behind.values);
+    ahead.merge(&behind, &nothing);
+    let kept: Vec<&str> = ahead.values.keys().map(|key| &**key).collect();
+    assert_eq!(kept, ["catalogs/operator"], "the highest edition of a catalog stays");
     let mut behind = behind;
-    behind.join(&ahead, &nothing);
-    assert_eq!(behind.kept, ahead.kept);
-    assert_eq!(behind.context, ahead.context);
+    behind.merge(&ahead, &nothing);
+    assert_eq!(behind.values, ahead.values);
+    assert_eq!(behind.history, ahead.history);
 }
--- a/crates/harefield/tests/decisions/eras_world.rs
+++ b/crates/harefield/tests/decisions/eras_world.rs
@@ -1,5 +1,5 @@
-//! A platform that comes back from copies, daemons that read it and each other, and what was
-//! ever confirmed, which is never forgotten.
+//! A model of a platform that is restored from copies, of daemons that read it and gossip, and of
+//! everything that was ever confirmed.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,8 +15,8 @@
 use harefield::domain::configuration::Configuration;
 use harefield::domain::feed::Change;
 use harefield::domain::feed::Delta;
+use harefield::domain::feed::DeltaKind;
 use harefield::domain::feed::Items;
-use harefield::domain::feed::Span;
 use harefield::domain::ids::Edition;
 use harefield::domain::ids::Era;
 use harefield::domain::ids::Key;
@@ -27,35 +27,35 @@
 use harefield::domain::revision::Revision;
 use harefield::domain::time::millis;
 
-/// How often upstreams write.
+/// The interval at which upstreams write.
 const HEARTBEAT: Duration = Duration::from_millis(1200);
 
 const DAEMONS: usize = 4;
 const UPSTREAMS: usize = 3;
 const ZONES: usize = 2;
 
-/// Something that happens.
+/// An event in a history.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
     /// The operator publishes its next edition.
     Publish,
-    /// The operator evacuates a zone, or takes that back.
+    /// The operator evacuates a zone, or lifts its evacuation.
     Evacuate(usize),
-    /// An upstream starts, begins to leave, or is gone.
+    /// An upstream starts, begins to leave, or disappears.
     Upstream(usize),
-    /// The platform comes back from a copy that lacks its last writes.
+    /// The platform is restored from a copy that lacks its last writes.
     Restore(usize),
-    /// Operators and upstreams write again what they wrote.
+    /// Operators and upstreams repeat their writes.
     WriteAgain,
     /// A daemon lists the platform.
     List(usize),
     /// A daemon watches the platform.
     Watch(usize),
-    /// A daemon hears another one.
-    Hear(usize, usize),
-    /// A daemon starts again: it asks the platform and the others before it serves.
+    /// A daemon receives updates from another one.
+    Receive(usize, usize),
+    /// A daemon restarts. It reads the platform and gossips with the others before it serves.
     Restart(usize),
-    /// Time passes, in milliseconds.
+    /// This many milliseconds pass.
     Wait(u64),
 }
 
@@ -69,22 +69,22 @@
         2 => Just(Step::WriteAgain),
         3 => daemon.clone().prop_map(Step::List),
         6 => daemon.clone().prop_map(Step::Watch),
-        6 => (daemon.clone(), daemon.clone()).prop_map(|(to, from)| Step::Hear(to, from)),
+        6 => (daemon.clone(), daemon.clone()).prop_map(|(to, from)| Step::Receive(to, from)),
         1 => daemon.prop_map(Step::Restart),
         3 => (1_u64..4000).prop_map(Step::Wait),
     ]
 }
 
-/// The platform, and what was ever confirmed.
+/// The platform, and everything that was ever confirmed.
 #[derive(Default)]
 pub struct Platform {
     era: Era,
     log: Vec<Change>,
-    /// What was confirmed and not taken back.
+    /// The values that were confirmed and not removed.
     pub truth: Items,
     edition: Edition,
     starts: u64,
-    /// When it came back from a copy, by era, in milliseconds.
+    /// When each era began, in milliseconds.
     restored: BTreeMap<Era, u64>,
 }
 
@@ -126,7 +126,7 @@
         self.write(&key, value);
     }
 
-    /// An upstream is not there, then ready, then leaving, then not there.
+    /// Moves an upstream to its next state: absent, ready, leaving, absent.
     fn upstream(&mut self, number: usize) {
         let key = format!("upstreams/u{number}");
         let next = match self.truth.get(key.as_str()).map(|value| read::<Upstream>(value)) {
@@ -146,7 +146,7 @@
         self.restored.insert(self.era, now);
     }
 
-    /// Writes again what is missing, and takes away again what is back.
+    /// Writes what is missing again, and removes again what came back.
     fn write_again(&mut self) {
         let items = self.items();
         let keys: BTreeSet<Key> = items.keys().chain(self.truth.keys()).cloned().collect();
@@ -169,13 +169,13 @@
     serde_json::from_str(value).expect("it is a resource")
 }
 
-/// A daemon, and what it has once known.
+/// A daemon, and what it has known at some time.
 #[derive(Default)]
 pub struct Daemon {
     pub config: Configuration,
-    /// The zones that it had evacuated, while they are.
+    /// The evacuations that it had in force, as long as they last.
     evacuated: BTreeMap<Key, Evacuation>,
-    /// The starts of upstreams that it knew to be leaving or gone, while that is so.
+    /// The start times of upstreams that it knew to be leaving or gone, as long as they are.
     left: BTreeMap<Key, u64>,
     edition: Edition,
 }
@@ -196,26 +196,26 @@
                 base: revision(number),
                 revision: revision(number + 1),
                 changes: vec![change],
-                span: Span::Step,
+                kind: DeltaKind::Single,
             };
             drop(self.config.offer(&delta));
         }
     }
 
-    fn hear(&mut self, other: &Configuration, now: Instant) {
-        if !self.config.lacks(other.revision(), Some(other.retained_mark())) {
+    fn receive(&mut self, other: &Configuration, now: Instant) {
+        if !self.config.is_behind(other.revision(), Some(other.retained_mark())) {
             return;
         }
         let mark = Some(self.config.retained_mark());
         let (news, retained) = other.news(self.config.revision(), mark, now).split();
-        self.config.learn(news);
+        self.config.merge_news(news);
         if let Some(retained) = retained {
-            self.config.join(&retained.heard(now));
+            self.config.merge_retained(&retained.into_retained(now));
         }
     }
 }
 
-/// Everything of one history.
+/// The complete state of one history.
 pub struct World {
     pub platform: Platform,
     pub daemons: Vec<Daemon>,
@@ -238,7 +238,7 @@
         at(self.start, self.now)
     }
 
-    pub fn take(&mut self, step: Step) {
+    pub fn apply(&mut self, step: Step) {
         match step {
             Step::Publish => self.platform.publish(),
             Step::Evacuate(zone) => self.platform.evacuate(zone),
@@ -247,7 +247,7 @@
             Step::WriteAgain => self.platform.write_again(),
             Step::List(who) => self.daemons[who].list(&self.platform),
             Step::Watch(who) => self.daemons[who].watch(&self.platform),
-            Step::Hear(to, from) => self.hear(to, from),
+            Step::Receive(to, from) => self.receive(to, from),
             Step::Restart(who) => self.restart(who),
             Step::Wait(time) => self.now += time,
         }
@@ -257,81 +257,86 @@
         }
     }
 
-    fn hear(&mut self, to: usize, from: usize) {
+    fn receive(&mut self, to: usize, from: usize) {
         let other = self.daemons[from].config.clone();
         let now = self.instant();
-        self.daemons[to].hear(&other, now);
+        self.daemons[to].receive(&other, now);
     }
 
     fn restart(&mut self, who: usize) {
         self.daemons[who] = Daemon::default();
         self.daemons[who].list(&self.platform);
         for other in (0..DAEMONS).filter(|other| *other != who) {
-            // Those that are behind enter the era first.
-            self.hear(other, who);
-            self.hear(who, other);
+            // Daemons that are behind enter the era first.
+            self.receive(other, who);
+            self.receive(who, other);
         }
-        // It serves from here on, by no older edition than those that it heard.
+        // It starts to serve now, with an edition that is no older than any that it received.
         let editions = self.daemons.iter().map(|daemon| daemon.edition);
         self.daemons[who].edition = editions.max().unwrap_or(0);
     }
 
-    /// Returns how long ago an era began; none of the first one.
-    fn back(&self, era: Era) -> Option<Duration> {
+    /// Returns how long ago an era began. `None` for the first one.
+    fn era_age(&self, era: Era) -> Option<Duration> {
         self.platform.restored.get(&era).map(|restored| Duration::from_millis(self.now - restored))
     }
 
     pub fn check(&mut self) -> Result<(), TestCaseError> {
-        let backs: Vec<Option<Duration>> =
-            self.daemons.iter().map(|daemon| daemon.config.era().and_then(|era| self.back(era))).collect();
+        let era_ages: Vec<Option<Duration>> =
+            self.daemons.iter().map(|daemon| daemon.config.era().and_then(|era| self.era_age(era))).collect();
         let truth = &self.platform.truth;
-        for (who, (daemon, back)) in self.daemons.iter_mut().zip(backs).enumerate() {
+        for (who, (daemon, era_age)) in self.daemons.iter_mut().zip(era_ages).enumerate() {
             let set = daemon.config.set();
-            prop_assert!(set.edition() >= daemon.edition, "daemon {} went back", who);
+            prop_assert!(set.edition() >= daemon.edition, "daemon {} went back to an older edition", who);
             daemon.edition = set.edition();
             let zones = set.evacuations.iter();
             let evacuated = zones.map(|(zone, held)| (Key::from(format!("evacuations/{zone}")), held));
             let evacuated: BTreeMap<Key, &Arc<Evacuation>> = evacuated.collect();
-            // One that was taken back and asked for anew is another one.
-            let stands = |zone: &Key| truth.get(zone).map(|value| read::<Evacuation>(value));
-            daemon.evacuated.retain(|zone, held| stands(zone).as_ref() == Some(held));
-            if back.is_none_or(|back| back < OPERATOR_TIME) {
+            // An evacuation that was lifted and requested again is a different one.
+            let confirmed = |zone: &Key| truth.get(zone).map(|value| read::<Evacuation>(value));
+            daemon.evacuated.retain(|zone, held| confirmed(zone).as_ref() == Some(held));
+            if era_age.is_none_or(|era_age| era_age < OPERATOR_TIME) {
                 let missed = daemon.evacuated.keys().filter(|zone| !evacuated.contains_key(*zone));
                 let missed: Vec<&Key> = missed.collect();
-                prop_assert!(missed.is_empty(), "daemon {} sends to {:?} again", who, missed);
+                prop_assert!(
+                    missed.is_empty(),
+                    "daemon {} sends to {:?} again despite the evacuation",
+                    who,
+                    missed
+                );
             }
-            let known = evacuated.into_iter().filter(|(zone, held)| stands(zone).as_ref() == Some(held));
+            let known = evacuated.into_iter().filter(|(zone, held)| confirmed(zone).as_ref() == Some(held));
             daemon.evacuated = known.map(|(zone, held)| (zone, (**held).clone())).collect();
-            check_left(who, daemon, truth, back)?;
+            check_left(who, daemon, truth, era_age)?;
         }
         Ok(())
     }
 
-    /// Writes everything again, lets everyone read and all times pass.
+    /// Writes everything again, lets every daemon read it and lets all retention times pass.
     pub fn settle(&mut self) {
         self.platform.write_again();
-        (0..DAEMONS).for_each(|who| self.take(Step::Watch(who)));
+        (0..DAEMONS).for_each(|who| self.apply(Step::Watch(who)));
         for to in 0..DAEMONS {
-            (0..DAEMONS).for_each(|from| self.take(Step::Hear(to, from)));
+            (0..DAEMONS).for_each(|from| self.apply(Step::Receive(to, from)));
         }
-        self.take(Step::Wait(millis(OPERATOR_TIME)));
+        self.apply(Step::Wait(millis(OPERATOR_TIME)));
     }
 }
 
-/// Checks that an upstream that is known to leave or to be gone takes no work from that
-/// start again, in the time in which nobody could have written.
+/// Checks that an upstream that is known to be leaving or gone gets no work under the same start
+/// time while nobody could have written again.
 fn check_left(
     who: usize,
     daemon: &mut Daemon,
     truth: &Items,
-    back: Option<Duration>,
+    era_age: Option<Duration>,
 ) -> Result<(), TestCaseError> {
     let ready = |name: &str| {
         let upstream = daemon.config.set().upstreams.get(name);
         upstream.filter(|upstream| !upstream.leaving).and_then(|upstream| upstream.born)
     };
-    if back.is_some_and(|back| back >= HEARTBEAT * 3) {
-        // Who has not written by now is told as the platform has it.
+    if era_age.is_some_and(|era_age| era_age >= HEARTBEAT * 3) {
+        // An upstream that has not written by now has the state that the platform reports.
         daemon.left.clear();
     }
     for number in 0..UPSTREAMS {
@@ -340,9 +345,9 @@
         if let Some(born) = daemon.left.get(&key) {
             prop_assert!(ready(&name) != Some(*born), "daemon {} uses {} again, which had left", who, name);
         }
-        let told: Option<Upstream> = truth.get(&key).map(|value| read(value));
-        let lives = told.as_ref().filter(|upstream| !upstream.leaving).and_then(|upstream| upstream.born);
-        if lives.is_some() {
+        let reported: Option<Upstream> = truth.get(&key).map(|value| read(value));
+        let live = reported.as_ref().filter(|upstream| !upstream.leaving).and_then(|upstream| upstream.born);
+        if live.is_some() {
             daemon.left.remove(&key);
         } else if let Some(Upstream { leaving: true, born: Some(born), .. }) =
             daemon.config.set().upstreams.get(&*name).map(|upstream| (**upstream).clone())
--- a/crates/harefield/tests/decisions/groups.rs
+++ b/crates/harefield/tests/decisions/groups.rs
@@ -18,13 +18,11 @@
 use harefield::domain::fanout::Send;
 use harefield::domain::ids::HostId;
 use harefield::domain::ids::ShardId;
+use harefield::domain::membership::MemberRow;
 use harefield::domain::membership::PeerState;
-use harefield::domain::membership::Row;
 use harefield::domain::outcome::Gap;
 use harefield::domain::outcome::Outcome;
-use harefield::domain::places::Distance;
-use harefield::domain::places::Places;
-use harefield::domain::reply::ByteReply;
+use harefield::domain::reply::OpaqueReply;
 use harefield::domain::reply::Reply;
 use harefield::domain::resources::Preference;
 use harefield::domain::resources::ResourceSet;
@@ -33,6 +31,8 @@
 use harefield::domain::routing::Policy;
 use harefield::domain::routing::RelayVerdict;
 use harefield::domain::routing::Router;
+use harefield::domain::topology::Distance;
+use harefield::domain::topology::Topology;
 use harefield::domain::view::LookupPlan;
 use harefield::domain::view::ReplicaLimit;
 
@@ -57,18 +57,18 @@
     revoked: usize,
 }
 
-fn places() -> Places {
+fn places() -> Topology {
     let regions = [("a", "r1"), ("b", "r2"), ("c", "r1")].map(|(zone, region)| (zone.into(), region.into()));
-    Places { zone: "a".into(), regions: BTreeMap::from(regions) }
+    Topology { zone: "a".into(), regions: BTreeMap::from(regions) }
 }
 
 fn host() -> HostId {
     "10.0.0.2:7200".into()
 }
 
-fn daemon(zone: &str, live: bool) -> Row {
+fn daemon(zone: &str, live: bool) -> MemberRow {
     let state = if live { PeerState::Live } else { PeerState::Suspect };
-    Row { host: host(), state, ..row(0, zone) }
+    MemberRow { host: host(), state, ..row(0, zone) }
 }
 
 impl World {
@@ -188,12 +188,12 @@
 }
 
 fn part(text: &str) -> Reply {
-    let reply = ByteReply { status: 200, signature: Some(text.into()), ..ByteReply::default() };
-    Reply::Bytes(Arc::new(reply))
+    let reply = OpaqueReply { status: 200, signature: Some(text.into()), ..OpaqueReply::default() };
+    Reply::Opaque(Arc::new(reply))
 }
 
 fn signature(reply: &Reply) -> &str {
-    reply.bytes().and_then(|reply| reply.signature.as_deref()).unwrap_or("")
+    reply.opaque().and_then(|reply| reply.signature.as_deref()).unwrap_or("")
 }
 
 #[test]
@@ -425,5 +425,5 @@
     assert_eq!(places.distance("c"), Distance::Region);
     assert_eq!(places.distance("b"), Distance::Far);
     assert_eq!(places.distance("unknown"), Distance::Far);
-    assert_eq!(Places::default().distance("b"), Distance::Near, "without regions all is near");
+    assert_eq!(Topology::default().distance("b"), Distance::Near, "without regions all is near");
 }
--- a/crates/harefield/tests/decisions/lease.rs
+++ b/crates/harefield/tests/decisions/lease.rs
@@ -1,4 +1,4 @@
-//! A worker that was paused acts on nothing until its facts are confirmed.
+//! A worker that was paused sends no work until its facts are confirmed.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -28,15 +28,19 @@
     let mut lease = Lease::new(start);
     let busy = Duration::from_millis(20);
     lease.renew(start + RENEW_EVERY + busy);
-    assert_eq!(lease.held_up(start + RENEW_EVERY + busy), Duration::ZERO, "a busy turn is none");
+    assert_eq!(
+        lease.queueing_delay(start + RENEW_EVERY + busy),
+        Duration::ZERO,
+        "a busy turn of the executor is no delay"
+    );
     let renewed = start + RENEW_EVERY + busy;
     let held = Duration::from_millis(560);
     let woken = renewed + RENEW_EVERY + held;
-    assert_eq!(lease.held_up(woken), held, "before the timer fires");
+    assert_eq!(lease.queueing_delay(woken), held, "before the timer fires");
     lease.renew(woken);
-    assert_eq!(lease.held_up(woken), held, "what it reads next waited as long");
+    assert_eq!(lease.queueing_delay(woken), held, "what it reads next has waited as long");
     lease.renew(woken + RENEW_EVERY);
-    assert_eq!(lease.held_up(woken + RENEW_EVERY), Duration::ZERO);
+    assert_eq!(lease.queueing_delay(woken + RENEW_EVERY), Duration::ZERO);
 }
 
 #[test]
@@ -52,20 +56,20 @@
 }
 
 #[test]
-fn old_confirmation() {
+fn outdated_confirmation() {
     let start = Instant::now();
     let mut lease = Lease::new(start);
     let woken = start + PAUSE_LIMIT * 3;
     lease.renew(woken);
     lease.confirm(start, woken);
-    assert!(!lease.held(woken), "it was asked for before the pause");
+    assert!(!lease.held(woken), "it was requested before the pause");
 }
 
 proptest! {
     #![proptest_config(cases(400))]
 
-    /// After any gap over the limit, the lease is held only past a
-    /// confirmation that was asked for after it.
+    /// After any gap above the limit, the lease is held only once a confirmation succeeds that was
+    /// requested after the gap.
     #[test]
     fn never_without_confirmation(steps in prop::collection::vec((0_u64..2500, any::<bool>()), 1..40)) {
         let mut now = Instant::now();
--- a/crates/harefield/tests/decisions/limits_model.rs
+++ b/crates/harefield/tests/decisions/limits_model.rs
@@ -20,8 +20,8 @@
 use harefield::domain::accounts::PartLimit;
 use harefield::domain::accounts::SlotId;
 use harefield::domain::ids::HostId;
+use harefield::domain::membership::MemberRow;
 use harefield::domain::membership::PeerState;
-use harefield::domain::membership::Row;
 use harefield::domain::resources::Account;
 
 const OVERAGE: Overage = Overage { window: Duration::from_secs(5), share: 0.25, slack: 20.0 };
@@ -64,7 +64,7 @@
 }
 
 struct Fleet {
-    rows: Vec<Row>,
+    rows: Vec<MemberRow>,
     zones: Vec<Arc<str>>,
     grants: BTreeMap<HostId, Grants>,
     /// The daemons as those in touch see them, and as each that is cut off does.
@@ -78,7 +78,7 @@
 impl Fleet {
     fn new(daemons: usize, account: &Account, division: Division) -> Self {
         let zones: Vec<Arc<str>> = (0..6).map(|number| format!("z{number}").into()).collect();
-        let rows: Vec<Row> = (0..daemons).map(|number| row(number, &zones[number % 6])).collect();
+        let rows: Vec<MemberRow> = (0..daemons).map(|number| row(number, &zones[number % 6])).collect();
         let start = Instant::now();
         let mut seen = Holders::over(&zones, &zones[0]);
         seen.see(&rows, start);
@@ -137,7 +137,7 @@
     }
 }
 
-fn suspect(row: &mut Row) {
+fn suspect(row: &mut MemberRow) {
     row.state = PeerState::Suspect;
 }
 
--- a/crates/harefield/tests/decisions/main.rs
+++ b/crates/harefield/tests/decisions/main.rs
@@ -1,7 +1,8 @@
-//! Tests of the decisions, without I/O and in virtual time.
+//! Tests of the decisions, without I/O and in simulated time.
 
 mod accounts;
 mod admission;
+mod announcements;
 mod budgets;
 mod buffers;
 mod carriers;
@@ -42,6 +43,5 @@
 mod support;
 mod suspects;
 mod views;
-mod words;
 mod work;
 mod world;
--- a/crates/harefield/tests/decisions/merging.rs
+++ b/crates/harefield/tests/decisions/merging.rs
@@ -1,4 +1,4 @@
-//! Merging records.
+//! Merging of records.
 
 use proptest::prelude::*;
 
@@ -10,7 +10,7 @@
 proptest! {
     #![proptest_config(cases(200))]
 
-    /// The merge is what sorting all records and keeping the first would give.
+    /// The result equals that of sorting all records and keeping the first ones.
     #[test]
     fn greatest_kept(bodies in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..200), 0..6), most in 0_usize..12) {
         let mut all: Vec<&[u8]> = bodies.iter().flat_map(|body| body.chunks_exact(RECORD_BYTES)).collect();
@@ -19,7 +19,7 @@
         prop_assert_eq!(greatest(bodies.iter().map(|body| &**body), most), expected);
     }
 
-    /// Merging merged parts gives the same as merging all at once.
+    /// Merging already merged parts gives the same result as merging everything at once.
     #[test]
     fn merge_of_merges(bodies in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..200), 2..6), most in 1_usize..8) {
         let parts: Vec<Vec<u8>> = bodies.chunks(2).map(|some| greatest(some.iter().map(|body| &**body), most)).collect();
--- a/crates/harefield/tests/decisions/once.rs
+++ b/crates/harefield/tests/decisions/once.rs
@@ -1,4 +1,4 @@
-//! Tickets and their ledger.
+//! Tickets of once-only requests and their ledger.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,11 +8,11 @@
 
 use crate::support::cases;
 use harefield::domain::code::Code;
-use harefield::domain::once::Begin;
 use harefield::domain::once::Binding;
 use harefield::domain::once::Ledger;
-use harefield::domain::once::MOST_OUTCOMES;
-use harefield::domain::once::TICKET_LIFE;
+use harefield::domain::once::MAX_OUTCOMES;
+use harefield::domain::once::SubmitAction;
+use harefield::domain::once::TICKET_LIFETIME;
 use harefield::domain::once::Ticket;
 use harefield::domain::outcome::Answer;
 use harefield::domain::outcome::Outcome;
@@ -28,10 +28,10 @@
 }
 
 fn answered() -> Answer {
-    Answer::bare("r", Outcome::Answered, Code::Whole)
+    Answer::empty("r", Outcome::Answered, Code::Whole)
 }
 
-/// What callers, daemons and time do to one ticket's ledger.
+/// What callers, daemons and time do to the ledger of one incarnation.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Issue,
@@ -58,13 +58,13 @@
 proptest! {
     #![proptest_config(cases(800))]
 
-    /// Whatever is submitted again, and whenever the daemon restarts, a ticket
-    /// is run again only after it is known not to have run.
+    /// However often a ticket is submitted, and whenever the daemon restarts, its request runs
+    /// again only after it is known not to have run.
     #[test]
     fn runs_at_most_once(steps in prop::collection::vec(step(), 1..80)) {
         let mut now = Instant::now();
-        let mut life = 1;
-        let mut ledger = ledger(life);
+        let mut incarnation = 1;
+        let mut ledger = ledger(incarnation);
         let mut tickets: Vec<Ticket> = Vec::new();
         let mut running: Vec<Ticket> = Vec::new();
         let mut runs: BTreeMap<String, u32> = BTreeMap::new();
@@ -73,7 +73,7 @@
                 Step::Issue => tickets.extend(ledger.issue(now)),
                 Step::Submit(n) if !tickets.is_empty() => {
                     let ticket = tickets[n % tickets.len()].clone();
-                    if let Begin::Run = ledger.begin(&ticket, binding(), now) {
+                    if let SubmitAction::Run = ledger.submit(&ticket, binding(), now) {
                         let count = runs.entry(ticket.to_string()).or_default();
                         *count += 1;
                         prop_assert_eq!(*count, 1, "{} runs a second time", ticket);
@@ -84,7 +84,7 @@
                     let ticket = running.swap_remove(n % running.len());
                     let unknown = matches!(step, Step::FinishUnknown(_));
                     let outcome = if unknown { Outcome::MayHaveRun } else { Outcome::Answered };
-                    ledger.finish(ticket.number, &Answer::bare("r", outcome, Code::Whole), now);
+                    ledger.finish(ticket.number, &Answer::empty("r", outcome, Code::Whole), now);
                 }
                 Step::FinishNotRun(n) if !running.is_empty() => {
                     let ticket = running.swap_remove(n % running.len());
@@ -92,8 +92,8 @@
                     runs.remove(&ticket.to_string());
                 }
                 Step::Restart => {
-                    life += 1;
-                    ledger = Ledger::new(HOST.into(), life);
+                    incarnation += 1;
+                    ledger = Ledger::new(HOST.into(), incarnation);
                     running.clear();
                 }
                 Step::Wait(seconds) => now += Duration::from_secs(seconds),
@@ -102,13 +102,13 @@
         }
     }
 
-    /// A ticket that names another incarnation is never called "not run".
+    /// A ticket of another incarnation is never answered with "not run".
     #[test]
     fn gone_may_have_run(own in any::<u64>(), other in any::<u64>(), number in any::<u64>()) {
         prop_assume!(own != other);
         let ticket = Ticket { host: HOST.into(), incarnation: other, number };
-        match ledger(own).begin(&ticket, binding(), Instant::now()) {
-            Begin::Refuse(outcome, code) => {
+        match ledger(own).submit(&ticket, binding(), Instant::now()) {
+            SubmitAction::Refuse(outcome, code) => {
                 prop_assert_eq!(outcome, Outcome::MayHaveRun);
                 prop_assert_eq!(code, Code::TicketGone);
             }
@@ -116,14 +116,14 @@
         }
     }
 
-    /// A ticket's text names it again.
+    /// Parsing the text of a ticket returns the ticket.
     #[test]
     fn text_round_trip(incarnation in any::<u64>(), number in any::<u64>()) {
         let ticket = Ticket { host: HOST.into(), incarnation, number };
         prop_assert_eq!(ticket.to_string().parse::<Ticket>(), Ok(ticket));
     }
 
-    /// No text panics or is taken for a ticket unless it is one.
+    /// No text causes a panic, and only valid texts are parsed as tickets.
     #[test]
     fn text_malformed(text in ".{0,40}") {
         if let Ok(ticket) = text.parse::<Ticket>() {
@@ -137,52 +137,52 @@
     let now = Instant::now();
     let mut ledger = ledger(1);
     let ticket = ledger.issue(now).expect("a ticket");
-    assert!(matches!(ledger.begin(&ticket, binding(), now), Begin::Run));
-    assert!(matches!(ledger.begin(&ticket, binding(), now), Begin::Wait));
+    assert!(matches!(ledger.submit(&ticket, binding(), now), SubmitAction::Run));
+    assert!(matches!(ledger.submit(&ticket, binding(), now), SubmitAction::Wait));
     ledger.finish(ticket.number, &answered(), now);
-    assert!(matches!(ledger.begin(&ticket, binding(), now), Begin::Replay(_)));
+    assert!(matches!(ledger.submit(&ticket, binding(), now), SubmitAction::Replay(_)));
 }
 
 #[test]
-fn other_body() {
+fn different_body_refused() {
     let now = Instant::now();
     let mut ledger = ledger(1);
     let ticket = ledger.issue(now).expect("a ticket");
-    assert!(matches!(ledger.begin(&ticket, binding(), now), Begin::Run));
+    assert!(matches!(ledger.submit(&ticket, binding(), now), SubmitAction::Run));
     let other = Binding::new("label", b"{\"n\":2}");
-    let refused = ledger.begin(&ticket, other, now);
-    assert!(matches!(refused, Begin::Refuse(Outcome::NotRun, Code::TicketMismatch)));
+    let refused = ledger.submit(&ticket, other, now);
+    assert!(matches!(refused, SubmitAction::Refuse(Outcome::NotRun, Code::TicketMismatch)));
 }
 
 #[test]
-fn expired_unused() {
+fn expired_ticket_refused() {
     let now = Instant::now();
     let mut ledger = ledger(1);
     let ticket = ledger.issue(now).expect("a ticket");
-    let late = now + TICKET_LIFE + Duration::from_secs(1);
-    let refused = ledger.begin(&ticket, binding(), late);
-    assert!(matches!(refused, Begin::Refuse(Outcome::NotRun, Code::TicketExpired)));
+    let late = now + TICKET_LIFETIME + Duration::from_secs(1);
+    let refused = ledger.submit(&ticket, binding(), late);
+    assert!(matches!(refused, SubmitAction::Refuse(Outcome::NotRun, Code::TicketExpired)));
 }
 
 #[test]
-fn forgotten_outcome() {
+fn evicted_outcome_may_have_run() {
     let now = Instant::now();
     let mut ledger = ledger(1);
     let first = ledger.issue(now).expect("a ticket");
-    for _ in 0..=MOST_OUTCOMES {
+    for _ in 0..=MAX_OUTCOMES {
         let ticket = ledger.issue(now).expect("a ticket");
-        assert!(matches!(ledger.begin(&ticket, binding(), now), Begin::Run));
+        assert!(matches!(ledger.submit(&ticket, binding(), now), SubmitAction::Run));
         ledger.finish(ticket.number, &answered(), now);
     }
-    assert!(matches!(ledger.begin(&first, binding(), now), Begin::Run));
+    assert!(matches!(ledger.submit(&first, binding(), now), SubmitAction::Run));
     let second = Ticket { number: 2, ..first };
-    let refused = ledger.begin(&second, binding(), now);
-    assert!(matches!(refused, Begin::Refuse(Outcome::MayHaveRun, Code::OutcomeForgotten)));
+    let refused = ledger.submit(&second, binding(), now);
+    assert!(matches!(refused, SubmitAction::Refuse(Outcome::MayHaveRun, Code::OutcomeForgotten)));
 }
 
 #[test]
-fn unissued_number() {
+fn unissued_number_refused() {
     let ticket = Ticket { host: HOST.into(), incarnation: 1, number: 5 };
-    let refused = ledger(1).begin(&ticket, binding(), Instant::now());
-    assert!(matches!(refused, Begin::Refuse(Outcome::NotRun, Code::MalformedTicket)));
+    let refused = ledger(1).submit(&ticket, binding(), Instant::now());
+    assert!(matches!(refused, SubmitAction::Refuse(Outcome::NotRun, Code::MalformedTicket)));
 }
--- a/crates/harefield/tests/decisions/rejecting_model.rs
+++ b/crates/harefield/tests/decisions/rejecting_model.rs
@@ -19,9 +19,8 @@
 use harefield::domain::fanout::Send;
 use harefield::domain::ids::UpstreamId;
 use harefield::domain::outcome::Gap;
-use harefield::domain::places::Places;
 use harefield::domain::ratio;
-use harefield::domain::reply::ByteReply;
+use harefield::domain::reply::OpaqueReply;
 use harefield::domain::reply::Reply;
 use harefield::domain::resources::Preference;
 use harefield::domain::resources::ResourceSet;
@@ -32,6 +31,7 @@
 use harefield::domain::routing::Report;
 use harefield::domain::routing::Router;
 use harefield::domain::routing::Verdict;
+use harefield::domain::topology::Topology;
 use harefield::domain::view::Plan;
 use harefield::domain::view::ReplicaLimit;
 
@@ -87,7 +87,7 @@
         let view = view(&set);
         let regions =
             [("a", "r1"), ("b", "r2"), ("c", "r3")].map(|(zone, region)| (zone.into(), region.into()));
-        let places = Places { zone: "a".into(), regions: BTreeMap::from(regions) };
+        let places = Topology { zone: "a".into(), regions: BTreeMap::from(regions) };
         let budgets = Budgets::by_service(FleetSlack { share: 0.2, slack: SLACK }, MEMBERS);
         let mut router = Router::new(Policy::Cost, budgets, seed, now).at(places);
         router.apply(&view, now);
@@ -185,8 +185,8 @@
 }
 
 fn answer() -> AttemptEnd {
-    let reply = ByteReply { status: 200, signature: Some("s".into()), ..ByteReply::default() };
-    AttemptEnd::Answered(Reply::Bytes(Arc::new(reply)))
+    let reply = OpaqueReply { status: 200, signature: Some("s".into()), ..OpaqueReply::default() };
+    AttemptEnd::Answered(Reply::Opaque(Arc::new(reply)))
 }
 
 /// Returns the shares served in each second after upstreams began to reject.
--- a/crates/harefield/tests/decisions/residency.rs
+++ b/crates/harefield/tests/decisions/residency.rs
@@ -19,12 +19,12 @@
 use harefield::domain::feed::Change;
 use harefield::domain::hosts::HostList;
 use harefield::domain::outcome::Gap;
-use harefield::domain::places::Places;
 use harefield::domain::residency::Residency;
 use harefield::domain::resources::ResourceSet;
 use harefield::domain::revision::Revision;
 use harefield::domain::routing::Ask;
 use harefield::domain::routing::Until;
+use harefield::domain::topology::Topology;
 use harefield::domain::view::View;
 use harefield::domain::view::ViewSources;
 
@@ -37,9 +37,9 @@
     &zone[..1]
 }
 
-fn places() -> Places {
+fn places() -> Topology {
     let regions = ZONES.iter().map(|zone| ((*zone).into(), region_of(zone).into()));
-    Places { zone: "a1".into(), regions: regions.collect() }
+    Topology { zone: "a1".into(), regions: regions.collect() }
 }
 
 /// Returns a set of shards whose replicas stand in the zones given, for a lookup that may
@@ -154,7 +154,7 @@
     let homes: [Arc<str>; 1] = ["a".into()];
     assert!(!Residency::new(&homes).allows(None));
     assert!(Residency::new(&[]).allows(None));
-    let places = Places { regions: BTreeMap::new(), ..places() };
+    let places = Topology { regions: BTreeMap::new(), ..places() };
     assert!(!Residency::new(&homes).allows(Some(places.region_of(&"a1".into()))));
 }
 
--- a/crates/harefield/tests/decisions/revisions.rs
+++ b/crates/harefield/tests/decisions/revisions.rs
@@ -1,12 +1,12 @@
-//! Revisions, and how daemons write them to each other.
+//! Revisions, and their format in messages between daemons.
 
 use proptest::prelude::*;
 
 use crate::support::cases;
 use harefield::domain::feed::Delta;
+use harefield::domain::feed::DeltaKind;
 use harefield::domain::feed::Items;
 use harefield::domain::feed::News;
-use harefield::domain::feed::Span;
 use harefield::domain::ids::Era;
 use harefield::domain::retained::ReadHistory;
 use harefield::domain::retained::RetainedMark;
@@ -20,9 +20,9 @@
 proptest! {
     #![proptest_config(cases(500))]
 
-    /// Revisions are ordered by era first, and are read as they were written.
+    /// Revisions are ordered by era first, and parsing what was written returns the same revision.
     #[test]
-    fn revisions_survive(one in any::<(Era, u64)>(), other in any::<(Era, u64)>()) {
+    fn revisions_round_trip(one in any::<(Era, u64)>(), other in any::<(Era, u64)>()) {
         let [one, other] = [one, other].map(|(era, number)| Revision::new(era, number));
         prop_assert_eq!(one.cmp(&other), (one.era, one.number).cmp(&(other.era, other.number)));
         prop_assert_eq!(one.to_string().parse(), Ok(one));
@@ -32,34 +32,34 @@
 }
 
 #[test]
-fn messages_survive() {
+fn messages_round_trip() {
     let of = Revision::new(1, 61);
     let context = ReadHistory::default().with(of);
     let retained = RetainedReport {
         era: 2,
-        context,
-        kept: [("evacuations/a".into(), RetainedValue { value: "{}".into(), of })].into(),
-        doubted: [("upstreams/u".into(), of)].into(),
+        history: context,
+        values: [("evacuations/a".into(), RetainedValue { value: "{}".into(), known_at: of })].into(),
+        departed: [("upstreams/u".into(), of)].into(),
         age: 7,
     };
     let delta = Delta {
         base: Revision::new(1, 61),
         revision: Revision::new(2, 58),
         changes: Vec::new(),
-        span: Span::Whole,
+        kind: DeltaKind::Cumulative,
     };
-    let news = News::Carrying { news: Box::new(News::Deltas(vec![delta])), retained };
+    let news = News::WithRetained { news: Box::new(News::Deltas(vec![delta])), retained };
     let bytes = rmp_serde::to_vec_named(&news).expect("it is written");
     assert_eq!(rmp_serde::from_slice::<News>(&bytes).expect("it is read"), news);
-    let mark = RetainedMark { context, edition: 52 };
-    let told = Mark {
+    let mark = RetainedMark { history: context, edition: 52 };
+    let mark_sent = Mark {
         space: Space::Config,
         revision: Some(Revision::new(2, 58)),
         age: Some(1),
         retained: Some(mark),
     };
-    let bytes = rmp_serde::to_vec_named(&told).expect("it is written");
-    assert_eq!(rmp_serde::from_slice::<Mark>(&bytes).expect("it is read"), told);
+    let bytes = rmp_serde::to_vec_named(&mark_sent).expect("it is written");
+    assert_eq!(rmp_serde::from_slice::<Mark>(&bytes).expect("it is read"), mark_sent);
     let pull = Pull { space: Space::Config, have: Some(Revision::new(1, 61)), retained: Some(mark) };
     let bytes = rmp_serde::to_vec_named(&pull).expect("it is written");
     let read = rmp_serde::from_slice::<Pull>(&bytes).expect("it is read");
@@ -68,7 +68,7 @@
 
 #[test]
 fn older_daemons_read_numbers() {
-    // What a daemon that knows no eras writes and reads: the numbers alone.
+    // The format of a daemon that does not know eras: revision numbers only.
     #[derive(Debug, PartialEq, serde::Serialize, serde::Deserialize)]
     struct OldMark {
         space: Space,
@@ -76,19 +76,19 @@
         #[serde(default)]
         age: Option<u64>,
     }
-    let told = Mark {
+    let mark_sent = Mark {
         space: Space::Config,
         revision: Some(Revision::new(2, 58)),
         age: Some(3),
         retained: Some(RetainedMark::default()),
     };
-    let bytes = rmp_serde::to_vec_named(&told).expect("it is written");
+    let bytes = rmp_serde::to_vec_named(&mark_sent).expect("it is written");
     let read: OldMark = rmp_serde::from_slice(&bytes).expect("it is read");
     assert_eq!(read, OldMark { space: Space::Config, revision: Some(58), age: Some(3) });
     let bytes = rmp_serde::to_vec_named(&read).expect("it is written");
-    let heard: Mark = rmp_serde::from_slice(&bytes).expect("it is read");
-    assert_eq!(heard.revision, Some(Revision::first(58)), "it is of no era that is above 0");
-    assert_eq!(heard.retained, None);
+    let received: Mark = rmp_serde::from_slice(&bytes).expect("it is read");
+    assert_eq!(received.revision, Some(Revision::first(58)), "it is in era 0");
+    assert_eq!(received.retained, None);
     let news = News::Full { revision: Revision::new(2, 58), items: Items::new() };
     let bytes = rmp_serde::to_vec_named(&news).expect("it is written");
     let text: serde_json::Value = rmp_serde::from_slice(&bytes).expect("it is read");
--- a/crates/harefield/tests/decisions/sharing.rs
+++ b/crates/harefield/tests/decisions/sharing.rs
@@ -14,8 +14,7 @@
 use harefield::domain::fanout::MOST_TRIALS;
 use harefield::domain::fanout::Rules;
 use harefield::domain::ids::HostId;
-use harefield::domain::membership::Row;
-use harefield::domain::places::Places;
+use harefield::domain::membership::MemberRow;
 use harefield::domain::resources::Preference;
 use harefield::domain::resources::ResourceSet;
 use harefield::domain::routing::Allowance;
@@ -27,6 +26,7 @@
 use harefield::domain::routing::Router;
 use harefield::domain::routing::Wanted;
 use harefield::domain::routing::share;
+use harefield::domain::topology::Topology;
 
 use crate::support::at;
 use crate::support::cases;
@@ -47,7 +47,7 @@
 /// A fleet in which zones `a` and `b` are one region and `c` another; all replicas stand in
 /// `a`, or those of every other shard in `b`.
 struct Fleet {
-    rows: Vec<Row>,
+    rows: Vec<MemberRow>,
     shards: usize,
     objective: u64,
     spread: bool,
@@ -81,7 +81,7 @@
 
 impl Fleet {
     fn new(shards: usize, objective: u64, zones: &[(&str, u32)]) -> Self {
-        let row = |(number, (zone, capacity)): (usize, &(&str, u32))| Row {
+        let row = |(number, (zone, capacity)): (usize, &(&str, u32))| MemberRow {
             capacity: *capacity,
             ..row(number, zone)
         };
@@ -114,7 +114,7 @@
         let own = &self.rows[daemon];
         let regions =
             [("a", "r1"), ("b", "r1"), ("c", "r2")].map(|(zone, region)| (zone.into(), region.into()));
-        let places = Places { zone: Arc::clone(&own.zone), regions: BTreeMap::from(regions) };
+        let places = Topology { zone: Arc::clone(&own.zone), regions: BTreeMap::from(regions) };
         let own = Own { host: Arc::clone(&own.host), capacity: own.capacity, ..Own::default() };
         let mut router = Router::new(Policy::Cost, Budgets::one(0.05), 7, now).at(places).of(own.clone());
         router.apply(&view, now);
@@ -150,7 +150,7 @@
 
     /// Returns when the last request of all daemons has left, by their own pace alone.
     fn last_sent(&self, daemon: usize, shared: &Shared) -> Duration {
-        let pace = |row: &Row, shards: usize| {
+        let pace = |row: &MemberRow, shards: usize| {
             SHARD_TIME * u32::try_from(shards).expect("they are few") * 1000 / row.capacity
         };
         let own = pace(&self.rows[daemon], shared.own + GROUP_COST * shared.groups.len());
--- a/crates/harefield/tests/decisions/snapshot.rs
+++ b/crates/harefield/tests/decisions/snapshot.rs
@@ -1,4 +1,4 @@
-//! The one snapshot of an answer.
+//! The choice of the snapshot for an answer.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use harefield::domain::snapshot::choose;
 
 #[test]
-fn newest_held() {
+fn newest_chosen() {
     let view = view(&set(3, 2, &[1, 2]));
     let plans = &view.lookups["l"].plans;
     assert_eq!(choose(plans, |_, _| true).map(|plan| plan.version), Some(2));
@@ -26,14 +26,14 @@
 }
 
 #[test]
-fn most_covered() {
+fn best_coverage_chosen() {
     let view = view(&set(3, 2, &[1, 2]));
     let plans = &view.lookups["l"].plans;
-    let holes = |upstream: &Arc<str>, version| match version {
+    let partly_usable = |upstream: &Arc<str>, version| match version {
         1 => upstream.starts_with("u0"),
         _ => !upstream.starts_with("u0"),
     };
-    assert_eq!(choose(plans, holes).map(|plan| plan.version), Some(2));
+    assert_eq!(choose(plans, partly_usable).map(|plan| plan.version), Some(2));
 }
 
 #[test]
@@ -69,5 +69,5 @@
     let set = harefield::domain::resources::ResourceSet::parse(&items(all)).expect("it is valid");
     let view = view(&Arc::new(set));
     let versions: Vec<u64> = view.lookups["l"].plans.iter().map(|plan| plan.version).collect();
-    assert_eq!(versions, [1], "a snapshot without a service asked for cannot answer");
+    assert_eq!(versions, [1], "a snapshot without a requested service cannot be used");
 }
--- a/crates/harefield/tests/decisions/stamps.rs
+++ b/crates/harefield/tests/decisions/stamps.rs
@@ -1,4 +1,4 @@
-//! Hybrid logical time.
+//! Hybrid logical clocks.
 
 use proptest::prelude::*;
 
@@ -9,17 +9,17 @@
 proptest! {
     #![proptest_config(cases(200))]
 
-    /// Stamps grow, past what was received, though the wall clock jumps back.
+    /// Stamps increase and exceed every received stamp, even if the wall clock jumps back.
     #[test]
-    fn only_forward(steps in prop::collection::vec((0_u64..100, prop::option::of(0_u64..100)), 1..50)) {
+    fn stamps_increase(steps in prop::collection::vec((0_u64..100, prop::option::of(0_u64..100)), 1..50)) {
         let mut clock = HybridClock::default();
         let mut last = Stamp::default();
-        for (wall, seen) in steps {
-            let stamp = match seen {
+        for (wall, sent) in steps {
+            let stamp = match sent {
                 Some(micros) => {
-                    let seen = Stamp { micros, count: 3 };
-                    let stamp = clock.receive(wall, seen);
-                    prop_assert!(stamp > seen);
+                    let sent = Stamp { micros, count: 3 };
+                    let stamp = clock.receive(wall, sent);
+                    prop_assert!(stamp > sent);
                     stamp
                 }
                 None => clock.tick(wall),
--- a/crates/harefield/tests/decisions/support.rs
+++ b/crates/harefield/tests/decisions/support.rs
@@ -15,14 +15,14 @@
 use harefield::domain::feed::Items;
 use harefield::domain::hosts::HostList;
 use harefield::domain::ids::UpstreamId;
+use harefield::domain::membership::MemberRow;
 use harefield::domain::membership::PeerState;
-use harefield::domain::membership::Row;
-use harefield::domain::places::Places;
 use harefield::domain::resources::ResourceSet;
 use harefield::domain::revision::Revision;
 use harefield::domain::routing::Budgets;
 use harefield::domain::routing::Policy;
 use harefield::domain::routing::Router;
+use harefield::domain::topology::Topology;
 use harefield::domain::view::View;
 use harefield::domain::view::ViewSources;
 
@@ -95,7 +95,7 @@
         hosts: &HostList::default(),
         fleet: &[],
         size: CellSize::default(),
-        places: &Places::default(),
+        places: &Topology::default(),
         cold: Bound::default(),
         keyed: false,
     })
@@ -109,8 +109,8 @@
 }
 
 /// Returns the row of a live daemon in an availability zone.
-pub fn row(number: usize, zone: &str) -> Row {
-    Row {
+pub fn row(number: usize, zone: &str) -> MemberRow {
+    MemberRow {
         host: format!("127.0.0.1:{}", 7000 + number).into(),
         zone: zone.into(),
         operators: "127.0.0.1:1".into(),
--- a/crates/harefield/tests/decisions/views.rs
+++ b/crates/harefield/tests/decisions/views.rs
@@ -11,9 +11,9 @@
 use harefield::domain::cold::Bound;
 use harefield::domain::hosts::HostList;
 use harefield::domain::ids::HostId;
-use harefield::domain::places::Places;
 use harefield::domain::resources::ResourceSet;
 use harefield::domain::revision::Revision;
+use harefield::domain::topology::Topology;
 use harefield::domain::view::View;
 use harefield::domain::view::ViewSources;
 
@@ -25,7 +25,7 @@
 
 fn next(before: &View, own: u16, set: &Arc<ResourceSet>, hosts: &HostList, most: usize) -> View {
     let own: HostId = format!("127.0.0.1:{own}").into();
-    let size = CellSize { most, wanted: 1 };
+    let size = CellSize { max_members: most, connections: 1 };
     before.next(&ViewSources {
         own: &own,
         revision: Some(Revision::first(1)),
@@ -34,7 +34,7 @@
         hosts,
         fleet: &[],
         size,
-        places: &Places::default(),
+        places: &Topology::default(),
         cold: Bound::default(),
         keyed: false,
     })
--- a/crates/harefield/tests/decisions/work.rs
+++ b/crates/harefield/tests/decisions/work.rs
@@ -1,14 +1,14 @@
-//! What makes two requests the same work.
+//! Which requests count as the same work.
 
 use std::sync::Arc;
 
-use harefield::domain::query::ByteQuery;
 use harefield::domain::query::Claims;
+use harefield::domain::query::OpaqueQuery;
 use harefield::domain::query::Query;
 use harefield::domain::work::Work;
 
-fn query() -> ByteQuery {
-    ByteQuery {
+fn query() -> OpaqueQuery {
+    OpaqueQuery {
         id: "first".into(),
         method: "GET".into(),
         target: "/all/x?page=1".into(),
@@ -22,14 +22,14 @@
     }
 }
 
-fn work(change: impl FnOnce(&mut ByteQuery)) -> Work {
+fn work(change: impl FnOnce(&mut OpaqueQuery)) -> Work {
     let mut query = query();
     change(&mut query);
-    Work::new("all", None, &Query::Bytes(Arc::new(query)))
+    Work::new("all", None, &Query::Opaque(Arc::new(query)))
 }
 
 #[test]
-fn same_over_attempts() {
+fn equal_across_attempts() {
     let other = work(|query| {
         query.id = "second".into();
         query.headers[1].1 = "second".into();
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn differs_by_what_is_asked() {
+fn differs_by_request() {
     let first = work(|_| {});
     let others = [
         work(|query| query.method = "POST".into()),
@@ -48,7 +48,7 @@
         work(|query| query.headers[0].1 = "y.example".into()),
         work(|query| query.headers[2].1 = "Bearer two".into()),
         work(|query| query.body = "other".into()),
-        // The parts stand apart: none continues in the next.
+        // The parts are separated: none continues in the next.
         work(|query| {
             query.headers[2].1 = "Bearer on".into();
             query.body = "ebody".into();
@@ -61,16 +61,16 @@
 }
 
 #[test]
-fn searches_share_a_path() {
+fn searches_share_path_id() {
     let (first, second) = (work(|_| {}), work(|query| query.target = "/all/x?page=2".into()));
     assert_ne!(first.exact, second.exact);
     assert_eq!(first.path, second.path);
     let bare = work(|query| query.target = "/all/x".into());
-    assert_eq!(bare.ids().collect::<Vec<_>>(), [first.path], "it is named once");
+    assert_eq!(bare.ids().collect::<Vec<_>>(), [first.path], "both ids are equal");
 }
 
 #[test]
-fn json_by_lookup_and_text() {
+fn json_differs_by_lookup_and_text() {
     let work = |lookup: &str, json: &str| Work::new(lookup, None, &Query::Json(json.as_bytes().into()));
     assert_eq!(work("l", "{}"), work("l", "{}"));
     assert_ne!(work("l", "{}").exact, work("m", "{}").exact);
--- a/crates/harefield/tests/fleet/link.rs
+++ b/crates/harefield/tests/fleet/link.rs
@@ -14,9 +14,9 @@
 
 use harefield::domain::feed::Change;
 use harefield::domain::feed::Delta;
+use harefield::domain::feed::DeltaKind;
 use harefield::domain::feed::Items;
 use harefield::domain::feed::News;
-use harefield::domain::feed::Span;
 use harefield::domain::ids::Era;
 use harefield::domain::ids::HostId;
 use harefield::domain::revision::Revision;
@@ -29,8 +29,8 @@
 use harefield::ports::Listing;
 use harefield::ports::PeerError;
 use harefield::ports::Peers;
-use harefield::ports::PermitAsk;
 use harefield::ports::PermitReply;
+use harefield::ports::PermitRequest;
 use harefield::ports::Platform;
 use harefield::ports::PlatformError;
 use harefield::ports::Pull;
@@ -142,7 +142,7 @@
         Err(PeerError::Unreachable)
     }
 
-    async fn permits(&self, _: &HostId, _: &PermitAsk, _: Duration) -> Result<PermitReply, PeerError> {
+    async fn permits(&self, _: &HostId, _: &PermitRequest, _: Duration) -> Result<PermitReply, PeerError> {
         Err(PeerError::Unreachable)
     }
 
@@ -208,7 +208,7 @@
             base: Revision::new(revision.era, revision.number - 1),
             revision,
             changes: vec![change.clone()],
-            span: Span::Step,
+            kind: DeltaKind::Single,
         });
         let deltas: Vec<Delta> = deltas.take(shared.most.unwrap_or(usize::MAX)).collect();
         let cut = shared.most.is_some_and(|most| deltas.len() == most);
--- a/crates/harefield/tests/fleet/support.rs
+++ b/crates/harefield/tests/fleet/support.rs
@@ -22,14 +22,14 @@
 use harefield::domain::cell::CellSize;
 use harefield::domain::cold::Bound;
 use harefield::domain::feed::Change;
-use harefield::domain::freshness::Pace;
+use harefield::domain::freshness::FreshnessSchedule;
 use harefield::domain::ids::Edition;
+use harefield::domain::membership::MemberRow;
 use harefield::domain::membership::PeerState;
-use harefield::domain::membership::Row;
-use harefield::domain::places::Places;
 use harefield::domain::resources::ResourceSet;
 use harefield::domain::retained::RetentionTimes;
 use harefield::domain::revision::Revision;
+use harefield::domain::topology::Topology;
 use harefield::engine::ToControl;
 use harefield::engine::ToWorker;
 use harefield::ports::Space;
@@ -126,7 +126,7 @@
         fleet.shared.borrow_mut().regions = (0..count).map(|own| own % REGIONS).collect();
         for own in 0..count {
             let regions = |zone: usize| (zone_of(zone), format!("r{}", zone % REGIONS).into());
-            let places = Places { zone: zone_of(own), regions: (0..ZONES).map(regions).collect() };
+            let places = Topology { zone: zone_of(own), regions: (0..ZONES).map(regions).collect() };
             fleet.add_at(own, REGIONS, tuning, places);
         }
         fleet.newest = RefCell::new(vec![None; count]);
@@ -139,17 +139,17 @@
     }
 
     fn add(&mut self, own: usize, count: usize, tuning: Tuning) {
-        self.add_at(own, count, tuning, Places { zone: "a".into(), ..Places::default() });
+        self.add_at(own, count, tuning, Topology { zone: "a".into(), ..Topology::default() });
     }
 
-    fn add_at(&mut self, own: usize, count: usize, tuning: Tuning, places: Places) {
+    fn add_at(&mut self, own: usize, count: usize, tuning: Tuning, places: Topology) {
         let listed = places.regions.is_empty();
         let (control, inbox) = async_channel::bounded(1024);
         self.shared.borrow_mut().inboxes.insert(host(own), control);
         let link = Link { own, shared: Rc::clone(&self.shared) };
         let board = Arc::new(Board::new(host(own), 1, 10));
         let settings = ControlSettings {
-            own: Row {
+            own: MemberRow {
                 host: host(own),
                 zone: Arc::clone(&places.zone),
                 operators: "127.0.0.1:1".into(),
@@ -165,7 +165,7 @@
             join: if listed { Duration::from_millis(200) } else { Duration::from_secs(3) },
             first_start: !listed,
             watch: tuning.watch,
-            pace: Pace::new(tuning.apply),
+            pace: FreshnessSchedule::new(tuning.apply),
             readers: tuning.readers,
             carry: CARRY,
             cold: Bound::default(),
--- a/crates/harefield/tests/fleet/warming.rs
+++ b/crates/harefield/tests/fleet/warming.rs
@@ -14,7 +14,7 @@
 use harefield::domain::outcome::Gap;
 use harefield::domain::routing::Verdict;
 use harefield::memory::Memory;
-use harefield::ports::Place;
+use harefield::ports::Endpoint;
 use harefield::ports::Upstreams;
 
 #[test]
@@ -25,11 +25,11 @@
     let listener = std::net::TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
     let address = listener.local_addr().expect("it has an address");
     drop(listener);
-    let place = Place { upstream: "gone".into(), address };
+    let place = Endpoint { upstream: "gone".into(), address };
     let begun = Instant::now();
     let mut tries = 0;
     while begun.elapsed() < Duration::from_millis(900) {
-        tries += u32::from(upstreams.warm(&place, 3, 2));
+        tries += u32::from(upstreams.preconnect(&place, 3, 2));
         async_io::block_on(executor.run(Timer::after(Duration::from_millis(5))));
     }
     assert!((1..=6).contains(&tries), "{tries} tries in 0.9 s");
--- a/crates/harefield/tests/processes/silent_connections.rs
+++ b/crates/harefield/tests/processes/silent_connections.rs
@@ -20,16 +20,16 @@
 use harefield::domain::accounts::Asker;
 use harefield::domain::fanout::Echo;
 use harefield::domain::hlc::Stamp;
-use harefield::domain::query::ByteQuery;
+use harefield::domain::query::OpaqueQuery;
 use harefield::domain::query::Query;
 use harefield::domain::residency::Regions;
 use harefield::memory::Memory;
 use harefield::ports::Call;
+use harefield::ports::Endpoint;
 use harefield::ports::Group;
 use harefield::ports::GroupReply;
 use harefield::ports::PeerError;
 use harefield::ports::Peers;
-use harefield::ports::Place;
 use harefield::ports::Upstreams;
 
 /// A process that answers on each connection until that is silenced, as a daemon answers
@@ -94,7 +94,7 @@
         index: "i".to_owned(),
         shards: Vec::new(),
         only: Vec::new(),
-        query: ByteQuery::default(),
+        query: OpaqueQuery::default(),
         most: 1,
         needed: 0,
         remaining: 0,
@@ -149,7 +149,7 @@
 fn call(upstream: &Listener) -> Call {
     let address = upstream.address.parse().expect("it is an address");
     Call {
-        place: Place { upstream: "u".into(), address },
+        endpoint: Endpoint { upstream: "u".into(), address },
         share: 4,
         echo: Echo { request: "r".to_owned(), shard: "s/0".to_owned(), version: 1 },
         remaining: Duration::from_secs(4),
@@ -168,19 +168,19 @@
     let test = async {
         let call = call(&upstream);
         for _ in 0..2 {
-            assert!(upstreams.warm(&call.place, call.share, 2), "it has room");
+            assert!(upstreams.preconnect(&call.endpoint, call.share, 2), "it has room");
             Timer::after(Duration::from_millis(100)).await;
         }
         upstream.silence();
         let first = executor.spawn({
             let (upstreams, call) = (upstreams.clone(), call.clone());
-            async move { upstreams.ask(call, || true).await }
+            async move { upstreams.send(call, || true).await }
         });
         Timer::after(Duration::from_millis(1500)).await;
-        assert_eq!(upstreams.idle(&call.place.upstream), 0, "the other one is as suspect");
+        assert_eq!(upstreams.idle(&call.endpoint.upstream), 0, "the other one is as suspect");
         let second = executor.spawn({
             let (upstreams, call) = (upstreams.clone(), call.clone());
-            async move { upstreams.ask(call, || true).await }
+            async move { upstreams.send(call, || true).await }
         });
         Timer::after(Duration::from_millis(500)).await;
         assert_eq!(upstream.taken(), 3, "a new connection is opened");
--- a/crates/harefield/tests/processes/site.rs
+++ b/crates/harefield/tests/processes/site.rs
@@ -23,7 +23,7 @@
 use harefield::domain::event::Event;
 use harefield::domain::event::Record;
 use harefield::domain::hlc::Stamp;
-use harefield::domain::query::ByteQuery;
+use harefield::domain::query::OpaqueQuery;
 use harefield::domain::residency::Regions;
 use harefield::memory::Memory;
 use harefield::ports::Group;
@@ -228,7 +228,7 @@
         index.is_some()
     });
     let headers = vec![("attempt-id".into(), "g1".into())];
-    let query = ByteQuery {
+    let query = OpaqueQuery {
         id: "g1".into(),
         method: "GET".into(),
         target: "/all/x".into(),
--- a/crates/harefield/tests/processes/site_cells.rs
+++ b/crates/harefield/tests/processes/site_cells.rs
@@ -21,7 +21,7 @@
 use harefield::domain::hlc::Stamp;
 use harefield::domain::outcome::Answer;
 use harefield::domain::outcome::Outcome;
-use harefield::domain::query::ByteQuery;
+use harefield::domain::query::OpaqueQuery;
 use harefield::memory::Memory;
 use harefield::ports::Forward;
 use harefield::ports::Peers;
@@ -121,7 +121,7 @@
 
 /// Returns a request as another daemon hands it on, let in under an edition.
 fn handed(edition: u64) -> Forward {
-    let query = ByteQuery {
+    let query = OpaqueQuery {
         id: "n1".into(),
         method: "GET".into(),
         target: "/all/x".into(),
--- a/crates/harefield/tests/processes/site_editions.rs
+++ b/crates/harefield/tests/processes/site_editions.rs
@@ -21,8 +21,8 @@
 use crate::support::await_true;
 use harefield::domain::code::Code;
 use harefield::domain::hlc::Stamp;
+use harefield::domain::membership::MemberRow;
 use harefield::domain::membership::PeerState;
-use harefield::domain::membership::Row;
 use harefield::domain::outcome::Answer;
 use harefield::domain::outcome::Outcome;
 use harefield::ports::Exchange;
@@ -85,7 +85,7 @@
     fn answer(&self, body: &[u8]) -> Result<Vec<u8>, rmp_serde::encode::Error> {
         let message: Forward = rmp_serde::from_slice(body).expect("it is a request handed on");
         self.asked.lock().expect("nobody panicked").push(message.edition);
-        let answer = Answer::bare(&message.request, Outcome::MayHaveRun, Code::ReplyLost);
+        let answer = Answer::empty(&message.request, Outcome::MayHaveRun, Code::ReplyLost);
         let json = ByteBuf::from(serde_json::to_vec(&answer).expect("it is JSON"));
         rmp_serde::to_vec(&(stamp(), NEWER, Travelling::Json(json)))
     }
@@ -93,7 +93,7 @@
 
 /// Says that this daemon is the strongest of the availability zone.
 fn exchange(own: SocketAddr) -> Exchange {
-    let row = Row {
+    let row = MemberRow {
         host: own.to_string().into(),
         zone: "hall".into(),
         operators: "127.0.0.1:1".into(),
