--- a/crates/harefield/src/adapters/peers.rs
+++ b/crates/harefield/src/adapters/peers.rs
@@ -30,7 +30,7 @@
 use crate::memory::Memory;
 use crate::ports::Exchange;
 use crate::ports::Forward;
-use crate::ports::Forwarded;
+use crate::ports::ForwardAnswer;
 use crate::ports::Group;
 use crate::ports::GroupReply;
 use crate::ports::PeerError;
@@ -200,16 +200,21 @@
         host: &HostId,
         message: &Forward,
         limit: Duration,
-    ) -> Result<Forwarded, PeerError> {
+    ) -> Result<ForwardAnswer, PeerError> {
         let (reply, _size): (ForwardReply, _) = self.call(host, FORWARD_PATH, pack(message)?, limit).await?;
         let answer = match reply.answer {
             Travelling::Json(json) => serde_json::from_slice(&json).map_err(|_error| PeerError::Silent)?,
             Travelling::Opaque(answer) => answer.into_answer(&message.request),
         };
-        Ok(Forwarded { answer, stamp: reply.stamp, edition: reply.edition })
+        Ok(ForwardAnswer { answer, stamp: reply.stamp, edition: reply.edition })
     }
 
-    async fn group(&self, host: &HostId, message: &Group, limit: Duration) -> Result<GroupReply, PeerError> {
+    async fn delegate(
+        &self,
+        host: &HostId,
+        message: &Group,
+        limit: Duration,
+    ) -> Result<GroupReply, PeerError> {
         // Fields go by their places: these messages cross between regions.
         let body = rmp_serde::to_vec(message).map_err(|_error| PeerError::Unreachable)?;
         let this = self.clone();
--- a/crates/harefield/src/adapters/platform.rs
+++ b/crates/harefield/src/adapters/platform.rs
@@ -23,7 +23,7 @@
 use crate::ports::Platform;
 use crate::ports::PlatformError;
 use crate::ports::Space;
-use crate::ports::Watched;
+use crate::ports::WatchResult;
 
 /// One page of a listing.
 #[derive(Debug, Deserialize)]
@@ -100,7 +100,7 @@
         space: Space,
         after: Revision,
         wait: Duration,
-    ) -> Result<Watched, PlatformError> {
+    ) -> Result<WatchResult, PlatformError> {
         let path = format!("/v1/{}/watch?after={}&wait-ms={}", space.name(), after.number, wait.as_millis());
         let changes = self.reader.get::<Changes>(copy, &path, watch_limit(wait)).await?.body;
         Ok(match changes {
@@ -109,9 +109,9 @@
                 let changes = newer.map(|row| (Revision::first(row.revision), row.into_change()));
                 let deltas = deltas(after, changes);
                 let at = deltas.last().map_or(after, |delta| delta.revision);
-                Watched::Changes { deltas, at }
+                WatchResult::Changes { deltas, at }
             }
-            None => Watched::Compacted,
+            None => WatchResult::Compacted,
         })
     }
 }
--- a/crates/harefield/src/adapters/upstreams/mod.rs
+++ b/crates/harefield/src/adapters/upstreams/mod.rs
@@ -33,7 +33,7 @@
 use crate::domain::routing::Verdict;
 use crate::memory::Memory;
 use crate::ports::Call;
-use crate::ports::CallEnd;
+use crate::ports::CallOutcome;
 use crate::ports::Endpoint;
 use crate::ports::Upstreams;
 
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub struct Reading {
     /// How the call ended.
-    pub end: CallEnd,
+    pub end: CallOutcome,
     /// Whether the connection may carry another request.
     pub keep: bool,
 }
@@ -100,14 +100,14 @@
 
     /// Sends on an idle connection first; one found dead before a byte was
     /// written is replaced by a new one.
-    async fn converse(&self, call: &Call, permit: impl Fn() -> bool) -> CallEnd {
+    async fn converse(&self, call: &Call, permit: impl Fn() -> bool) -> CallOutcome {
         let mut request = self.protocol.request(call);
         loop {
             let idle = self.take_idle(&call.endpoint);
             let reused = idle.is_some();
             let opened = match idle {
                 Some(held) => Ok(held),
-                None => self.open(&call.endpoint, call.share).await,
+                None => self.open(&call.endpoint, call.connection_limit).await,
             };
             let (seat, mut connection) = match opened {
                 Ok(held) => held,
@@ -132,7 +132,7 @@
         seat: Seat,
         connection: Connection,
         reply: Response<Incoming>,
-    ) -> CallEnd {
+    ) -> CallOutcome {
         let (head, body) = reply.into_parts();
         let Ok(whole) = http::read_counted(body, MOST_REPLY, &self.memory, Purpose::Replies).await else {
             return lost(Gap::ReplyLost, self.protocol.report(&head.headers));
@@ -152,7 +152,7 @@
 }
 
 impl<W: Protocol> Upstreams for HttpUpstreams<W> {
-    async fn send(&self, call: Call, permit: impl Fn() -> bool) -> CallEnd {
+    async fn send(&self, call: Call, permit: impl Fn() -> bool) -> CallOutcome {
         let limit = call.remaining + call.drain;
         let expired = async {
             Timer::after(limit).await;
@@ -234,18 +234,18 @@
 
 /// Makes the end of a call of which nothing was written.
 #[must_use]
-pub fn unsent(why: Gap) -> CallEnd {
+pub fn unsent(why: Gap) -> CallOutcome {
     let verdict = match why {
         // No connection was free here, which says nothing of the upstream.
         Gap::Overloaded | Gap::Unconfirmed => Verdict::Declined,
         _ => Verdict::Broken,
     };
-    CallEnd { end: AttemptEnd::NotSent { why }, verdict, report: Report::default() }
+    CallOutcome { end: AttemptEnd::NotSent { why }, verdict, report: Report::default() }
 }
 
 /// Makes the end of a call that was written and brought no usable reply.
 #[must_use]
-pub fn lost(why: Gap, report: Report) -> CallEnd {
+pub fn lost(why: Gap, report: Report) -> CallOutcome {
     let verdict = if why == Gap::SnapshotWrong { Verdict::Declined } else { Verdict::Lost };
-    CallEnd { end: AttemptEnd::Lost { why }, verdict, report }
+    CallOutcome { end: AttemptEnd::Lost { why }, verdict, report }
 }
--- a/crates/harefield/src/adapters/upstreams/protocol.rs
+++ b/crates/harefield/src/adapters/upstreams/protocol.rs
@@ -26,7 +26,7 @@
 use crate::domain::routing::Verdict;
 use crate::domain::time::millis;
 use crate::ports::Call;
-use crate::ports::CallEnd;
+use crate::ports::CallOutcome;
 use crate::ports::Endpoint;
 
 /// The product's own protocol.
@@ -120,17 +120,17 @@
     Some(Announcement { stamp, draining, held })
 }
 
-fn answered(body: &Bytes, report: Report) -> CallEnd {
+fn answered(body: &Bytes, report: Report) -> CallOutcome {
     match serde_json::from_slice::<Box<RawValue>>(body) {
         Ok(reply) => {
-            CallEnd { end: AttemptEnd::Answered(Reply::Json(reply)), verdict: Verdict::Good, report }
+            CallOutcome { end: AttemptEnd::Answered(Reply::Json(reply)), verdict: Verdict::Good, report }
         }
         Err(_malformed) => lost(Gap::Failed, report),
     }
 }
 
 /// Reads a refusal; one that does not say that it had not begun may have run.
-fn refused(headers: &HeaderMap, report: Report) -> CallEnd {
+fn refused(headers: &HeaderMap, report: Report) -> CallOutcome {
     let begun = text(headers, "harefield-begun") != Some("false");
     let wait = text(headers, "harefield-retry-ms").and_then(|ms| ms.parse().ok()).map(Duration::from_millis);
     let (why, verdict) = match text(headers, "harefield-refused") {
@@ -141,5 +141,5 @@
         Some("late" | "cancelled") => (Gap::Late, Verdict::Abandoned),
         _ => (Gap::Failed, Verdict::Broken),
     };
-    CallEnd { end: AttemptEnd::Refused { why, begun }, verdict, report }
+    CallOutcome { end: AttemptEnd::Refused { why, begun }, verdict, report }
 }
--- a/crates/harefield/src/control/reader.rs
+++ b/crates/harefield/src/control/reader.rs
@@ -25,7 +25,7 @@
 use crate::ports::Platform;
 use crate::ports::PlatformError;
 use crate::ports::Space;
-use crate::ports::Watched;
+use crate::ports::WatchResult;
 
 /// The first pause after a copy did not answer; it doubles with each failure.
 const BACKOFF: Duration = Duration::from_millis(250);
@@ -214,9 +214,9 @@
         };
         let asked = self.note_asked(space);
         let (deltas, at) = match self.ports.platform.watch(copy, space, after, wait).await? {
-            Watched::Changes { deltas, at } => (deltas, at),
-            Watched::Compacted => return self.list(copy, space).await,
-            Watched::Restored(era) => return self.enter_era(copy, space, era).await,
+            WatchResult::Changes { deltas, at } => (deltas, at),
+            WatchResult::Compacted => return self.list(copy, space).await,
+            WatchResult::Restored(era) => return self.enter_era(copy, space, era).await,
         };
         self.hear_era(space, at.era, "platform");
         let shown = proven_by_watch(asked, self.ports.clock.now(), wait, deltas.is_empty());
@@ -251,9 +251,9 @@
             let asked = self.note_asked(space);
             let next = self.ports.platform.watch(copy, space, read.at, Duration::ZERO).await?;
             let (deltas, at) = match next {
-                Watched::Changes { deltas, at } => (deltas, at),
-                Watched::Compacted => return Ok(Rest::Gone),
-                Watched::Restored(era) => return Ok(Rest::Restored(era)),
+                WatchResult::Changes { deltas, at } => (deltas, at),
+                WatchResult::Compacted => return Ok(Rest::Gone),
+                WatchResult::Restored(era) => return Ok(Rest::Restored(era)),
             };
             last = deltas.len();
             read.shown = asked;
@@ -333,11 +333,11 @@
 }
 
 /// Applies watched changes to a listing whose pages differ in revision.
-fn catch_up(listing: &mut Listing, watched: Watched) -> Result<(), PlatformError> {
+fn catch_up(listing: &mut Listing, watched: WatchResult) -> Result<(), PlatformError> {
     let (deltas, at) = match watched {
-        Watched::Changes { deltas, at } => (deltas, at),
-        Watched::Restored(_) => return Err(PlatformError::Restored),
-        Watched::Compacted => {
+        WatchResult::Changes { deltas, at } => (deltas, at),
+        WatchResult::Restored(_) => return Err(PlatformError::Restored),
+        WatchResult::Compacted => {
             return Err(PlatformError::Malformed("changes are gone while listing".to_owned()));
         }
     };
--- a/crates/harefield/src/domain/configuration.rs
+++ b/crates/harefield/src/domain/configuration.rs
@@ -143,11 +143,11 @@
         let retained = self.retained.get_or_insert_with(|| Retained::empty(own.era));
         let before = retained.changes();
         retained.merge(other, self.accepted.items());
-        let news = retained.changes() != before;
-        if news {
+        let changed = retained.changes() != before;
+        if changed {
             self.rebuild();
         }
-        news
+        changed
     }
 
     /// Drops the retained values whose time is over; returns the upstreams that are gone as a
@@ -210,8 +210,8 @@
     /// Offers several consecutive change sets received from a watch of the platform. Returns
     /// whether their combined result is in force; if not, they have to be offered one by one.
     pub fn offer_chain(&mut self, deltas: &[Delta]) -> bool {
-        let good = self.pending.is_empty() && self.seen == self.revision();
-        good && self.accept_chain(deltas)
+        let is_current = self.pending.is_empty() && self.seen == self.revision();
+        is_current && self.accept_chain(deltas)
     }
 
     /// Applies a chain of deltas at once if it starts at the revision in force and its result has
--- a/crates/harefield/src/domain/event.rs
+++ b/crates/harefield/src/domain/event.rs
@@ -93,7 +93,7 @@
     /// That daemon responded, or failed to. `micros` is the total time, and `way` is the part of it
     /// that the message and the response spent in transit, both in microseconds.
     GroupEnded { to: HostId, attempt: AttemptId, contributed: usize, missing: usize, micros: u64, way: u64 },
-    /// A group was taken back from a daemon that did not respond.
+    /// A delegated group was revoked because its daemon did not respond.
     GroupRevoked { from: HostId, attempt: AttemptId },
     /// A group of shards was received from another daemon, which wants an answer after `gather`
     /// microseconds; `None` if it can wait until the deadline.
--- a/crates/harefield/src/domain/feed.rs
+++ b/crates/harefield/src/domain/feed.rs
@@ -141,10 +141,10 @@
     pub fn advance(&mut self, revision: Revision, changes: &[Change], kind: DeltaKind) {
         let mut logged = Vec::new();
         for change in changes {
-            let news = self.change(change);
+            let differs = self.apply_change(change);
             // A key with an unchanged value is no change for this feed, but may be one for a peer
             // at a revision in between.
-            if news || kind == DeltaKind::Cumulative {
+            if differs || kind == DeltaKind::Cumulative {
                 logged.push(change.clone());
             }
         }
@@ -208,7 +208,7 @@
 
     /// Applies a change; returns whether it made a difference. While they start, upstreams write
     /// their entries again and again, mostly with the same decoded content.
-    fn change(&mut self, change: &Change) -> bool {
+    fn apply_change(&mut self, change: &Change) -> bool {
         if self.items.get(&change.key) == change.value.as_ref() {
             return false;
         }
--- a/crates/harefield/src/domain/lease.rs
+++ b/crates/harefield/src/domain/lease.rs
@@ -54,7 +54,7 @@
         Renewal::Lapsed(gap)
     }
 
-    /// Ends a lapse after the facts were confirmed by a round that began at `asked`.
+    /// Ends a lapse after the facts were confirmed by a round that began at `requested`.
     ///
     /// A confirmation that was requested before the latest pause does not count.
     pub fn confirm(&mut self, requested: Instant, now: Instant) {
--- a/crates/harefield/src/domain/retained.rs
+++ b/crates/harefield/src/domain/retained.rs
@@ -247,7 +247,7 @@
         self.values.retain(|key, entry| {
             is_catalog(key) || other.values.contains_key(key) || !theirs.covers(entry.known_at)
         });
-        self.departed.retain(|key, of| other.departed.contains_key(key) || !theirs.covers(*of));
+        self.departed.retain(|key, known_at| other.departed.contains_key(key) || !theirs.covers(*known_at));
         for (key, entry) in &other.values {
             let held = self.values.get(key).map(|entry| &entry.value);
             let accepts = is_catalog(key) || !(own.covers(entry.known_at) || self.reported.contains(key));
@@ -259,8 +259,9 @@
             }
         }
         let additions = other.departed.iter();
-        let additions = additions.filter(|(key, of)| !own.covers(**of) && !self.reported.contains(*key));
-        let additions = additions.map(|(key, of)| (Arc::clone(key), *of));
+        let additions =
+            additions.filter(|(key, known_at)| !own.covers(**known_at) && !self.reported.contains(*key));
+        let additions = additions.map(|(key, known_at)| (Arc::clone(key), *known_at));
         self.departed.extend(additions.collect::<Vec<(Key, Revision)>>());
         self.history = own.merged(theirs);
         self.entered_at = self.entered_at.into_iter().chain(other.entered_at).min();
--- a/crates/harefield/src/domain/work.rs
+++ b/crates/harefield/src/domain/work.rs
@@ -1,4 +1,4 @@
-//! The identity of work: two requests are the same work if they ask the same on behalf of the same
+//! The identity of work: two requests are the same work if they are equal and made for the same
 //! client, whichever attempt of a caller it is and whichever daemon receives it.
 
 use xxhash_rust::xxh3::Xxh3;
--- a/crates/harefield/src/engine/attempt.rs
+++ b/crates/harefield/src/engine/attempt.rs
@@ -39,7 +39,7 @@
 use crate::domain::suspects::Standing;
 use crate::domain::view::Plan;
 use crate::ports::Call;
-use crate::ports::CallEnd;
+use crate::ports::CallOutcome;
 use crate::ports::Clock;
 use crate::ports::Endpoint;
 use crate::ports::Peers;
@@ -255,12 +255,12 @@
         self.executor.spawn(task)
     }
 
-    async fn ask(&self, attempt: &Attempt) -> CallEnd {
+    async fn ask(&self, attempt: &Attempt) -> CallOutcome {
         let upstream = Arc::clone(&attempt.send.upstream);
         let now = self.ports.clock.now();
         let found = self.router.borrow().searcher(&upstream).map(|s| (s.spec().address, s.share()));
         let Some((address, share)) = found else {
-            return CallEnd {
+            return CallOutcome {
                 end: AttemptEnd::NotSent { why: Gap::NoReplica },
                 verdict: Verdict::Declined,
                 report: Report::default(),
@@ -268,7 +268,7 @@
         };
         let call = Call {
             endpoint: Endpoint { upstream, address },
-            share,
+            connection_limit: share,
             echo: attempt.echo(),
             remaining: attempt.job.deadline.saturating_duration_since(now),
             drain: self.settings.drain,
@@ -290,7 +290,7 @@
 
     /// Takes what an attempt showed into the routing, and tells other daemons
     /// of a changed word.
-    fn learn(&self, attempt: &Attempt, end: &CallEnd) {
+    fn learn(&self, attempt: &Attempt, end: &CallOutcome) {
         let now = self.ports.clock.now();
         let Send { upstream, start, .. } = &attempt.send;
         let mut router = self.router.borrow_mut();
--- a/crates/harefield/src/engine/caution.rs
+++ b/crates/harefield/src/engine/caution.rs
@@ -42,7 +42,7 @@
 use crate::domain::view::Plan;
 use crate::domain::view::ShardPlan;
 use crate::domain::work::Work;
-use crate::ports::CallEnd;
+use crate::ports::CallOutcome;
 use crate::ports::Clock;
 use crate::ports::Endpoint;
 use crate::ports::PeerError;
@@ -124,8 +124,8 @@
         self: &Rc<Self>,
         attempt: &Attempt,
         out: &Out,
-        mut end: CallEnd,
-    ) -> CallEnd {
+        mut end: CallOutcome,
+    ) -> CallOutcome {
         match &end.end {
             AttemptEnd::Answered(_) | AttemptEnd::Failed(_) => self.note_answered(&attempt.job),
             AttemptEnd::Lost { why: Gap::ReplyLost } if self.is_suspect_end(attempt, out).await => {
--- a/crates/harefield/src/engine/group.rs
+++ b/crates/harefield/src/engine/group.rs
@@ -69,7 +69,7 @@
             let _out = out;
             let mut underway = Underway { worker: &this, kind: &job.kind, hand: &hand, settled: false };
             let left = job.deadline.saturating_duration_since(this.ports.clock.now());
-            let result = this.ports.peers.group(&hand.host, &message, left + TRAVEL).await;
+            let result = this.ports.peers.delegate(&hand.host, &message, left + TRAVEL).await;
             underway.settled = true;
             let (verdict, end) = this.group_end(&hand, result);
             this.end_relay(&job.kind, &hand, verdict);
--- a/crates/harefield/src/engine/handing.rs
+++ b/crates/harefield/src/engine/handing.rs
@@ -26,7 +26,7 @@
 use crate::domain::time::millis;
 use crate::ports::Clock;
 use crate::ports::Forward;
-use crate::ports::Forwarded;
+use crate::ports::ForwardAnswer;
 use crate::ports::PeerError;
 use crate::ports::Peers;
 use crate::ports::Upstreams;
@@ -213,7 +213,7 @@
 
     /// Notes the edition that another daemon ran a request of this one under: callers
     /// have seen it here, and must not see an older one here any more.
-    fn note_edition(&self, forwarded: &Forwarded) {
+    fn note_edition(&self, forwarded: &ForwardAnswer) {
         if !is_elsewhere(forwarded.answer.code) {
             let newest = self.seen_edition().max(forwarded.edition);
             self.seen_edition.set(Some((newest, self.ports.clock.now())));
--- a/crates/harefield/src/platform/store.rs
+++ b/crates/harefield/src/platform/store.rs
@@ -32,7 +32,7 @@
 use crate::ports::Platform;
 use crate::ports::PlatformError;
 use crate::ports::Space;
-use crate::ports::Watched;
+use crate::ports::WatchResult;
 
 /// The key of the configuration.
 const CONFIG_KEY: &str = "op/config";
@@ -227,7 +227,7 @@
         space: Space,
         after: Revision,
         wait: Duration,
-    ) -> Result<Watched, PlatformError> {
+    ) -> Result<WatchResult, PlatformError> {
         if space == Space::Hosts {
             return Err(no_hosts());
         }
@@ -236,16 +236,16 @@
         let Told { era, body } = self.reader.get::<Events>(copy, &path, watch_limit(wait)).await?;
         // Of another era, the events say nothing of what was written below the number.
         if era > own {
-            return Ok(Watched::Restored(era));
+            return Ok(WatchResult::Restored(era));
         }
         let at = |number| Revision::new(era, number);
         if era < own {
             return Err(PlatformError::Behind(at(body.map_or(0, |events| events.store_revision))));
         }
-        let Some(Events { events, store_revision }) = body else { return Ok(Watched::Compacted) };
+        let Some(Events { events, store_revision }) = body else { return Ok(WatchResult::Compacted) };
         let newer = events.iter().filter(|item| item.revision > number);
         let changes = newer.filter_map(|item| Some((at(item.revision), self.change_of(era, item)?)));
-        Ok(Watched::Changes { deltas: deltas(after, changes), at: at(store_revision) })
+        Ok(WatchResult::Changes { deltas: deltas(after, changes), at: at(store_revision) })
     }
 }
 
--- a/crates/harefield/src/platform/upstreams.rs
+++ b/crates/harefield/src/platform/upstreams.rs
@@ -25,7 +25,7 @@
 use crate::domain::routing::Verdict;
 use crate::domain::time::millis;
 use crate::ports::Call;
-use crate::ports::CallEnd;
+use crate::ports::CallOutcome;
 use crate::ports::Endpoint;
 
 /// The protocol of the users' upstreams.
@@ -76,7 +76,7 @@
         } else {
             (AttemptEnd::Failed(reply), verdict_of(status))
         };
-        Reading { end: CallEnd { end, verdict, report }, keep: true }
+        Reading { end: CallOutcome { end, verdict, report }, keep: true }
     }
 
     fn report(&self, headers: &HeaderMap) -> Report {
@@ -111,7 +111,7 @@
 }
 
 /// Reads a refusal of what was not run; none where the reply is none.
-fn refused(reply: &Response<Bytes>, report: &Report) -> Option<CallEnd> {
+fn refused(reply: &Response<Bytes>, report: &Report) -> Option<CallOutcome> {
     let status = reply.status();
     if !reply.headers().contains_key(headers::NOT_RUN) && status != StatusCode::MISDIRECTED_REQUEST {
         return None;
@@ -123,7 +123,7 @@
         _ => (Gap::Overloaded, Verdict::Full(wait)),
     };
     let end = AttemptEnd::Refused { why, begun: false };
-    Some(CallEnd { end, verdict, report: report.clone() })
+    Some(CallOutcome { end, verdict, report: report.clone() })
 }
 
 fn verdict_of(status: StatusCode) -> Verdict {
--- a/crates/harefield/src/ports/peers.rs
+++ b/crates/harefield/src/ports/peers.rs
@@ -69,7 +69,7 @@
 
 /// The answer of a cell member to a forwarded request.
 #[derive(Clone, Debug)]
-pub struct Forwarded {
+pub struct ForwardAnswer {
     /// The answer.
     pub answer: Answer,
     /// When it was sent, in hybrid logical time.
@@ -261,14 +261,14 @@
         host: &HostId,
         message: &Forward,
         limit: Duration,
-    ) -> impl Future<Output = Result<Forwarded, PeerError>>;
+    ) -> impl Future<Output = Result<ForwardAnswer, PeerError>>;
 
     /// Delegates a group of shards to another daemon and waits for the result.
     ///
     /// # Errors
     ///
     /// Returns an error that says whether the group had been sent when it failed.
-    fn group(
+    fn delegate(
         &self,
         host: &HostId,
         message: &Group,
--- a/crates/harefield/src/ports/platform.rs
+++ b/crates/harefield/src/ports/platform.rs
@@ -49,7 +49,7 @@
 
 /// The result of a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Watched {
+pub enum WatchResult {
     /// What changed since the revision that was watched from.
     Changes {
         /// One delta per revision; empty if nothing changed.
@@ -105,5 +105,5 @@
         space: Space,
         after: Revision,
         wait: Duration,
-    ) -> impl Future<Output = Result<Watched, PlatformError>>;
+    ) -> impl Future<Output = Result<WatchResult, PlatformError>>;
 }
--- a/crates/harefield/src/ports/upstreams.rs
+++ b/crates/harefield/src/ports/upstreams.rs
@@ -26,7 +26,7 @@
     /// Where to send the request.
     pub endpoint: Endpoint,
     /// How many connections to it may be open.
-    pub share: u32,
+    pub connection_limit: u32,
     /// What the reply has to echo: request and attempt, shard, version.
     pub echo: Echo,
     /// The time left for the request.
@@ -43,7 +43,7 @@
 
 /// How a call ended.
 #[derive(Debug)]
-pub struct CallEnd {
+pub struct CallOutcome {
     /// For the fan-out.
     pub end: AttemptEnd,
     /// For the routing.
@@ -58,7 +58,7 @@
     ///
     /// `permit` is called right before the first byte is written. If it returns false, nothing is
     /// sent.
-    fn send(&self, call: Call, permit: impl Fn() -> bool) -> impl Future<Output = CallEnd>;
+    fn send(&self, call: Call, permit: impl Fn() -> bool) -> impl Future<Output = CallOutcome>;
 
     /// Returns whether an upstream that lost a reply has ended, which is the case if nobody accepts
     /// connections at its address. An upstream that is slow to accept them, or has only lost its
--- a/crates/harefield/tests/decisions/configuration.rs
+++ b/crates/harefield/tests/decisions/configuration.rs
@@ -328,7 +328,7 @@
     assert_eq!(config.offer_all(Revision::first(1), &history.states[0]), OfferOutcome::Accepted);
     assert!(matches!(config.offer(&history.delta(1)), OfferOutcome::Rejected(_)));
     assert_eq!(config.revision(), Some(Revision::first(1)), "the last valid set stays in force");
-    assert_eq!(config.rejected().map(|refused| refused.revision), Some(Revision::first(2)));
+    assert_eq!(config.rejected().map(|rejected| rejected.revision), Some(Revision::first(2)));
     assert_eq!(config.offer(&history.delta(2)), OfferOutcome::Accepted);
     assert_eq!(config.revision(), Some(Revision::first(3)));
     assert!(config.rejected().is_none());
--- a/crates/harefield/tests/decisions/revisions.rs
+++ b/crates/harefield/tests/decisions/revisions.rs
@@ -33,13 +33,13 @@
 
 #[test]
 fn messages_round_trip() {
-    let of = Revision::new(1, 61);
-    let context = ReadHistory::default().with(of);
+    let known_at = Revision::new(1, 61);
+    let history = ReadHistory::default().with(known_at);
     let retained = RetainedReport {
         era: 2,
-        history: context,
-        values: [("evacuations/a".into(), RetainedValue { value: "{}".into(), known_at: of })].into(),
-        departed: [("upstreams/u".into(), of)].into(),
+        history,
+        values: [("evacuations/a".into(), RetainedValue { value: "{}".into(), known_at })].into(),
+        departed: [("upstreams/u".into(), known_at)].into(),
         age: 7,
     };
     let delta = Delta {
@@ -51,7 +51,7 @@
     let news = News::WithRetained { news: Box::new(News::Deltas(vec![delta])), retained };
     let bytes = rmp_serde::to_vec_named(&news).expect("it is written");
     assert_eq!(rmp_serde::from_slice::<News>(&bytes).expect("it is read"), news);
-    let mark = RetainedMark { history: context, edition: 52 };
+    let mark = RetainedMark { history, edition: 52 };
     let mark_sent = Mark {
         space: Space::Config,
         revision: Some(Revision::new(2, 58)),
--- a/crates/harefield/tests/fleet/link.rs
+++ b/crates/harefield/tests/fleet/link.rs
@@ -23,7 +23,7 @@
 use harefield::engine::ToControl;
 use harefield::ports::Exchange;
 use harefield::ports::Forward;
-use harefield::ports::Forwarded;
+use harefield::ports::ForwardAnswer;
 use harefield::ports::Group;
 use harefield::ports::GroupReply;
 use harefield::ports::Listing;
@@ -35,7 +35,7 @@
 use harefield::ports::PlatformError;
 use harefield::ports::Pull;
 use harefield::ports::Space;
-use harefield::ports::Watched;
+use harefield::ports::WatchResult;
 
 /// How often a waiting watch looks for changes.
 const STEP: Duration = Duration::from_millis(20);
@@ -134,11 +134,11 @@
 }
 
 impl Peers for Link {
-    async fn forward(&self, _: &HostId, _: &Forward, _: Duration) -> Result<Forwarded, PeerError> {
+    async fn forward(&self, _: &HostId, _: &Forward, _: Duration) -> Result<ForwardAnswer, PeerError> {
         Err(PeerError::Unreachable)
     }
 
-    async fn group(&self, _: &HostId, _: &Group, _: Duration) -> Result<GroupReply, PeerError> {
+    async fn delegate(&self, _: &HostId, _: &Group, _: Duration) -> Result<GroupReply, PeerError> {
         Err(PeerError::Unreachable)
     }
 
@@ -187,7 +187,7 @@
         space: Space,
         after: Revision,
         wait: Duration,
-    ) -> Result<Watched, PlatformError> {
+    ) -> Result<WatchResult, PlatformError> {
         self.count();
         if self.shared.borrow().mute.contains(&space) && !wait.is_zero() {
             return std::future::pending().await;
@@ -201,7 +201,7 @@
             return Err(PlatformError::Unreachable);
         }
         if shared.era > after.era {
-            return Ok(Watched::Restored(shared.era));
+            return Ok(WatchResult::Restored(shared.era));
         }
         let newer = shared.of(space).filter(|(revision, _)| *revision > after);
         let deltas = newer.map(|(revision, change)| Delta {
@@ -213,6 +213,6 @@
         let deltas: Vec<Delta> = deltas.take(shared.most.unwrap_or(usize::MAX)).collect();
         let cut = shared.most.is_some_and(|most| deltas.len() == most);
         let at = deltas.last().filter(|_| cut).map_or(shared.revision(space), |delta| delta.revision);
-        Ok(Watched::Changes { deltas, at })
+        Ok(WatchResult::Changes { deltas, at })
     }
 }
--- a/crates/harefield/tests/processes/silent_connections.rs
+++ b/crates/harefield/tests/processes/silent_connections.rs
@@ -110,7 +110,7 @@
 /// Hands a group to a daemon, and lets what it leaves behind run on for a moment.
 async fn hand(peers: &HttpPeers, daemon: &Listener) -> Result<GroupReply, PeerError> {
     let host = daemon.address.as_str().into();
-    let reply = peers.group(&host, &group(), Duration::from_millis(400)).await;
+    let reply = peers.delegate(&host, &group(), Duration::from_millis(400)).await;
     Timer::after(Duration::from_millis(100)).await;
     reply
 }
@@ -150,7 +150,7 @@
     let address = upstream.address.parse().expect("it is an address");
     Call {
         endpoint: Endpoint { upstream: "u".into(), address },
-        share: 4,
+        connection_limit: 4,
         echo: Echo { request: "r".to_owned(), shard: "s/0".to_owned(), version: 1 },
         remaining: Duration::from_secs(4),
         drain: Duration::ZERO,
@@ -168,7 +168,7 @@
     let test = async {
         let call = call(&upstream);
         for _ in 0..2 {
-            assert!(upstreams.preconnect(&call.endpoint, call.share, 2), "it has room");
+            assert!(upstreams.preconnect(&call.endpoint, call.connection_limit, 2), "it has room");
             Timer::after(Duration::from_millis(100)).await;
         }
         upstream.silence();
--- a/crates/harefield/tests/processes/site.rs
+++ b/crates/harefield/tests/processes/site.rs
@@ -274,7 +274,7 @@
     let peers = HttpPeers::new(Rc::clone(&executor), None, Traffic::default(), Memory::default());
     let host = site.daemon.addresses.peers.to_string().into();
     let message = group(&site);
-    let handing = peers.group(&host, &message, Duration::from_secs(5));
+    let handing = peers.delegate(&host, &message, Duration::from_secs(5));
     let reply = async_io::block_on(executor.run(handing)).expect("it answers");
     assert!(!reply.declined, "it is taken, whatever its upstreams bring in time");
     assert_eq!(reply.parts.len() + reply.missing.len(), 2);
@@ -291,7 +291,7 @@
     let peers = HttpPeers::new(Rc::clone(&executor), None, Traffic::default(), Memory::default());
     let host = site.daemon.addresses.peers.to_string().into();
     let message = Group { needed: 2, possible, remaining: 1_500_000, gather: Some(700_000), ..group(&site) };
-    let handing = peers.group(&host, &message, Duration::from_secs(5));
+    let handing = peers.delegate(&host, &message, Duration::from_secs(5));
     async_io::block_on(executor.run(handing)).expect("it answers").parts.len()
 }
 
@@ -318,7 +318,7 @@
             }
             None
         };
-        let handing = async { Some(peers.group(&host, &message, Duration::from_secs(5)).await) };
+        let handing = async { Some(peers.delegate(&host, &message, Duration::from_secs(5)).await) };
         assert!(handing.or(running).await.is_none(), "it is given up while its upstreams work");
         Timer::after(Duration::from_millis(1500)).await;
     };
