--- a/crates/harefield/src/domain/retained.rs
+++ b/crates/harefield/src/domain/retained.rs
@@ -140,8 +140,8 @@
     /// The upstreams that the platform's copy contains although they had left, with the revision up
     /// to which that is known.
     pub departed: BTreeMap<Key, Revision>,
-    /// When the era was entered. `None` until [`expire`](Self::expire) or
-    /// [`restart_timer`](Self::restart_timer) sets it.
+    /// When the era was entered. `None` until [`expire`](Self::expire) is first called, the timer
+    /// is restarted, or the time of another daemon is merged.
     pub entered_at: Option<Instant>,
     /// The keys that the platform has reported in this era. Nothing from before the era applies to
     /// them.
--- a/crates/harefield/src/ports/peers.rs
+++ b/crates/harefield/src/ports/peers.rs
@@ -93,7 +93,7 @@
     pub index: String,
     /// The shards.
     pub shards: Vec<ShardId>,
-    /// For some shards, by index within the group: the only replicas that may be used. An empty
+    /// For some shards, by position in the group: the only replicas that may be used. An empty
     /// name stands for a replica that the receiving daemon chooses. Earlier versions do not know
     /// the empty name and use the other replicas.
     pub only: Vec<(usize, Vec<UpstreamId>)>,
@@ -151,7 +151,7 @@
 /// A shard of a group that contributed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct GroupPart {
-    /// The index of the shard within the group.
+    /// The position of the shard in the group.
     pub at: usize,
     /// The upstream's signature over its reply.
     pub signature: Arc<str>,
@@ -160,7 +160,7 @@
 /// A shard of a group that did not contribute.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct GroupGap {
-    /// The index of the shard within the group.
+    /// The position of the shard in the group.
     pub at: usize,
     /// The reason.
     pub why: Gap,
