--- a/crates/harefield/src/adapters/peers.rs
+++ b/crates/harefield/src/adapters/peers.rs
@@ -22,7 +22,7 @@
 use super::http::Pool;
 use super::http::Traffic;
 use super::opaque::OpaqueAnswer;
-use crate::domain::buffers::Use;
+use crate::domain::buffers::Purpose;
 use crate::domain::feed::News;
 use crate::domain::hlc::Stamp;
 use crate::domain::ids::Edition;
@@ -30,13 +30,13 @@
 use crate::memory::Memory;
 use crate::ports::Exchange;
 use crate::ports::Forward;
-use crate::ports::Forwarded;
+use crate::ports::ForwardAnswer;
 use crate::ports::Group;
 use crate::ports::GroupReply;
 use crate::ports::PeerError;
 use crate::ports::Peers;
-use crate::ports::PermitAsk;
 use crate::ports::PermitReply;
+use crate::ports::PermitRequest;
 use crate::ports::Pull;
 
 /// The path of requests handed on.
@@ -155,7 +155,7 @@
             ClientError::Lost => PeerError::Silent,
         })?;
         let status = reply.status();
-        let whole = http::read_counted(reply.into_body(), MOST_REPLY, &self.memory, Use::Messages).await;
+        let whole = http::read_counted(reply.into_body(), MOST_REPLY, &self.memory, Purpose::Messages).await;
         let whole = whole.map_err(|_error| PeerError::Silent)?;
         self.pool.give_back(address, connection);
         match status {
@@ -200,16 +200,21 @@
         host: &HostId,
         message: &Forward,
         limit: Duration,
-    ) -> Result<Forwarded, PeerError> {
+    ) -> Result<ForwardAnswer, PeerError> {
         let (reply, _size): (ForwardReply, _) = self.call(host, FORWARD_PATH, pack(message)?, limit).await?;
         let answer = match reply.answer {
             Travelling::Json(json) => serde_json::from_slice(&json).map_err(|_error| PeerError::Silent)?,
             Travelling::Opaque(answer) => answer.into_answer(&message.request),
         };
-        Ok(Forwarded { answer, stamp: reply.stamp, edition: reply.edition })
+        Ok(ForwardAnswer { answer, stamp: reply.stamp, edition: reply.edition })
     }
 
-    async fn group(&self, host: &HostId, message: &Group, limit: Duration) -> Result<GroupReply, PeerError> {
+    async fn delegate(
+        &self,
+        host: &HostId,
+        message: &Group,
+        limit: Duration,
+    ) -> Result<GroupReply, PeerError> {
         // Fields go by their places: these messages cross between regions.
         let body = rmp_serde::to_vec(message).map_err(|_error| PeerError::Unreachable)?;
         let this = self.clone();
@@ -226,7 +231,7 @@
     async fn permits(
         &self,
         host: &HostId,
-        message: &PermitAsk,
+        message: &PermitRequest,
         limit: Duration,
     ) -> Result<PermitReply, PeerError> {
         let body = rmp_serde::to_vec(message).map_err(|_error| PeerError::Unreachable)?;
--- a/crates/harefield/src/adapters/upstreams/protocol.rs
+++ b/crates/harefield/src/adapters/upstreams/protocol.rs
@@ -14,6 +14,8 @@
 use super::Protocol;
 use super::Reading;
 use super::lost;
+use crate::domain::announcement::Announcement;
+use crate::domain::announcement::AnnouncementStamp;
 use crate::domain::fanout::AttemptEnd;
 use crate::domain::fanout::ReplyIdentity;
 use crate::domain::fanout::verify;
@@ -23,11 +25,9 @@
 use crate::domain::routing::Load;
 use crate::domain::routing::Report;
 use crate::domain::time::millis;
-use crate::domain::word::Word;
-use crate::domain::word::WordStamp;
 use crate::ports::Call;
-use crate::ports::CallEnd;
-use crate::ports::Place;
+use crate::ports::CallOutcome;
+use crate::ports::Endpoint;
 
 /// The product's own protocol.
 #[derive(Clone, Copy, Debug, Default)]
@@ -55,7 +55,7 @@
         read_report(headers)
     }
 
-    fn cancel(&self, place: &Place, request: &str) -> Option<Request<Full<Bytes>>> {
+    fn cancel(&self, place: &Endpoint, request: &str) -> Option<Request<Full<Bytes>>> {
         let message = Request::delete(format!("/v1/requests/{request}"));
         message.header("host", place.address.to_string()).body(Full::default()).ok()
     }
@@ -69,7 +69,7 @@
         *request.uri_mut() = path;
     }
     let headers = request.headers_mut();
-    put(headers, "host", &call.place.address.to_string());
+    put(headers, "host", &call.endpoint.address.to_string());
     put(headers, "content-type", "application/json");
     put(headers, "harefield-request", &call.echo.request);
     put(headers, "harefield-shard", &call.echo.shard);
@@ -111,18 +111,18 @@
     Some(Load { active: active.parse().ok()?, queued: queued.parse().ok()?, slowness: None })
 }
 
-fn read_word(headers: &HeaderMap) -> Option<Word> {
+fn read_word(headers: &HeaderMap) -> Option<Announcement> {
     let (start, change) = text(headers, "harefield-word")?.split_once('.')?;
-    let stamp = WordStamp { start: start.parse().ok()?, change: change.parse().ok()? };
+    let stamp = AnnouncementStamp { start: start.parse().ok()?, change: change.parse().ok()? };
     let draining = text(headers, "harefield-draining") == Some("true");
     let held = text(headers, "harefield-held")
         .map(|list| list.split(',').filter_map(|version| version.trim().parse().ok()).collect());
-    Some(Word { stamp, draining, held })
+    Some(Announcement { stamp, draining, held })
 }
 
-fn answered(body: &Bytes, report: Report) -> CallEnd {
+fn answered(body: &Bytes, report: Report) -> CallOutcome {
     match serde_json::from_slice::<Box<RawValue>>(body) {
-        Ok(reply) => CallEnd {
+        Ok(reply) => CallOutcome {
             end: AttemptEnd::Answered(Reply::Json(reply)),
             verdict: AttemptOutcome::Succeeded,
             report,
@@ -132,7 +132,7 @@
 }
 
 /// Reads a refusal; one that does not say that it had not begun may have run.
-fn refused(headers: &HeaderMap, report: Report) -> CallEnd {
+fn refused(headers: &HeaderMap, report: Report) -> CallOutcome {
     let begun = text(headers, "harefield-begun") != Some("false");
     let wait = text(headers, "harefield-retry-ms").and_then(|ms| ms.parse().ok()).map(Duration::from_millis);
     let (why, verdict) = match text(headers, "harefield-refused") {
@@ -143,5 +143,5 @@
         Some("late" | "cancelled") => (Gap::Late, AttemptOutcome::Abandoned),
         _ => (Gap::Failed, AttemptOutcome::Failed),
     };
-    CallEnd { end: AttemptEnd::Refused { why, begun }, verdict, report }
+    CallOutcome { end: AttemptEnd::Refused { why, begun }, verdict, report }
 }
--- a/crates/harefield/src/control/duty.rs
+++ b/crates/harefield/src/control/duty.rs
@@ -16,15 +16,13 @@
 use log::info;
 use log::warn;
 
+use super::announcements::Announcements;
 use super::lapsed::Lapsed;
-use super::wordbook::Wordbook;
-use crate::domain::carried::CarriedReport;
-use crate::domain::carried::CarryTimes;
 use crate::domain::cell::Candidate;
 use crate::domain::cell::CellSize;
 use crate::domain::cold::ColdBounds;
 use crate::domain::configuration::Configuration;
-use crate::domain::configuration::Offer;
+use crate::domain::configuration::OfferOutcome;
 use crate::domain::event::Event;
 use crate::domain::event::Sink;
 use crate::domain::feed::Delta;
@@ -32,18 +30,20 @@
 use crate::domain::feed::Items;
 use crate::domain::feed::News;
 use crate::domain::freshness::Freshness;
-use crate::domain::freshness::Pace;
+use crate::domain::freshness::FreshnessSchedule;
 use crate::domain::hlc::HybridClock;
 use crate::domain::hosts::HostList;
 use crate::domain::ids::Era;
 use crate::domain::ids::HostId;
+use crate::domain::membership::MemberRow;
 use crate::domain::membership::Membership;
-use crate::domain::membership::Row;
-use crate::domain::places::Places;
-use crate::domain::reach::Reach;
+use crate::domain::reach::Reachability;
+use crate::domain::retained::RetainedReport;
+use crate::domain::retained::RetentionTimes;
 use crate::domain::revision::Revision;
 use crate::domain::suspects::Suspects;
 use crate::domain::time::millis;
+use crate::domain::topology::Topology;
 use crate::domain::view::View;
 use crate::engine::ToControl;
 use crate::engine::ToWorker;
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug)]
 pub struct ControlSettings {
     /// The daemon's own row.
-    pub own: Row,
+    pub own: MemberRow,
     /// The platform's copies.
     pub copies: Vec<std::net::SocketAddr>,
     /// Daemons to ask at the start.
@@ -75,13 +75,13 @@
     /// How long one watch waits at most.
     pub watch: Duration,
     /// How often this daemon makes sure of what it has.
-    pub pace: Pace,
+    pub pace: FreshnessSchedule,
     /// How many daemons of an availability zone hold the watch.
     pub readers: usize,
     /// For how long what a copy of the platform lacks stays in force.
-    pub carry: CarryTimes,
+    pub carry: RetentionTimes,
     /// Where this daemon and the availability zones are.
-    pub places: Places,
+    pub places: Topology,
     /// How large cells may be.
     pub cell: CellSize,
     /// How far above what cold upstreams bear the fleet may go.
@@ -117,7 +117,7 @@
     /// The daemons that cells were last assigned among.
     pub(super) fleet: RefCell<Vec<Candidate>>,
     pub(super) members: RefCell<Membership>,
-    pub(super) words: RefCell<Wordbook>,
+    pub(super) words: RefCell<Announcements>,
     pub(super) suspects: RefCell<Suspects>,
     /// When works under which upstreams ended were last told of at once.
     pub(super) warned: Cell<Option<Instant>>,
@@ -141,7 +141,7 @@
     /// When news were last pulled from another daemon.
     pub(super) pulled: Cell<Option<Instant>>,
     /// How the platform answers, by space.
-    pub(super) reach: RefCell<BTreeMap<Space, Reach>>,
+    pub(super) reach: RefCell<BTreeMap<Space, Reachability>>,
     /// How sure this daemon is that nothing confirmed is missing here, by space.
     pub(super) freshness: RefCell<BTreeMap<Space, Freshness>>,
     /// The proof that those below this daemon were last told.
@@ -248,7 +248,7 @@
             space,
             revision: self.revision(space),
             age: self.age(space).map(millis),
-            carried: self.carried_mark(space),
+            retained: self.retained_mark(space),
         };
         self.spaces().iter().copied().map(mark).collect()
     }
@@ -256,16 +256,16 @@
     /// Returns what brings a peer up to date.
     pub(super) fn news(&self, pull: &Pull) -> News {
         match pull.space {
-            Space::Config => self.config.borrow().news(pull.have, pull.carried, self.ports.clock.now()),
+            Space::Config => self.config.borrow().news(pull.have, pull.retained, self.ports.clock.now()),
             Space::Hosts => self.hosts.borrow().since(pull.have),
         }
     }
 
     /// Takes news from a peer; returns whether any were newer.
     pub(super) fn learn(self: &Rc<Self>, space: Space, news: News, from: &str) -> bool {
-        let (news, carried) = news.split();
+        let (news, retained) = news.split();
         let learnt = match space {
-            Space::Config => self.learn_config(news, carried),
+            Space::Config => self.learn_config(news, retained),
             Space::Hosts => self.learn_hosts(news),
         };
         if learnt {
@@ -274,15 +274,15 @@
         learnt
     }
 
-    fn learn_config(&self, news: News, carried: Option<CarriedReport>) -> bool {
-        let learnt = self.config.borrow_mut().learn(news);
-        let joined = carried.is_some_and(|carried| self.join_carried(carried));
+    fn learn_config(&self, news: News, retained: Option<RetainedReport>) -> bool {
+        let learnt = self.config.borrow_mut().merge_news(news);
+        let joined = retained.is_some_and(|retained| self.join_retained(retained));
         learnt || joined
     }
 
     fn learn_hosts(&self, news: News) -> bool {
         match news {
-            News::Current | News::Carrying { .. } => false,
+            News::Current | News::WithRetained { .. } => false,
             News::Deltas(deltas) => deltas.iter().filter(|delta| self.apply_hosts(delta)).count() > 0,
             News::Full { revision, items } => self.replace_hosts(revision, &items),
         }
@@ -307,11 +307,11 @@
     }
 
     /// Takes what became of a revision read from the platform.
-    pub(super) fn judged(self: &Rc<Self>, offer: &Offer) {
+    pub(super) fn judged(self: &Rc<Self>, offer: &OfferOutcome) {
         match offer {
-            Offer::Accepted => self.changed(Space::Config, "platform"),
-            Offer::Old => {}
-            Offer::Refused(faults) => {
+            OfferOutcome::Accepted => self.changed(Space::Config, "platform"),
+            OfferOutcome::Stale => {}
+            OfferOutcome::Rejected(faults) => {
                 let revision = self.config.borrow().seen().unwrap_or_default();
                 let first = faults.first().map(|f| format!("{} {}: {}", f.code, f.key, f.detail));
                 let first = first.unwrap_or_default();
--- a/crates/harefield/src/control/reader.rs
+++ b/crates/harefield/src/control/reader.rs
@@ -11,10 +11,10 @@
 
 use super::duty::Control;
 use crate::domain::backoff::backoff;
-use crate::domain::configuration::Offer;
+use crate::domain::configuration::OfferOutcome;
 use crate::domain::event::Event;
 use crate::domain::feed::Delta;
-use crate::domain::freshness::shown_by_watch;
+use crate::domain::freshness::proven_by_watch;
 use crate::domain::ids::Era;
 use crate::domain::readers::is_reader;
 use crate::domain::revision::Revision;
@@ -25,7 +25,7 @@
 use crate::ports::Platform;
 use crate::ports::PlatformError;
 use crate::ports::Space;
-use crate::ports::Watched;
+use crate::ports::WatchResult;
 
 /// The first pause after a copy did not answer; it doubles with each failure.
 const BACKOFF: Duration = Duration::from_millis(250);
@@ -88,11 +88,11 @@
 
     fn note_lost(&self, space: Space, error: &PlatformError, asked: Instant) {
         // One that answers, and has nothing yet, is not lost.
-        if !matches!(error, PlatformError::Unreachable | PlatformError::TurnedAway(_)) {
+        if !matches!(error, PlatformError::Unreachable | PlatformError::Rejected(_)) {
             return;
         }
         let now = self.ports.clock.now();
-        if self.reach.borrow_mut().entry(space).or_default().lose(now) {
+        if self.reach.borrow_mut().entry(space).or_default().record_failure(now) {
             let waited = millis(now.saturating_duration_since(asked));
             self.emit(Event::PlatformLost { space: space.name().to_owned(), why: error.to_string(), waited });
         }
@@ -100,7 +100,7 @@
 
     fn note_regained(&self, space: Space) {
         let now = self.ports.clock.now();
-        let regained = self.reach.borrow_mut().entry(space).or_default().regain(now);
+        let regained = self.reach.borrow_mut().entry(space).or_default().record_answer(now);
         if let Some(gap) = regained {
             self.emit(Event::PlatformRegained { space: space.name().to_owned(), millis: millis(gap) });
         }
@@ -136,10 +136,10 @@
         let Some(seen) = self.seen(space) else {
             return self.list(copy, space).await;
         };
-        let wait = self.settings.watch.min(self.settings.pace.wait(self.age(space)));
+        let wait = self.settings.watch.min(self.settings.pace.watch_wait(self.age(space)));
         self.watch(copy, space, seen, wait).await?;
         if self.seen(space) > Some(seen) {
-            let fold = self.settings.pace.fold(self.age(space), FOLD_PAUSE);
+            let fold = self.settings.pace.batch_time(self.age(space), FOLD_PAUSE);
             self.ports.clock.sleep(fold).await;
         }
         Ok(())
@@ -214,12 +214,12 @@
         };
         let asked = self.note_asked(space);
         let (deltas, at) = match self.ports.platform.watch(copy, space, after, wait).await? {
-            Watched::Changes { deltas, at } => (deltas, at),
-            Watched::Compacted => return self.list(copy, space).await,
-            Watched::Restored(era) => return self.enter_era(copy, space, era).await,
+            WatchResult::Changes { deltas, at } => (deltas, at),
+            WatchResult::Compacted => return self.list(copy, space).await,
+            WatchResult::Restored(era) => return self.enter_era(copy, space, era).await,
         };
         self.hear_era(space, at.era, "platform");
-        let shown = shown_by_watch(asked, self.ports.clock.now(), wait, deltas.is_empty());
+        let shown = proven_by_watch(asked, self.ports.clock.now(), wait, deltas.is_empty());
         let mut read = Read { deltas, at, shown };
         let rest = self.read_rest(copy, space, &mut read).await;
         self.take_deltas(space, &rebase(read.deltas, self.seen(space)));
@@ -251,9 +251,9 @@
             let asked = self.note_asked(space);
             let next = self.ports.platform.watch(copy, space, read.at, Duration::ZERO).await?;
             let (deltas, at) = match next {
-                Watched::Changes { deltas, at } => (deltas, at),
-                Watched::Compacted => return Ok(Rest::Gone),
-                Watched::Restored(era) => return Ok(Rest::Restored(era)),
+                WatchResult::Changes { deltas, at } => (deltas, at),
+                WatchResult::Compacted => return Ok(Rest::Gone),
+                WatchResult::Restored(era) => return Ok(Rest::Restored(era)),
             };
             last = deltas.len();
             read.shown = asked;
@@ -284,9 +284,9 @@
         for delta in deltas {
             let offer = self.config.borrow_mut().offer(delta);
             match offer {
-                Offer::Accepted => newer = true,
-                Offer::Old => {}
-                Offer::Refused(_) => self.judged(&offer),
+                OfferOutcome::Accepted => newer = true,
+                OfferOutcome::Stale => {}
+                OfferOutcome::Rejected(_) => self.judged(&offer),
             }
         }
         newer
@@ -333,11 +333,11 @@
 }
 
 /// Applies watched changes to a listing whose pages differ in revision.
-fn catch_up(listing: &mut Listing, watched: Watched) -> Result<(), PlatformError> {
+fn catch_up(listing: &mut Listing, watched: WatchResult) -> Result<(), PlatformError> {
     let (deltas, at) = match watched {
-        Watched::Changes { deltas, at } => (deltas, at),
-        Watched::Restored(_) => return Err(PlatformError::Restored),
-        Watched::Compacted => {
+        WatchResult::Changes { deltas, at } => (deltas, at),
+        WatchResult::Restored(_) => return Err(PlatformError::Restored),
+        WatchResult::Compacted => {
             return Err(PlatformError::Malformed("changes are gone while listing".to_owned()));
         }
     };
--- a/crates/harefield/src/domain/accounts/holders.rs
+++ b/crates/harefield/src/domain/accounts/holders.rs
@@ -19,8 +19,8 @@
 
 use crate::domain::ids::AccountId;
 use crate::domain::ids::HostId;
+use crate::domain::membership::MemberRow;
 use crate::domain::membership::PeerState;
-use crate::domain::membership::Row;
 
 /// Identifies one part of an account's limit: the account, and the number of the part.
 pub type SlotId = (AccountId, u32);
@@ -77,7 +77,7 @@
     }
 
     /// Replaces the daemons by their current membership rows.
-    pub fn update<'a>(&mut self, rows: impl IntoIterator<Item = &'a Row>, now: Instant) {
+    pub fn update<'a>(&mut self, rows: impl IntoIterator<Item = &'a MemberRow>, now: Instant) {
         let mut hosts: BTreeMap<Arc<str>, BTreeSet<HostId>> = BTreeMap::new();
         let mut absent = BTreeMap::new();
         for row in rows {
--- a/crates/harefield/src/domain/cold/share.rs
+++ b/crates/harefield/src/domain/cold/share.rs
@@ -7,7 +7,7 @@
 use crate::domain::cell::weight;
 use crate::domain::ids::HostId;
 use crate::domain::ids::UpstreamId;
-use crate::domain::places::Places;
+use crate::domain::topology::Topology;
 
 /// The fraction of the allowed requests that is distributed to daemons. The rest covers times at
 /// which daemons rank each other differently, such as when some join or leave: the quotas of two
@@ -64,9 +64,9 @@
     zone: &str,
     members: &[&Candidate],
     own: &HostId,
-    places: &Places,
+    places: &Topology,
 ) -> usize {
-    let from = Places { zone: zone.into(), ..places.clone() };
+    let from = Topology { zone: zone.into(), ..places.clone() };
     let Some(nearest) = members.iter().map(|candidate| from.distance(&candidate.zone)).min() else {
         return distributed;
     };
--- a/crates/harefield/src/domain/fanout/result.rs
+++ b/crates/harefield/src/domain/fanout/result.rs
@@ -1,10 +1,10 @@
 //! The result of a finished fan-out and its result code.
 
 use crate::domain::code::Code;
+use crate::domain::outcome::Contribution;
 use crate::domain::outcome::Coverage;
 use crate::domain::outcome::Gap;
 use crate::domain::outcome::Outcome;
-use crate::domain::outcome::Part;
 use crate::domain::reply::Reply;
 
 /// The result of a finished fan-out.
@@ -17,7 +17,7 @@
     /// Which shards contributed.
     pub coverage: Coverage,
     /// The contributions.
-    pub parts: Vec<Part>,
+    pub parts: Vec<Contribution>,
     /// The reply of an upstream that reported a failure, to be passed on to the caller.
     pub failure: Option<Reply>,
     /// How many upstreams each missing shard was sent to, in the order of `coverage.missing`.
--- a/crates/harefield/src/domain/routing/report.rs
+++ b/crates/harefield/src/domain/routing/report.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use crate::domain::announcement::Announcement;
 use crate::domain::outcome::Gap;
-use crate::domain::word::Word;
 
 /// The load that an upstream reports with a reply.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     /// The load, if the reply contained one.
     pub load: Option<Load>,
     /// The upstream's announcement, if the reply contained one.
-    pub announcement: Option<Word>,
+    pub announcement: Option<Announcement>,
 }
 
 /// When the exclusion of an upstream ends; the variants are in order of time.
--- a/crates/harefield/src/domain/routing/router.rs
+++ b/crates/harefield/src/domain/routing/router.rs
@@ -18,6 +18,8 @@
 use super::shard_time::ShardTime;
 use super::startup_delay::StartupDelay;
 use super::upstream_state::UpstreamState;
+use crate::domain::announcement::Announcement;
+use crate::domain::announcement::NamedAnnouncement;
 use crate::domain::cell::Cells;
 use crate::domain::cell::connection_share;
 use crate::domain::cold::Allowance;
@@ -26,12 +28,10 @@
 use crate::domain::ids::UpstreamId;
 use crate::domain::ids::Version;
 use crate::domain::lease::Lease;
-use crate::domain::places::Places;
 use crate::domain::resources::Upstream;
+use crate::domain::topology::Topology;
 use crate::domain::view::UpstreamShare;
 use crate::domain::view::View;
-use crate::domain::word::NamedWord;
-use crate::domain::word::Word;
 
 /// Routes the requests of one worker: selects replicas and limits the load on upstreams.
 #[derive(Debug)]
@@ -40,7 +40,7 @@
     pub(super) latencies: HashMap<Arc<str>, LatencyStats>,
     pub(super) policy: Policy,
     budgets: Budgets,
-    pub(super) places: Places,
+    pub(super) places: Topology,
     pub(super) relays: Relays,
     /// The minimum number of daemons that are assumed to share an upstream's connections.
     min_sharers: u32,
@@ -93,7 +93,7 @@
             latencies: HashMap::new(),
             policy,
             budgets,
-            places: Places::default(),
+            places: Topology::default(),
             relays: Relays::default(),
             min_sharers: 1,
             cells: Cells::default(),
@@ -107,7 +107,7 @@
 
     /// Sets the availability zone of this daemon and the regions of all zones.
     #[must_use]
-    pub fn with_places(mut self, places: Places) -> Self {
+    pub fn with_places(mut self, places: Topology) -> Self {
         self.places = places;
         self
     }
@@ -278,14 +278,14 @@
     }
 
     /// Merges an upstream's announcement; returns whether it was new.
-    pub fn merge_announcement(&mut self, name: &UpstreamId, announcement: &Word) -> bool {
+    pub fn merge_announcement(&mut self, name: &UpstreamId, announcement: &Announcement) -> bool {
         self.upstreams.get_mut(name).is_some_and(|s| s.merge_announcement(announcement))
     }
 
     /// Merges announcements that peers passed on.
-    pub fn merge_announcements(&mut self, announcements: &[NamedWord]) {
+    pub fn merge_announcements(&mut self, announcements: &[NamedAnnouncement]) {
         for named in announcements {
-            self.merge_announcement(&named.upstream, &named.word);
+            self.merge_announcement(&named.upstream, &named.announcement);
         }
     }
 
--- a/crates/harefield/src/domain/routing/upstream_state.rs
+++ b/crates/harefield/src/domain/routing/upstream_state.rs
@@ -12,12 +12,12 @@
 use super::report::ExclusionEnd;
 use super::report::Load;
 use super::window::Window;
+use crate::domain::announcement::Announcement;
 use crate::domain::cold::ColdPeriod;
 use crate::domain::ids::Version;
 use crate::domain::outcome::Gap;
-use crate::domain::places::Distance;
 use crate::domain::resources::Upstream;
-use crate::domain::word::Word;
+use crate::domain::topology::Distance;
 
 /// The state of one upstream at one worker.
 #[derive(Clone, Debug)]
@@ -34,7 +34,7 @@
     pub(super) probation: bool,
     pub(super) rtt: f64,
     pub(super) distance: Distance,
-    pub(super) announcement: Word,
+    pub(super) announcement: Announcement,
     pub(super) listed_leaving: bool,
     /// When this daemon left the last cell of the upstream; `None` while it is in one.
     pub(super) left_at: Option<Instant>,
@@ -66,7 +66,7 @@
             probation: false,
             rtt: 0.0,
             distance: Distance::Near,
-            announcement: Word::default(),
+            announcement: Announcement::default(),
             listed_leaving: false,
             left_at: None,
             evacuated: false,
@@ -128,7 +128,7 @@
 
     /// Returns what the upstream last announced of itself.
     #[must_use]
-    pub fn announcement(&self) -> &Word {
+    pub fn announcement(&self) -> &Announcement {
         &self.announcement
     }
 
@@ -180,8 +180,8 @@
 
     /// Merges an announcement of the upstream, received directly or through a peer; returns
     /// whether it was new.
-    pub fn merge_announcement(&mut self, announcement: &Word) -> bool {
-        self.announcement.join(announcement)
+    pub fn merge_announcement(&mut self, announcement: &Announcement) -> bool {
+        self.announcement.merge(announcement)
     }
 
     /// Sets how many idle connections to the upstream are open.
--- a/crates/harefield/src/domain/routing/zones.rs
+++ b/crates/harefield/src/domain/routing/zones.rs
@@ -13,13 +13,13 @@
 use super::upstream_state::UpstreamState;
 use crate::domain::ids::HostId;
 use crate::domain::ids::UpstreamId;
+use crate::domain::membership::MemberRow;
 use crate::domain::membership::PeerState;
-use crate::domain::membership::Row;
-use crate::domain::places::Distance;
+use crate::domain::topology::Distance;
 
 impl Router {
     /// Updates the other daemons, which groups can be delegated to, from the membership.
-    pub fn update_daemons<'a>(&mut self, rows: impl IntoIterator<Item = &'a Row>) {
+    pub fn update_daemons<'a>(&mut self, rows: impl IntoIterator<Item = &'a MemberRow>) {
         let places = &self.places;
         let daemons = rows.into_iter().map(|row| RelayStatus {
             host: Arc::clone(&row.host),
--- a/crates/harefield/src/domain/view/mod.rs
+++ b/crates/harefield/src/domain/view/mod.rs
@@ -33,11 +33,11 @@
 use super::ids::Edition;
 use super::ids::HostId;
 use super::ids::UpstreamId;
-use super::places::Places;
 use super::resources::Bounds;
 use super::resources::ResourceSet;
 use super::resources::Upstream;
 use super::revision::Revision;
+use super::topology::Topology;
 
 /// An upstream that this daemon may connect to, and this daemon's share of its limits.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -72,7 +72,7 @@
     /// The limits on cell sizes.
     pub size: CellSize,
     /// The region of each availability zone.
-    pub places: &'a Places,
+    pub places: &'a Topology,
     /// How far the fleet may exceed what cold upstreams can handle.
     pub cold: ColdBounds,
     /// Whether lookups that are not public require a key even if no account is published.
--- a/crates/harefield/src/engine/attempt.rs
+++ b/crates/harefield/src/engine/attempt.rs
@@ -16,6 +16,7 @@
 use super::message::ToControl;
 use super::worker::Worker;
 use crate::domain::admission::Congestion;
+use crate::domain::announcement::NamedAnnouncement;
 use crate::domain::event::Cause;
 use crate::domain::event::Drop;
 use crate::domain::event::Event;
@@ -37,12 +38,11 @@
 use crate::domain::routing::Report;
 use crate::domain::suspects::Clearance;
 use crate::domain::view::Plan;
-use crate::domain::word::NamedWord;
 use crate::ports::Call;
-use crate::ports::CallEnd;
+use crate::ports::CallOutcome;
 use crate::ports::Clock;
+use crate::ports::Endpoint;
 use crate::ports::Peers;
-use crate::ports::Place;
 use crate::ports::Upstreams;
 use crate::telemetry::Batch;
 use crate::telemetry::Trace;
@@ -262,20 +262,20 @@
         self.executor.spawn(task)
     }
 
-    async fn query_upstream(&self, attempt: &Attempt) -> CallEnd {
+    async fn query_upstream(&self, attempt: &Attempt) -> CallOutcome {
         let upstream = Arc::clone(&attempt.send.upstream);
         let now = self.ports.clock.now();
         let target = self.router.borrow().upstream(&upstream).map(|s| (s.spec().address, s.share()));
         let Some((address, share)) = target else {
-            return CallEnd {
+            return CallOutcome {
                 end: AttemptEnd::NotSent { why: Gap::NoReplica },
                 verdict: AttemptOutcome::Declined,
                 report: Report::default(),
             };
         };
         let call = Call {
-            place: Place { upstream, address },
-            share,
+            endpoint: Endpoint { upstream, address },
+            connection_limit: share,
             echo: attempt.echo(),
             remaining: attempt.job.deadline.saturating_duration_since(now),
             drain: self.settings.drain,
@@ -292,12 +292,12 @@
             let takes = router.upstream(&attempt.send.upstream).is_some_and(|s| s.accepts_work().is_ok());
             now < attempt.job.deadline && !withheld && takes && router.lease().held(now)
         };
-        self.ports.upstreams.ask(call, permit).await
+        self.ports.upstreams.send(call, permit).await
     }
 
     /// Records an attempt's outcome in the router, and publishes the upstream's announcement if it
     /// changed.
-    fn record_outcome(&self, attempt: &Attempt, end: &CallEnd) {
+    fn record_outcome(&self, attempt: &Attempt, end: &CallOutcome) {
         let now = self.ports.clock.now();
         let SendAttempt { upstream, start, .. } = &attempt.send;
         let mut router = self.router.borrow_mut();
@@ -322,7 +322,7 @@
             return;
         };
         drop(router);
-        let named = NamedWord { upstream: Arc::clone(upstream), word: announcement.clone() };
+        let named = NamedAnnouncement { upstream: Arc::clone(upstream), announcement: announcement.clone() };
         let (draining, held) = (announcement.draining, announcement.held.clone().unwrap_or_default());
         self.duty_trace().emit(Event::UpstreamWord { upstream: Arc::clone(upstream), draining, held });
         drop(self.control.try_send(ToControl::Announcement(named)));
--- a/crates/harefield/src/engine/find.rs
+++ b/crates/harefield/src/engine/find.rs
@@ -11,7 +11,7 @@
 use crate::domain::admission::Arrival;
 use crate::domain::code::Code;
 use crate::domain::residency::Regions;
-use crate::domain::residency::both;
+use crate::domain::residency::intersect;
 use crate::domain::resources::Lookup;
 use crate::domain::view::LookupPlan;
 use crate::domain::work::Work;
@@ -149,7 +149,7 @@
     /// Returns for how long a message that is read now may have waited in its socket.
     pub(super) fn possible_delay(&self) -> Duration {
         let now = self.ports.clock.now();
-        self.router.borrow().lease().held_up(now)
+        self.router.borrow().lease().queueing_delay(now)
     }
 
     /// Returns the time within which an answer with enough shards is given to a caller that has
@@ -181,8 +181,8 @@
     fn elapsed_time(&self, name: &Arc<str>, left: Duration) -> Duration {
         let mut time_limits = self.time_limits.borrow_mut();
         let usual = time_limits.entry(Arc::clone(name)).or_default();
-        usual.take(left);
-        usual.usual().saturating_sub(left)
+        usual.record(left);
+        usual.typical().saturating_sub(left)
     }
 
     /// Waits for the lease after a pause. A once-only request does not wait, since it may have been
@@ -204,7 +204,7 @@
 
 /// Returns the regions in which a requester's requests for a lookup may be served.
 fn allowed_regions(plan: &LookupPlan, requester: &Requester) -> Result<Regions, Code> {
-    both(&plan.lookup.regions, &requester.regions).ok_or(Code::NoRegion)
+    intersect(&plan.lookup.regions, &requester.regions).ok_or(Code::NoRegion)
 }
 
 /// The time within which an answer with enough shards is given.
--- a/crates/harefield/src/engine/forward_attempt.rs
+++ b/crates/harefield/src/engine/forward_attempt.rs
@@ -26,7 +26,7 @@
 use crate::domain::time::millis;
 use crate::ports::Clock;
 use crate::ports::Forward;
-use crate::ports::Forwarded;
+use crate::ports::ForwardAnswer;
 use crate::ports::PeerError;
 use crate::ports::Peers;
 use crate::ports::Upstreams;
@@ -173,7 +173,7 @@
     ) -> Forward {
         let now = self.ports.clock.now();
         let opaque = match &request.query {
-            Query::Bytes(query) => Some((**query).clone()),
+            Query::Opaque(query) => Some((**query).clone()),
             Query::Json(_) => None,
         };
         let return_time = self.return_allowance(host);
@@ -213,7 +213,7 @@
 
     /// Records the edition under which another daemon ran a request of this one: callers have seen
     /// it here, and must not see an older one here afterwards.
-    fn record_edition(&self, forwarded: &Forwarded) {
+    fn record_edition(&self, forwarded: &ForwardAnswer) {
         if !is_redirect(forwarded.answer.code) {
             let newest = self.seen_edition().max(forwarded.edition);
             self.seen_edition.set(Some((newest, self.ports.clock.now())));
--- a/crates/harefield/src/engine/group.rs
+++ b/crates/harefield/src/engine/group.rs
@@ -19,9 +19,9 @@
 use crate::domain::fanout::ShardResult;
 use crate::domain::ids::UpstreamId;
 use crate::domain::outcome::Gap;
-use crate::domain::query::ByteQuery;
+use crate::domain::query::OpaqueQuery;
 use crate::domain::query::Query;
-use crate::domain::reply::ByteReply;
+use crate::domain::reply::OpaqueReply;
 use crate::domain::reply::Reply;
 use crate::domain::routing::RelayOutcome;
 use crate::domain::time::micros;
@@ -69,7 +69,7 @@
             let mut guard =
                 GroupGuard { worker: &this, lookup: &job.lookup, group: &group, completed: false };
             let left = job.deadline.saturating_duration_since(this.ports.clock.now());
-            let result = this.ports.peers.group(&group.host, &message, left + TRANSIT_ALLOWANCE).await;
+            let result = this.ports.peers.delegate(&group.host, &message, left + TRANSIT_ALLOWANCE).await;
             guard.completed = true;
             let (verdict, end) = this.group_outcome(&group, result);
             this.release_relay(&job.lookup, &group, verdict);
@@ -82,8 +82,8 @@
     fn group_message(&self, job: &Job, plan: &Plan, rules: &AnswerRules, group: &GroupRequest) -> Group {
         let left = job.deadline.saturating_duration_since(self.ports.clock.now());
         let query = match &job.query {
-            Query::Bytes(query) => (**query).clone(),
-            Query::Json(_) => ByteQuery::default(),
+            Query::Opaque(query) => (**query).clone(),
+            Query::Json(_) => OpaqueQuery::default(),
         };
         Group {
             from: Arc::clone(&self.settings.host),
@@ -112,7 +112,8 @@
     }
 
     fn group_outcome(
-        &self, group: &GroupRequest,
+        &self,
+        group: &GroupRequest,
         result: Result<GroupReply, PeerError>,
     ) -> (RelayOutcome, GroupOutcome) {
         let reply = match result {
@@ -174,13 +175,13 @@
     for part in reply.parts {
         let Some(slot) = all.get_mut(part.at).filter(|slot| slot.is_none()) else { continue };
         let body = records.take().unwrap_or_default();
-        let reply = ByteReply {
+        let reply = OpaqueReply {
             status: 200,
             body: body.into(),
             signature: Some(part.signature),
             ..Default::default()
         };
-        *slot = Some(ShardResult::Part(Reply::Bytes(Arc::new(reply))));
+        *slot = Some(ShardResult::Part(Reply::Opaque(Arc::new(reply))));
     }
     for gap in reply.missing {
         let Some(slot) = all.get_mut(gap.at).filter(|slot| slot.is_none()) else { continue };
--- a/crates/harefield/src/engine/message.rs
+++ b/crates/harefield/src/engine/message.rs
@@ -5,16 +5,16 @@
 use std::time::Instant;
 
 use crate::domain::accounts::Requester;
+use crate::domain::announcement::NamedAnnouncement;
 use crate::domain::feed::News;
 use crate::domain::hlc::Stamp;
 use crate::domain::ids::Edition;
 use crate::domain::ids::HostId;
 use crate::domain::key::Credential;
-use crate::domain::membership::Row;
+use crate::domain::membership::MemberRow;
 use crate::domain::query::Query;
 use crate::domain::suspects::Suspect;
 use crate::domain::view::View;
-use crate::domain::word::NamedWord;
 use crate::ports::Exchange;
 use crate::ports::Pull;
 
@@ -85,13 +85,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct PeerView {
     /// Every known daemon, sorted by name.
-    pub rows: Vec<Row>,
+    pub rows: Vec<MemberRow>,
 }
 
 impl PeerView {
     /// Returns what is known of a daemon.
     #[must_use]
-    pub fn row(&self, host: &HostId) -> Option<&Row> {
+    pub fn row(&self, host: &HostId) -> Option<&MemberRow> {
         let at = self.rows.binary_search_by(|row| row.host.cmp(host)).ok()?;
         self.rows.get(at)
     }
@@ -110,7 +110,7 @@
     /// A new view to act on.
     View(Arc<View>),
     /// Announcements of upstreams that other daemons passed on.
-    Announcements(Arc<[NamedWord]>),
+    Announcements(Arc<[NamedAnnouncement]>),
     /// What is known of works that are suspected of crashing upstreams.
     Suspects(Arc<[Suspect]>),
     /// The daemons as seen now.
@@ -131,7 +131,7 @@
     /// Another daemon pulls updates and awaits the reply.
     Pull(Pull, async_channel::Sender<News>),
     /// An upstream's announcement changed.
-    Announcement(NamedWord),
+    Announcement(NamedAnnouncement),
     /// What is known of a work suspected of crashing upstreams has changed.
     Suspect(Suspect),
     /// A worker's lease has lapsed, as after a pause, and it needs its knowledge confirmed.
--- a/crates/harefield/src/engine/relay.rs
+++ b/crates/harefield/src/engine/relay.rs
@@ -49,7 +49,7 @@
         self.receive_stamp(group.stamp);
         let mut trace = self.request_trace(Some(&group.request));
         self.merge_reports(&group.suspects);
-        let query = Query::Bytes(Arc::new(std::mem::take(&mut group.query)));
+        let query = Query::Opaque(Arc::new(std::mem::take(&mut group.query)));
         let work = Work::new(&group.lookup, group.asker.account.as_ref(), &query);
         trace.emit(Event::GroupTaken {
             from: Arc::clone(&group.from),
@@ -145,7 +145,7 @@
     /// where no region is named.
     pub(super) fn restrict_regions(&self, plan: Plan, regions: &[Arc<str>]) -> Plan {
         let residency = Residency::new(regions);
-        if !residency.is_bound() {
+        if !residency.is_restricted() {
             return plan;
         }
         let router = self.router.borrow();
@@ -160,11 +160,11 @@
         most: usize,
         took: Duration,
     ) -> GroupReply {
-        let bodies = finished.parts.iter().filter_map(|part| part.reply.bytes()).map(|reply| &*reply.body);
+        let bodies = finished.parts.iter().filter_map(|part| part.reply.opaque()).map(|reply| &*reply.body);
         let records = greatest(bodies, most);
         let position = |shard: &ShardId| shards.iter().position(|name| name == shard);
         let parts = finished.parts.iter().filter_map(|part| {
-            let signature = part.reply.bytes()?.signature.as_ref().map(Arc::clone)?;
+            let signature = part.reply.opaque()?.signature.as_ref().map(Arc::clone)?;
             Some(GroupPart { at: position(&part.shard)?, signature })
         });
         let missing = finished.coverage.missing.iter().zip(&finished.sent).filter_map(|(missing, sent)| {
--- a/crates/harefield/src/engine/room.rs
+++ b/crates/harefield/src/engine/room.rs
@@ -6,7 +6,7 @@
 
 use super::find::ResolvedRequest;
 use super::worker::Worker;
-use crate::domain::buffers::Use;
+use crate::domain::buffers::Purpose;
 use crate::domain::fanout::FanoutResult;
 use crate::memory::Held;
 use crate::ports::Clock;
@@ -34,13 +34,13 @@
         if expected < MIN_RESERVED {
             return Ok(None);
         }
-        let reserved = self.memory.take_soon(Use::Expected, expected).await;
+        let reserved = self.memory.take_soon(Purpose::Expected, expected).await;
         reserved.map(Some).ok_or_else(|| self.memory.come_back().unwrap_or(RETRY_AFTER))
     }
 
     /// Updates a lookup's expected reply size from the replies to one request.
     pub(super) fn record_size(&self, resolved: &ResolvedRequest, finished: &FanoutResult) {
-        let replies = finished.parts.iter().filter_map(|part| part.reply.bytes());
+        let replies = finished.parts.iter().filter_map(|part| part.reply.opaque());
         let total: usize = replies.map(|reply| reply.body.len()).sum();
         let mut sizes = self.reply_sizes.borrow_mut();
         let known = sizes.get(&resolved.plan.name).copied().unwrap_or(0);
--- a/crates/harefield/src/engine/run.rs
+++ b/crates/harefield/src/engine/run.rs
@@ -152,7 +152,7 @@
         if let Some(answer) = self.check_suspect(request, resolved, trace).await {
             return answer;
         }
-        if resolved.plan.lookup.repeatable || matches!(request.query, Query::Bytes(_)) {
+        if resolved.plan.lookup.repeatable || matches!(request.query, Query::Opaque(_)) {
             return self.run_or_forward(request, resolved, trace).await;
         }
         self.once(request, resolved, trace).await
@@ -301,7 +301,12 @@
         Some(Arc::new(self.restrict_regions((**plan).clone(), &resolved.regions)))
     }
 
-    pub(super) fn rules(&self, resolved: &ResolvedRequest, overrun: Overrun, reserved: Duration) -> AnswerRules {
+    pub(super) fn rules(
+        &self,
+        resolved: &ResolvedRequest,
+        overrun: Overrun,
+        reserved: Duration,
+    ) -> AnswerRules {
         let lookup = &resolved.plan.lookup;
         AnswerRules {
             repeatable: lookup.repeatable,
@@ -312,7 +317,9 @@
             fixed_delay: self.settings.fixed_hedge,
             kind: Arc::clone(&resolved.plan.name),
             objective: resolved.objective,
-            cutoff: resolved.objective.map(|objective| overrun.cutoff(self.ports.clock.now(), objective, reserved)),
+            cutoff: resolved
+                .objective
+                .map(|objective| overrun.cutoff(self.ports.clock.now(), objective, reserved)),
             min_share: lookup.least_share,
             min_possible: None,
             grouped: false,
@@ -347,7 +354,12 @@
     }
 
     /// Returns whether another snapshot promises a better answer than this result.
-    fn has_better_snapshot(&self, finished: &FanoutResult, plan: &Arc<Plan>, resolved: &ResolvedRequest) -> bool {
+    fn has_better_snapshot(
+        &self,
+        finished: &FanoutResult,
+        plan: &Arc<Plan>,
+        resolved: &ResolvedRequest,
+    ) -> bool {
         let unheld = |gap: Gap| matches!(gap, Gap::SnapshotMissing | Gap::SnapshotWrong | Gap::ShardMoved);
         let lost = finished.coverage.missing.iter().any(|missing| unheld(missing.why));
         let time_left = self.ports.clock.now() < resolved.start + (resolved.deadline - resolved.start) / 2;
@@ -362,7 +374,7 @@
 /// Returns whether a request's shards may be delegated in groups: the delegates merge the records,
 /// and what is lost with a daemon may be queried again.
 fn is_mergeable(job: &Job) -> bool {
-    job.merge.is_some() && !job.once && matches!(job.query, Query::Bytes(_))
+    job.merge.is_some() && !job.once && matches!(job.query, Query::Opaque(_))
 }
 
 pub(super) fn refuse<C: Clock>(trace: &Trace<C>, code: Code, wait: Duration) -> Answer {
@@ -394,7 +406,7 @@
     resolved: &ResolvedRequest,
 ) -> Answer {
     let request = trace.request().map_or("", |id| id);
-    let mut answer = Answer::bare(request, finished.outcome, finished.code);
+    let mut answer = Answer::empty(request, finished.outcome, finished.code);
     answer.snapshot = Some(SnapshotName { index: plan.index.to_string(), version: plan.version });
     answer.coverage = finished.coverage;
     answer.results = finished.parts;
--- a/crates/harefield/src/engine/suspects.rs
+++ b/crates/harefield/src/engine/suspects.rs
@@ -45,11 +45,11 @@
 use crate::domain::view::Plan;
 use crate::domain::view::ShardPlan;
 use crate::domain::work::Work;
-use crate::ports::CallEnd;
+use crate::ports::CallOutcome;
 use crate::ports::Clock;
+use crate::ports::Endpoint;
 use crate::ports::PeerError;
 use crate::ports::Peers;
-use crate::ports::Place;
 use crate::ports::Upstreams;
 use crate::telemetry::Batch;
 use crate::telemetry::Trace;
@@ -128,8 +128,8 @@
         self: &Rc<Self>,
         attempt: &Attempt,
         pending: &PendingAttempt,
-        mut end: CallEnd,
-    ) -> CallEnd {
+        mut end: CallOutcome,
+    ) -> CallOutcome {
         match &end.end {
             AttemptEnd::Answered(_) | AttemptEnd::Failed(_) => self.record_success(&attempt.job),
             AttemptEnd::Lost { why: Gap::ReplyLost } if self.is_upstream_exit(attempt, pending).await => {
@@ -189,7 +189,7 @@
         let target = self.router.borrow().upstream(upstream).map(|s| (s.spec().address, s.share()));
         // An upstream that the configuration no longer names has exited, or is about to.
         let Some((address, share)) = target else { return true };
-        let place = Place { upstream: Arc::clone(upstream), address };
+        let place = Endpoint { upstream: Arc::clone(upstream), address };
         self.ports.upstreams.has_ended(&place, share).await
     }
 
--- a/crates/harefield/src/engine/updates.rs
+++ b/crates/harefield/src/engine/updates.rs
@@ -36,7 +36,9 @@
     pub fn apply(&self, message: ToWorker) {
         match message {
             ToWorker::View(view) => self.apply_view(view),
-            ToWorker::Announcements(announcements) => self.router.borrow_mut().merge_announcements(&announcements),
+            ToWorker::Announcements(announcements) => {
+                self.router.borrow_mut().merge_announcements(&announcements)
+            }
             ToWorker::Suspects(suspects) => self.merge_suspects(&suspects),
             ToWorker::Peers(peers) => self.apply_peers(peers),
             ToWorker::Confirmed(confirmed) => self.confirm(confirmed.started),
--- a/crates/harefield/src/ports/mod.rs
+++ b/crates/harefield/src/ports/mod.rs
@@ -1,5 +1,4 @@
-//! The small traits through which the engine and the control duty meet their
-//! surroundings.
+//! The ports: traits through which the engine and the control task reach their environment.
 
 mod clock;
 mod formats;
@@ -10,7 +9,7 @@
 pub use clock::Clock;
 pub use peers::Exchange;
 pub use peers::Forward;
-pub use peers::Forwarded;
+pub use peers::ForwardAnswer;
 pub use peers::Group;
 pub use peers::GroupGap;
 pub use peers::GroupPart;
@@ -18,15 +17,15 @@
 pub use peers::Mark;
 pub use peers::PeerError;
 pub use peers::Peers;
-pub use peers::PermitAsk;
 pub use peers::PermitReply;
+pub use peers::PermitRequest;
 pub use peers::Pull;
 pub use platform::Listing;
 pub use platform::Platform;
 pub use platform::PlatformError;
 pub use platform::Space;
-pub use platform::Watched;
+pub use platform::WatchResult;
 pub use upstreams::Call;
-pub use upstreams::CallEnd;
-pub use upstreams::Place;
+pub use upstreams::CallOutcome;
+pub use upstreams::Endpoint;
 pub use upstreams::Upstreams;
--- a/crates/harefield/tests/decisions/groups.rs
+++ b/crates/harefield/tests/decisions/groups.rs
@@ -5,6 +5,12 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use crate::support::at;
+use crate::support::items;
+use crate::support::replica;
+use crate::support::row;
+use crate::support::values;
+use crate::support::view;
 use harefield::domain::event::Cause;
 use harefield::domain::event::Event;
 use harefield::domain::fanout::Action;
@@ -18,13 +24,11 @@
 use harefield::domain::fanout::ShardResult;
 use harefield::domain::ids::HostId;
 use harefield::domain::ids::ShardId;
+use harefield::domain::membership::MemberRow;
 use harefield::domain::membership::PeerState;
-use harefield::domain::membership::Row;
 use harefield::domain::outcome::Gap;
 use harefield::domain::outcome::Outcome;
-use harefield::domain::places::Distance;
-use harefield::domain::places::Places;
-use harefield::domain::reply::ByteReply;
+use harefield::domain::reply::OpaqueReply;
 use harefield::domain::reply::Reply;
 use harefield::domain::resources::Preference;
 use harefield::domain::resources::ResourceSet;
@@ -33,16 +37,11 @@
 use harefield::domain::routing::Policy;
 use harefield::domain::routing::RelayOutcome;
 use harefield::domain::routing::Router;
+use harefield::domain::topology::Distance;
+use harefield::domain::topology::Topology;
 use harefield::domain::view::LookupPlan;
 use harefield::domain::view::ReplicaLimit;
 
-use crate::support::at;
-use crate::support::items;
-use crate::support::replica;
-use crate::support::row;
-use crate::support::values;
-use crate::support::view;
-
 /// How many shards there are; the first two have replicas in the daemon's own zone.
 const SHARDS: usize = 6;
 
@@ -57,18 +56,18 @@
     revoked: usize,
 }
 
-fn places() -> Places {
+fn places() -> Topology {
     let regions = [("a", "r1"), ("b", "r2"), ("c", "r1")].map(|(zone, region)| (zone.into(), region.into()));
-    Places { zone: "a".into(), regions: BTreeMap::from(regions) }
+    Topology { zone: "a".into(), regions: BTreeMap::from(regions) }
 }
 
 fn host() -> HostId {
     "10.0.0.2:7200".into()
 }
 
-fn daemon(zone: &str, live: bool) -> Row {
+fn daemon(zone: &str, live: bool) -> MemberRow {
     let state = if live { PeerState::Live } else { PeerState::Suspect };
-    Row { host: host(), state, ..row(0, zone) }
+    MemberRow { host: host(), state, ..row(0, zone) }
 }
 
 impl World {
@@ -188,12 +187,12 @@
 }
 
 fn part(text: &str) -> Reply {
-    let reply = ByteReply { status: 200, signature: Some(text.into()), ..ByteReply::default() };
-    Reply::Bytes(Arc::new(reply))
+    let reply = OpaqueReply { status: 200, signature: Some(text.into()), ..OpaqueReply::default() };
+    Reply::Opaque(Arc::new(reply))
 }
 
 fn signature(reply: &Reply) -> &str {
-    reply.bytes().and_then(|reply| reply.signature.as_deref()).unwrap_or("")
+    reply.opaque().and_then(|reply| reply.signature.as_deref()).unwrap_or("")
 }
 
 #[test]
@@ -428,5 +427,5 @@
     assert_eq!(places.distance("c"), Distance::Region);
     assert_eq!(places.distance("b"), Distance::Far);
     assert_eq!(places.distance("unknown"), Distance::Far);
-    assert_eq!(Places::default().distance("b"), Distance::Near, "without regions every zone is near");
+    assert_eq!(Topology::default().distance("b"), Distance::Near, "without regions every zone is near");
 }
--- a/crates/harefield/tests/decisions/limits_model.rs
+++ b/crates/harefield/tests/decisions/limits_model.rs
@@ -21,8 +21,8 @@
 use harefield::domain::accounts::PartLimit;
 use harefield::domain::accounts::SlotId;
 use harefield::domain::ids::HostId;
+use harefield::domain::membership::MemberRow;
 use harefield::domain::membership::PeerState;
-use harefield::domain::membership::Row;
 use harefield::domain::resources::Account;
 
 const OVERAGE: Overage = Overage { window: Duration::from_secs(5), share: 0.25, slack: 20.0 };
@@ -65,7 +65,7 @@
 }
 
 struct Fleet {
-    rows: Vec<Row>,
+    rows: Vec<MemberRow>,
     zones: Vec<Arc<str>>,
     grants: BTreeMap<HostId, Grants>,
     /// The daemons as the majority sees them, and as each partitioned daemon does.
@@ -79,7 +79,7 @@
 impl Fleet {
     fn new(daemons: usize, account: &Account, division: Division) -> Self {
         let zones: Vec<Arc<str>> = (0..6).map(|number| format!("z{number}").into()).collect();
-        let rows: Vec<Row> = (0..daemons).map(|number| row(number, &zones[number % 6])).collect();
+        let rows: Vec<MemberRow> = (0..daemons).map(|number| row(number, &zones[number % 6])).collect();
         let start = Instant::now();
         let mut view = Holders::new(&zones, &zones[0]);
         view.update(&rows, start);
@@ -139,7 +139,7 @@
     }
 }
 
-fn suspect(row: &mut Row) {
+fn suspect(row: &mut MemberRow) {
     row.state = PeerState::Suspect;
 }
 
--- a/crates/harefield/tests/decisions/rejecting_model.rs
+++ b/crates/harefield/tests/decisions/rejecting_model.rs
@@ -11,6 +11,11 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
+use crate::support::at;
+use crate::support::items;
+use crate::support::replica;
+use crate::support::values;
+use crate::support::view;
 use harefield::domain::fanout::Action;
 use harefield::domain::fanout::AnswerRules;
 use harefield::domain::fanout::AttemptEnd;
@@ -19,9 +24,8 @@
 use harefield::domain::fanout::SendAttempt;
 use harefield::domain::ids::UpstreamId;
 use harefield::domain::outcome::Gap;
-use harefield::domain::places::Places;
 use harefield::domain::ratio;
-use harefield::domain::reply::ByteReply;
+use harefield::domain::reply::OpaqueReply;
 use harefield::domain::reply::Reply;
 use harefield::domain::resources::Preference;
 use harefield::domain::resources::ResourceSet;
@@ -32,15 +36,10 @@
 use harefield::domain::routing::Policy;
 use harefield::domain::routing::Report;
 use harefield::domain::routing::Router;
+use harefield::domain::topology::Topology;
 use harefield::domain::view::Plan;
 use harefield::domain::view::ReplicaLimit;
 
-use crate::support::at;
-use crate::support::items;
-use crate::support::replica;
-use crate::support::values;
-use crate::support::view;
-
 const SHARDS: usize = 100;
 const REPLICAS: usize = 12;
 
@@ -87,7 +86,7 @@
         let view = view(&set);
         let regions =
             [("a", "r1"), ("b", "r2"), ("c", "r3")].map(|(zone, region)| (zone.into(), region.into()));
-        let places = Places { zone: "a".into(), regions: BTreeMap::from(regions) };
+        let places = Topology { zone: "a".into(), regions: BTreeMap::from(regions) };
         let budgets = Budgets::per_service(FleetSlack { share: 0.2, slack: SLACK }, MEMBERS);
         let mut router = Router::new(Policy::Cost, budgets, seed, now).with_places(places);
         router.apply(&view, now);
@@ -189,8 +188,8 @@
 }
 
 fn answer() -> AttemptEnd {
-    let reply = ByteReply { status: 200, signature: Some("s".into()), ..ByteReply::default() };
-    AttemptEnd::Answered(Reply::Bytes(Arc::new(reply)))
+    let reply = OpaqueReply { status: 200, signature: Some("s".into()), ..OpaqueReply::default() };
+    AttemptEnd::Answered(Reply::Opaque(Arc::new(reply)))
 }
 
 /// Returns the share of useful answers in each second after upstreams began to reject.
--- a/crates/harefield/tests/decisions/sharing.rs
+++ b/crates/harefield/tests/decisions/sharing.rs
@@ -8,14 +8,19 @@
 
 use proptest::prelude::*;
 
+use crate::support::at;
+use crate::support::cases;
+use crate::support::items;
+use crate::support::row;
+use crate::support::values;
+use crate::support::view;
 use harefield::domain::event::Event;
 use harefield::domain::fanout::Action;
 use harefield::domain::fanout::AnswerRules;
 use harefield::domain::fanout::Fanout;
 use harefield::domain::fanout::MAX_TRIALS;
 use harefield::domain::ids::HostId;
-use harefield::domain::membership::Row;
-use harefield::domain::places::Places;
+use harefield::domain::membership::MemberRow;
 use harefield::domain::resources::Preference;
 use harefield::domain::resources::ResourceSet;
 use harefield::domain::routing::Assignment;
@@ -27,13 +32,7 @@
 use harefield::domain::routing::Policy;
 use harefield::domain::routing::Router;
 use harefield::domain::routing::assign_shards;
-
-use crate::support::at;
-use crate::support::cases;
-use crate::support::items;
-use crate::support::row;
-use crate::support::values;
-use crate::support::view;
+use harefield::domain::topology::Topology;
 
 /// The time of one shard on a whole core, in the model.
 const SHARD_TIME: Duration = Duration::from_micros(60);
@@ -47,7 +46,7 @@
 /// A fleet in which zones `a` and `b` are one region and `c` another. All replicas are in `a`,
 /// or with `spread` those of every other shard in `b`.
 struct Fleet {
-    rows: Vec<Row>,
+    rows: Vec<MemberRow>,
     shards: usize,
     objective: u64,
     spread: bool,
@@ -82,7 +81,7 @@
 
 impl Fleet {
     fn new(shards: usize, objective: u64, zones: &[(&str, u32)]) -> Self {
-        let row = |(number, (zone, capacity)): (usize, &(&str, u32))| Row {
+        let row = |(number, (zone, capacity)): (usize, &(&str, u32))| MemberRow {
             capacity: *capacity,
             ..row(number, zone)
         };
@@ -115,7 +114,7 @@
         let own = &self.rows[daemon];
         let regions =
             [("a", "r1"), ("b", "r1"), ("c", "r2")].map(|(zone, region)| (zone.into(), region.into()));
-        let places = Places { zone: Arc::clone(&own.zone), regions: BTreeMap::from(regions) };
+        let places = Topology { zone: Arc::clone(&own.zone), regions: BTreeMap::from(regions) };
         let own =
             LocalDaemon { host: Arc::clone(&own.host), capacity: own.capacity, ..LocalDaemon::default() };
         let mut router = Router::new(Policy::Cost, Budgets::single(0.05), 7, now)
@@ -154,7 +153,7 @@
 
     /// Returns when the last attempt of all daemons is sent, by their CPU time alone.
     fn last_sent(&self, daemon: usize, shared: &Shared) -> Duration {
-        let cpu_time = |row: &Row, shards: usize| {
+        let cpu_time = |row: &MemberRow, shards: usize| {
             SHARD_TIME * u32::try_from(shards).expect("they are few") * 1000 / row.capacity
         };
         let own = cpu_time(&self.rows[daemon], shared.own + GROUP_COST * shared.groups.len());
--- a/crates/harefield/tests/fleet/link.rs
+++ b/crates/harefield/tests/fleet/link.rs
@@ -14,28 +14,28 @@
 
 use harefield::domain::feed::Change;
 use harefield::domain::feed::Delta;
+use harefield::domain::feed::DeltaKind;
 use harefield::domain::feed::Items;
 use harefield::domain::feed::News;
-use harefield::domain::feed::Span;
 use harefield::domain::ids::Era;
 use harefield::domain::ids::HostId;
 use harefield::domain::revision::Revision;
 use harefield::engine::ToControl;
 use harefield::ports::Exchange;
 use harefield::ports::Forward;
-use harefield::ports::Forwarded;
+use harefield::ports::ForwardAnswer;
 use harefield::ports::Group;
 use harefield::ports::GroupReply;
 use harefield::ports::Listing;
 use harefield::ports::PeerError;
 use harefield::ports::Peers;
-use harefield::ports::PermitAsk;
 use harefield::ports::PermitReply;
+use harefield::ports::PermitRequest;
 use harefield::ports::Platform;
 use harefield::ports::PlatformError;
 use harefield::ports::Pull;
 use harefield::ports::Space;
-use harefield::ports::Watched;
+use harefield::ports::WatchResult;
 
 /// How often a waiting watch looks for changes.
 const STEP: Duration = Duration::from_millis(20);
@@ -134,15 +134,15 @@
 }
 
 impl Peers for Link {
-    async fn forward(&self, _: &HostId, _: &Forward, _: Duration) -> Result<Forwarded, PeerError> {
+    async fn forward(&self, _: &HostId, _: &Forward, _: Duration) -> Result<ForwardAnswer, PeerError> {
         Err(PeerError::Unreachable)
     }
 
-    async fn group(&self, _: &HostId, _: &Group, _: Duration) -> Result<GroupReply, PeerError> {
+    async fn delegate(&self, _: &HostId, _: &Group, _: Duration) -> Result<GroupReply, PeerError> {
         Err(PeerError::Unreachable)
     }
 
-    async fn permits(&self, _: &HostId, _: &PermitAsk, _: Duration) -> Result<PermitReply, PeerError> {
+    async fn permits(&self, _: &HostId, _: &PermitRequest, _: Duration) -> Result<PermitReply, PeerError> {
         Err(PeerError::Unreachable)
     }
 
@@ -187,7 +187,7 @@
         space: Space,
         after: Revision,
         wait: Duration,
-    ) -> Result<Watched, PlatformError> {
+    ) -> Result<WatchResult, PlatformError> {
         self.count();
         if self.shared.borrow().mute.contains(&space) && !wait.is_zero() {
             return std::future::pending().await;
@@ -201,18 +201,18 @@
             return Err(PlatformError::Unreachable);
         }
         if shared.era > after.era {
-            return Ok(Watched::Restored(shared.era));
+            return Ok(WatchResult::Restored(shared.era));
         }
         let newer = shared.of(space).filter(|(revision, _)| *revision > after);
         let deltas = newer.map(|(revision, change)| Delta {
             base: Revision::new(revision.era, revision.number - 1),
             revision,
             changes: vec![change.clone()],
-            span: Span::Step,
+            kind: DeltaKind::Single,
         });
         let deltas: Vec<Delta> = deltas.take(shared.most.unwrap_or(usize::MAX)).collect();
         let cut = shared.most.is_some_and(|most| deltas.len() == most);
         let at = deltas.last().filter(|_| cut).map_or(shared.revision(space), |delta| delta.revision);
-        Ok(Watched::Changes { deltas, at })
+        Ok(WatchResult::Changes { deltas, at })
     }
 }
