--- a/crates/harefield/src/engine/updates.rs
+++ b/crates/harefield/src/engine/updates.rs
@@ -37,7 +37,7 @@
         match message {
             ToWorker::View(view) => self.apply_view(view),
             ToWorker::Announcements(announcements) => {
-                self.router.borrow_mut().merge_announcements(&announcements)
+                self.router.borrow_mut().merge_announcements(&announcements);
             }
             ToWorker::Suspects(suspects) => self.merge_suspects(&suspects),
             ToWorker::Peers(peers) => self.apply_peers(peers),
