--- a/crates/harefield/src/adapters/http/body.rs
+++ b/crates/harefield/src/adapters/http/body.rs
@@ -9,8 +9,8 @@
 use hyper::body::Bytes;
 
 use crate::domain::buffers::Use;
-use crate::memory::Held;
-use crate::memory::LEAST_COUNTED;
+use crate::memory::HeldBytes;
+use crate::memory::MIN_COUNTED;
 use crate::memory::Memory;
 
 /// Why a body could not be read.
@@ -79,12 +79,12 @@
 async fn count(
     memory: &Memory,
     held_for: Use,
-    held: Option<Held>,
+    held: Option<HeldBytes>,
     (chunk, total): (usize, usize),
-) -> Result<Option<Held>, BodyError> {
+) -> Result<Option<HeldBytes>, BodyError> {
     match held {
-        None if total < LEAST_COUNTED => Ok(None),
-        None => memory.take_soon(held_for, total).await.map(Some).ok_or(BodyError::NoRoom),
+        None if total < MIN_COUNTED => Ok(None),
+        None => memory.reserve(held_for, total).await.map(Some).ok_or(BodyError::NoRoom),
         Some(mut held) => {
             let fits = held.grow(chunk).await;
             if fits { Ok(Some(held)) } else { Err(BodyError::NoRoom) }
@@ -106,7 +106,7 @@
 /// Counts the body of a reply that was made here, until it is written.
 pub async fn counted(reply: Response<Full<Bytes>>, memory: &Memory) -> Response<Full<Bytes>> {
     let size = reply.body().size_hint().exact().and_then(|size| usize::try_from(size).ok());
-    let Some(size) = size.filter(|size| *size >= LEAST_COUNTED) else { return reply };
+    let Some(size) = size.filter(|size| *size >= MIN_COUNTED) else { return reply };
     let (head, body) = reply.into_parts();
     let counted = memory.hold(Use::Messages, size);
     let Ok(whole) = body.collect().await;
--- a/crates/harefield/src/adapters/http/paced.rs
+++ b/crates/harefield/src/adapters/http/paced.rs
@@ -85,7 +85,7 @@
             return written;
         }
         if let Some(writer) = &self.writer {
-            writer.note_stalled();
+            writer.record_stalled();
         }
         info!("a connection is ended: its peer took {} bytes in {stall:?}", self.taken);
         Poll::Ready(Err(Error::new(ErrorKind::TimedOut, "the peer takes nothing")))
--- a/crates/harefield/src/adapters/operators/resources.rs
+++ b/crates/harefield/src/adapters/operators/resources.rs
@@ -127,7 +127,7 @@
             }),
             accepted: true,
             faults: Vec::new(),
-            conditions: json!(self.board.account_use(name)),
+            conditions: json!(self.board.account_usage(name)),
         };
         set.accounts.iter().map(item).collect()
     }
--- a/crates/harefield/src/commands/arguments.rs
+++ b/crates/harefield/src/commands/arguments.rs
@@ -13,7 +13,7 @@
     /// A long option's name.
     Option(String),
     /// A plain word.
-    Word(String),
+    Positional(String),
 }
 
 /// Reads a command line.
@@ -49,7 +49,7 @@
             }
             Arg::Long(name) => Ok(Some(Argument::Option(name.to_owned()))),
             Arg::Short(name) => Err(format!("no option -{name}").into()),
-            Arg::Value(word) => Ok(Some(Argument::Word(word.string()?))),
+            Arg::Value(word) => Ok(Some(Argument::Positional(word.string()?))),
         }
     }
 
@@ -67,8 +67,8 @@
     /// Returns the command; none once help was printed.
     pub fn command(&mut self) -> Result<Option<String>, lexopt::Error> {
         match self.next()? {
-            Some(Argument::Word(command)) => Ok(Some(command)),
-            Some(Argument::Option(name)) => Err(unknown(&name)),
+            Some(Argument::Positional(command)) => Ok(Some(command)),
+            Some(Argument::Option(name)) => Err(unknown_option(&name)),
             None => {
                 print!("{}", self.help);
                 Ok(None)
@@ -78,6 +78,6 @@
 }
 
 /// Makes the error for an option that a command does not take.
-pub(super) fn unknown(name: &str) -> lexopt::Error {
+pub(super) fn unknown_option(name: &str) -> lexopt::Error {
     format!("no option --{name}").into()
 }
--- a/crates/harefield/src/commands/check.rs
+++ b/crates/harefield/src/commands/check.rs
@@ -12,7 +12,7 @@
 use super::Outcome;
 use super::arguments::Argument;
 use super::arguments::Arguments;
-use super::arguments::unknown;
+use super::arguments::unknown_option;
 use crate::adapters::operators::SetFile;
 use crate::adapters::settings::Settings;
 use crate::domain::code::Code;
@@ -49,11 +49,11 @@
     let mut path = None;
     while let Some(argument) = arguments.next()? {
         match argument {
-            Argument::Word(word) if path.is_none() => path = Some(PathBuf::from(word)),
-            Argument::Word(word) => {
+            Argument::Positional(word) if path.is_none() => path = Some(PathBuf::from(word)),
+            Argument::Positional(word) => {
                 return Err(lexopt::Error::from(format!("unexpected {word:?}")).into());
             }
-            Argument::Option(name) => return Err(unknown(&name).into()),
+            Argument::Option(name) => return Err(unknown_option(&name).into()),
         }
     }
     let path = path.ok_or_else(|| lexopt::Error::from("a FILE is needed"))?;
--- a/crates/harefield/src/commands/explain.rs
+++ b/crates/harefield/src/commands/explain.rs
@@ -4,8 +4,8 @@
 use super::Outcome;
 use super::arguments::Argument;
 use super::arguments::Arguments;
-use super::arguments::unknown;
-use super::fetch::Asker;
+use super::arguments::unknown_option;
+use super::fetch::DaemonClient;
 use super::fetch::find_fleet;
 use super::timeline;
 use super::timeline::Options;
@@ -25,25 +25,25 @@
     let mut options = Options::default();
     while let Some(argument) = arguments.next()? {
         match argument {
-            Argument::Word(word) => options.filter.request = Some(word),
+            Argument::Positional(word) => options.filter.request = Some(word),
             Argument::Option(name) => match name.as_str() {
                 "from" => options.from.push(arguments.address()?),
-                "token-file" => options.asker = Asker::with_token(&arguments.value()?)?,
-                other => return Err(unknown(other).into()),
+                "token-file" => options.client = DaemonClient::with_token(&arguments.value()?)?,
+                other => return Err(unknown_option(other).into()),
             },
         }
     }
-    let request = options.need_request()?;
-    let fleet = find_fleet(&options.asker, &options.from)?;
-    timeline::name_silent(&fleet);
-    let records = timeline::gather(&fleet, &options);
+    let request = options.required_request()?;
+    let fleet = find_fleet(&options.client, &options.from)?;
+    timeline::print_unanswered(&fleet);
+    let records = timeline::fetch_records(&fleet, &options);
     let Some(first) = records.first() else {
         println!("no daemon holds events of {request}");
         return Ok(Exit::Done);
     };
     let origin = first.stamp.micros;
     for record in &records {
-        println!("{}", timeline::describe(record, origin));
+        println!("{}", timeline::format_record(record, origin));
     }
     Ok(Exit::Done)
 }
--- a/crates/harefield/src/commands/fetch.rs
+++ b/crates/harefield/src/commands/fetch.rs
@@ -22,11 +22,11 @@
 
 /// How daemons' addresses are asked.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Asker {
+pub(super) struct DaemonClient {
     token: Option<String>,
 }
 
-impl Asker {
+impl DaemonClient {
     /// Reads the token that operators show, or the key of a client account.
     pub fn with_token(path: &str) -> Result<Self, Failure> {
         let token = read_token(Some(Path::new(path))).map_err(|error| {
@@ -63,7 +63,7 @@
 }
 
 /// How long an operators' address may take to answer.
-pub(super) const OPERATOR_LIMIT: Duration = Duration::from_secs(3);
+pub(super) const OPERATOR_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A fleet as found from one daemon.
 #[derive(Debug, Default)]
@@ -71,18 +71,18 @@
     /// The daemons that answered, with their operators' addresses.
     pub answered: Vec<(SocketAddr, Status)>,
     /// The operators' addresses that did not answer.
-    pub silent: Vec<SocketAddr>,
+    pub unanswered: Vec<SocketAddr>,
 }
 
 /// Asks the daemons at `start` for the others, and all of them for their status.
-pub(super) fn find_fleet(asker: &Asker, start: &[SocketAddr]) -> Result<Fleet, Failure> {
+pub(super) fn find_fleet(asker: &DaemonClient, start: &[SocketAddr]) -> Result<Fleet, Failure> {
     let mut fleet = Fleet::default();
     let mut found: Vec<SocketAddr> = start.to_vec();
     let mut at = 0;
     while let Some(address) = found.get(at).copied() {
         at += 1;
-        let Some(status) = asker.get::<Status>(address, "/v1/status", OPERATOR_LIMIT) else {
-            fleet.silent.push(address);
+        let Some(status) = asker.get::<Status>(address, "/v1/status", OPERATOR_TIMEOUT) else {
+            fleet.unanswered.push(address);
             continue;
         };
         for row in &status.peers {
@@ -95,13 +95,13 @@
         fleet.answered.push((address, status));
     }
     if fleet.answered.is_empty() {
-        return Err(unreachable(start));
+        return Err(unreachable_error(start));
     }
     Ok(fleet)
 }
 
 /// Makes the failure for daemons that do not answer.
-pub(super) fn unreachable(addresses: &[SocketAddr]) -> Failure {
+pub(super) fn unreachable_error(addresses: &[SocketAddr]) -> Failure {
     let code = Code::DaemonUnreachable;
     Failure::new(Exit::Unreachable, miette::miette!("{code}: {}: {addresses:?}", code.text()))
 }
--- a/crates/harefield/src/commands/query.rs
+++ b/crates/harefield/src/commands/query.rs
@@ -12,9 +12,9 @@
 use super::Outcome;
 use super::arguments::Argument;
 use super::arguments::Arguments;
-use super::arguments::unknown;
-use super::fetch::Asker;
-use super::fetch::unreachable;
+use super::arguments::unknown_option;
+use super::fetch::DaemonClient;
+use super::fetch::unreachable_error;
 use crate::domain::code::Code;
 use crate::domain::outcome;
 use crate::domain::outcome::Answer;
@@ -40,7 +40,7 @@
 struct Options {
     to: Option<SocketAddr>,
     lookup: Option<String>,
-    asker: Asker,
+    asker: DaemonClient,
     body: Map<String, Value>,
 }
 
@@ -72,7 +72,7 @@
     while let Some(argument) = arguments.next()? {
         match argument {
             Argument::Option(name) => match name.as_str() {
-                "key-file" => options.asker = Asker::with_token(&arguments.value()?)?,
+                "key-file" => options.asker = DaemonClient::with_token(&arguments.value()?)?,
                 "to" => options.to = Some(parse(&arguments.value()?)?),
                 "id" | "ticket" => {
                     options.body.insert(name, Value::String(arguments.value()?));
@@ -81,10 +81,10 @@
                     let millis: u64 = parse(&arguments.value()?)?;
                     options.body.insert(name, millis.into());
                 }
-                other => return Err(unknown(other).into()),
+                other => return Err(unknown_option(other).into()),
             },
-            Argument::Word(word) if options.lookup.is_none() => options.lookup = Some(word),
-            Argument::Word(word) => {
+            Argument::Positional(word) if options.lookup.is_none() => options.lookup = Some(word),
+            Argument::Positional(word) => {
                 options.body.insert("query".to_owned(), parse(&word)?);
             }
         }
@@ -100,9 +100,9 @@
     text.parse().map_err(|error: T::Err| format!("{text:?}: {error}").into())
 }
 
-fn ask(asker: &Asker, to: SocketAddr, lookup: &str, body: &Map<String, Value>) -> Result<Answer, Failure> {
+fn ask(asker: &DaemonClient, to: SocketAddr, lookup: &str, body: &Map<String, Value>) -> Result<Answer, Failure> {
     let text = Value::Object(body.clone()).to_string();
     let reply = asker.call(Method::POST, to, &format!("/v1/lookups/{lookup}"), text, LIMIT);
-    let reply = reply.ok_or_else(|| unreachable(&[to]))?;
-    serde_json::from_slice(&reply).map_err(|_error| unreachable(&[to]))
+    let reply = reply.ok_or_else(|| unreachable_error(&[to]))?;
+    serde_json::from_slice(&reply).map_err(|_error| unreachable_error(&[to]))
 }
--- a/crates/harefield/src/commands/report.rs
+++ b/crates/harefield/src/commands/report.rs
@@ -7,8 +7,8 @@
 use super::Outcome;
 use super::arguments::Argument;
 use super::arguments::Arguments;
-use super::arguments::unknown;
-use super::fetch::Asker;
+use super::arguments::unknown_option;
+use super::fetch::DaemonClient;
 use super::fetch::find_fleet;
 use super::timeline;
 use super::timeline::Options;
@@ -31,22 +31,22 @@
     let mut out = None;
     while let Some(argument) = arguments.next()? {
         match argument {
-            Argument::Word(word) => options.filter.request = Some(word),
+            Argument::Positional(word) => options.filter.request = Some(word),
             Argument::Option(name) => match name.as_str() {
                 "from" => options.from.push(arguments.address()?),
                 "out" => out = Some(PathBuf::from(arguments.value()?)),
-                "token-file" => options.asker = Asker::with_token(&arguments.value()?)?,
-                other => return Err(unknown(other).into()),
+                "token-file" => options.client = DaemonClient::with_token(&arguments.value()?)?,
+                other => return Err(unknown_option(other).into()),
             },
         }
     }
     let out = out.ok_or_else(|| lexopt::Error::from("--out FILE is needed"))?;
-    options.need_request()?;
-    let fleet = find_fleet(&options.asker, &options.from)?;
-    timeline::name_silent(&fleet);
-    let records = timeline::gather(&fleet, &options);
+    options.required_request()?;
+    let fleet = find_fleet(&options.client, &options.from)?;
+    timeline::print_unanswered(&fleet);
+    let records = timeline::fetch_records(&fleet, &options);
     let origin = records.first().map_or(0, |record| record.stamp.micros);
-    let lines: Vec<String> = records.iter().map(|record| timeline::describe(record, origin)).collect();
+    let lines: Vec<String> = records.iter().map(|record| timeline::format_record(record, origin)).collect();
     let page = page(&waterfall(&records), &lines);
     std::fs::write(&out, page).map_err(|error| {
         let code = Code::SettingsUnreadable;
--- a/crates/harefield/src/commands/serve.rs
+++ b/crates/harefield/src/commands/serve.rs
@@ -7,10 +7,10 @@
 use super::Outcome;
 use super::arguments::Argument;
 use super::arguments::Arguments;
-use super::arguments::unknown;
+use super::arguments::unknown_option;
 use crate::adapters::settings::Settings;
 use crate::daemon;
-use crate::daemon::Ended;
+use crate::daemon::StopOutcome;
 
 const HELP: &str = "\
 Usage: harefield serve --settings FILE
@@ -27,8 +27,8 @@
             Argument::Option(name) if name == "settings" => {
                 path = Some(PathBuf::from(arguments.value()?));
             }
-            Argument::Option(name) => return Err(unknown(&name).into()),
-            Argument::Word(word) => {
+            Argument::Option(name) => return Err(unknown_option(&name).into()),
+            Argument::Positional(word) => {
                 return Err(lexopt::Error::from(format!("unexpected {word:?}")).into());
             }
         }
@@ -39,7 +39,7 @@
         println!("{}", serde_json::to_string(addresses).unwrap_or_default());
     });
     match ended.map_err(|error| Failure::new(Exit::CannotStart, error))? {
-        Ended::Whole => Ok(Exit::Done),
-        Ended::Cut => Ok(Exit::Cut),
+        StopOutcome::Complete => Ok(Exit::Done),
+        StopOutcome::Interrupted => Ok(Exit::Cut),
     }
 }
--- a/crates/harefield/src/commands/status.rs
+++ b/crates/harefield/src/commands/status.rs
@@ -7,8 +7,8 @@
 use super::Outcome;
 use super::arguments::Argument;
 use super::arguments::Arguments;
-use super::arguments::unknown;
-use super::fetch::Asker;
+use super::arguments::unknown_option;
+use super::fetch::DaemonClient;
 use super::fetch::Fleet;
 use super::fetch::find_fleet;
 use crate::domain::revision::Revision;
@@ -28,7 +28,7 @@
 pub(super) fn run(mut arguments: Arguments) -> Outcome {
     arguments.set_help(HELP);
     let mut from: Vec<SocketAddr> = Vec::new();
-    let mut asker = Asker::default();
+    let mut asker = DaemonClient::default();
     let mut json = false;
     while let Some(argument) = arguments.next()? {
         let Argument::Option(name) = argument else {
@@ -36,9 +36,9 @@
         };
         match name.as_str() {
             "json" => json = true,
-            "token-file" => asker = Asker::with_token(&arguments.value()?)?,
+            "token-file" => asker = DaemonClient::with_token(&arguments.value()?)?,
             "from" => from.push(arguments.address()?),
-            other => return Err(unknown(other).into()),
+            other => return Err(unknown_option(other).into()),
         }
     }
     if from.is_empty() {
@@ -79,7 +79,7 @@
 }
 
 fn tell_differences(fleet: &Fleet) {
-    for address in &fleet.silent {
+    for address in &fleet.unanswered {
         println!("did not answer: {address}");
     }
     let newest = fleet.answered.iter().map(|(_, status)| status.config.revision).max().flatten();
--- a/crates/harefield/src/commands/timeline.rs
+++ b/crates/harefield/src/commands/timeline.rs
@@ -8,10 +8,10 @@
 use super::Outcome;
 use super::arguments::Argument;
 use super::arguments::Arguments;
-use super::arguments::unknown;
-use super::fetch::Asker;
+use super::arguments::unknown_option;
+use super::fetch::DaemonClient;
 use super::fetch::Fleet;
-use super::fetch::OPERATOR_LIMIT;
+use super::fetch::OPERATOR_TIMEOUT;
 use super::fetch::find_fleet;
 use crate::domain::event::Record;
 use crate::telemetry::Filter;
@@ -43,14 +43,14 @@
 pub(super) struct Options {
     pub from: Vec<SocketAddr>,
     pub filter: Filter,
-    pub asker: Asker,
+    pub client: DaemonClient,
     json: bool,
     follow: bool,
 }
 
 impl Options {
     /// Returns the request that is asked for; some daemon must be named too.
-    pub fn need_request(&self) -> Result<String, lexopt::Error> {
+    pub fn required_request(&self) -> Result<String, lexopt::Error> {
         let request = self.filter.request.clone().ok_or("a REQUEST is needed")?;
         if self.from.is_empty() {
             return Err("--from IP:PORT is needed".into());
@@ -62,10 +62,10 @@
 pub(super) fn run(mut arguments: Arguments) -> Outcome {
     arguments.set_help(HELP);
     let mut options = read(&mut arguments)?;
-    let fleet = find_fleet(&options.asker, &options.from)?;
-    name_silent(&fleet);
+    let fleet = find_fleet(&options.client, &options.from)?;
+    print_unanswered(&fleet);
     loop {
-        let records = gather(&fleet, &options);
+        let records = fetch_records(&fleet, &options);
         for record in &records {
             print(record, options.json);
         }
@@ -96,8 +96,8 @@
             "after" => filter.after = Some(number(&arguments.value()?)?),
             "until" => filter.until = Some(number(&arguments.value()?)?),
             "most" => filter.most = Some(number(&arguments.value()?)?),
-            "token-file" => options.asker = Asker::with_token(&arguments.value()?)?,
-            other => return Err(unknown(other).into()),
+            "token-file" => options.client = DaemonClient::with_token(&arguments.value()?)?,
+            other => return Err(unknown_option(other).into()),
         }
     }
     if options.from.is_empty() {
@@ -111,19 +111,19 @@
 }
 
 /// Names the daemons that did not answer.
-pub(super) fn name_silent(fleet: &Fleet) {
-    for address in &fleet.silent {
+pub(super) fn print_unanswered(fleet: &Fleet) {
+    for address in &fleet.unanswered {
         eprintln!("did not answer: {address}");
     }
 }
 
 /// Gathers the selected records of a fleet, merged.
-pub(super) fn gather(fleet: &Fleet, options: &Options) -> Vec<Record> {
+pub(super) fn fetch_records(fleet: &Fleet, options: &Options) -> Vec<Record> {
     let query = serde_urlencoded::to_string(&options.filter).unwrap_or_default();
     let path = format!("/v1/timeline?{query}");
     let mut records: Vec<Record> = Vec::new();
     for (address, _) in &fleet.answered {
-        match options.asker.get::<Vec<Record>>(*address, &path, OPERATOR_LIMIT) {
+        match options.client.get::<Vec<Record>>(*address, &path, OPERATOR_TIMEOUT) {
             Some(found) => records.extend(found),
             None => eprintln!("did not answer: {address}"),
         }
@@ -136,12 +136,12 @@
     if json {
         println!("{}", serde_json::to_string(record).unwrap_or_default());
     } else {
-        println!("{}", describe(record, 0));
+        println!("{}", format_record(record, 0));
     }
 }
 
 /// Returns a record as a line of text, its time relative to `origin`.
-pub(super) fn describe(record: &Record, origin: u64) -> String {
+pub(super) fn format_record(record: &Record, origin: u64) -> String {
     let mut fields = match serde_json::to_value(&record.event) {
         Ok(serde_json::Value::Object(fields)) => fields,
         _ => serde_json::Map::new(),
--- a/crates/harefield/src/control/freshness.rs
+++ b/crates/harefield/src/control/freshness.rs
@@ -37,7 +37,7 @@
         let now = self.ports.clock.now();
         self.reach.borrow_mut().entry(space).or_default().vouch(at, now);
         if space == Space::Config {
-            self.board.prove(at);
+            self.board.record_proof(at);
             self.tell(&ToWorker::Proven(at));
         }
         let Some(proven) = self.proven() else { return };
--- a/crates/harefield/src/daemon/mod.rs
+++ b/crates/harefield/src/daemon/mod.rs
@@ -18,5 +18,5 @@
 
 pub use context::Addresses;
 pub use start::DaemonError;
-pub use start::Ended;
+pub use start::StopOutcome;
 pub use start::run;
--- a/crates/harefield/src/daemon/operators.rs
+++ b/crates/harefield/src/daemon/operators.rs
@@ -58,7 +58,7 @@
             let traffic = context.traffic.clone();
             let memory = context.shared.memory.clone();
             let handle = |request| {
-                memory.show();
+                memory.update_gauges();
                 let mut status = board.status();
                 status.control_bytes = traffic.total();
                 status.stopping = context.stop.is_closed();
--- a/crates/harefield/src/daemon/start.rs
+++ b/crates/harefield/src/daemon/start.rs
@@ -87,11 +87,11 @@
 
 /// How a daemon ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum StopOutcome {
     /// Nothing was cut.
-    Whole,
+    Complete,
     /// The wait was over, or a second signal came, with requests in progress.
-    Cut,
+    Interrupted,
 }
 
 struct Listeners {
@@ -105,7 +105,7 @@
 /// # Errors
 ///
 /// Returns why the daemon could not start.
-pub fn run(settings: Settings, ready: impl FnOnce(&Addresses)) -> Result<Ended, DaemonError> {
+pub fn run(settings: Settings, ready: impl FnOnce(&Addresses)) -> Result<StopOutcome, DaemonError> {
     let listeners = Listeners {
         callers: bind(settings.listen.callers)?,
         peers: bind(settings.listen.peers)?,
@@ -270,7 +270,7 @@
     stop: &Sender<()>,
     workers: &[JoinHandle<()>],
     mut signals: Signals,
-) -> Ended {
+) -> StopOutcome {
     let begun = Instant::now();
     let running = || context.connections.load(Ordering::Relaxed);
     info!("a planned stop begins with {} connections", running());
@@ -285,13 +285,13 @@
         if again || begun.elapsed() > limit {
             warn!("the stop ends with {} connections open", running());
             note(context, Event::StopEnded { cut: running() });
-            return Ended::Cut;
+            return StopOutcome::Interrupted;
         }
         std::thread::sleep(LOOK_EVERY);
     }
     note(context, Event::StopEnded { cut: 0 });
     info!("the stop ends with nothing cut");
-    Ended::Whole
+    StopOutcome::Complete
 }
 
 fn note(context: &Context, event: Event) {
--- a/crates/harefield/src/engine/room.rs
+++ b/crates/harefield/src/engine/room.rs
@@ -7,7 +7,7 @@
 use super::worker::Worker;
 use crate::domain::buffers::Use;
 use crate::domain::fanout::FanoutResult;
-use crate::memory::Held;
+use crate::memory::HeldBytes;
 use crate::ports::Clock;
 use crate::ports::Peers;
 use crate::ports::Upstreams;
@@ -27,13 +27,13 @@
     /// # Errors
     ///
     /// Returns when to come back where they do not fit.
-    pub(super) async fn book_room(&self, found: &Found) -> Result<Option<Held>, Duration> {
+    pub(super) async fn book_room(&self, found: &Found) -> Result<Option<HeldBytes>, Duration> {
         let expected = self.sizes.borrow().get(&found.plan.name).copied().unwrap_or(0);
         if expected < LEAST_BOOKED {
             return Ok(None);
         }
-        let booked = self.memory.take_soon(Use::Expected, expected).await;
-        booked.map(Some).ok_or_else(|| self.memory.come_back().unwrap_or(COME_BACK))
+        let booked = self.memory.reserve(Use::Expected, expected).await;
+        booked.map(Some).ok_or_else(|| self.memory.retry_after().unwrap_or(COME_BACK))
     }
 
     /// Learns how much the replies to a request came to.
--- a/crates/harefield/src/memory/held.rs
+++ b/crates/harefield/src/memory/held.rs
@@ -7,7 +7,7 @@
 
 /// Bytes that are held, until dropped.
 #[derive(Debug)]
-pub struct Held {
+pub struct HeldBytes {
     memory: Memory,
     purpose: Use,
     bytes: usize,
@@ -16,7 +16,7 @@
 /// Bytes with the part of the account that they take.
 struct Counted {
     bytes: Bytes,
-    _held: Held,
+    _held: HeldBytes,
 }
 
 impl AsRef<[u8]> for Counted {
@@ -25,7 +25,7 @@
     }
 }
 
-impl Held {
+impl HeldBytes {
     pub(super) fn new(memory: Memory, purpose: Use, bytes: usize) -> Self {
         Self { memory, purpose, bytes }
     }
@@ -33,7 +33,7 @@
     /// Takes more in where it fits, ending connections whose peers do not read where that
     /// makes room; returns whether it does.
     pub async fn grow(&mut self, bytes: usize) -> bool {
-        let Some(mut more) = self.memory.take_soon(self.purpose, bytes).await else { return false };
+        let Some(mut more) = self.memory.reserve(self.purpose, bytes).await else { return false };
         self.bytes += std::mem::take(&mut more.bytes);
         true
     }
@@ -45,7 +45,7 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for HeldBytes {
     fn drop(&mut self) {
         if self.bytes > 0 {
             self.memory.lock().buffers.release(self.purpose, self.bytes);
--- a/crates/harefield/src/memory/mod.rs
+++ b/crates/harefield/src/memory/mod.rs
@@ -24,11 +24,11 @@
 use crate::domain::buffers::Use;
 use crate::domain::buffers::WriterId;
 
-pub use self::held::Held;
+pub use self::held::HeldBytes;
 pub use self::writer::Writer;
 
 /// Fewer bytes than this are not counted: the state of one request takes more.
-pub const LEAST_COUNTED: usize = 1024;
+pub const MIN_COUNTED: usize = 1024;
 
 /// How long a peer may take nothing where no setting says.
 const DEFAULT_STALL: Duration = Duration::from_secs(5);
@@ -94,14 +94,14 @@
 
     /// Takes bytes in where they fit.
     #[must_use]
-    pub fn take(&self, held_for: Use, bytes: usize) -> Option<Held> {
+    pub fn try_reserve(&self, held_for: Use, bytes: usize) -> Option<HeldBytes> {
         let taken = self.lock().buffers.take(held_for, bytes);
-        taken.then(|| Held::new(self.clone(), held_for, bytes))
+        taken.then(|| HeldBytes::new(self.clone(), held_for, bytes))
     }
 
     /// Takes bytes in, ending connections whose peers do not read where that makes room.
-    pub async fn take_soon(&self, held_for: Use, bytes: usize) -> Option<Held> {
-        if let Some(held) = self.take(held_for, bytes) {
+    pub async fn reserve(&self, held_for: Use, bytes: usize) -> Option<HeldBytes> {
+        if let Some(held) = self.try_reserve(held_for, bytes) {
             return Some(held);
         }
         let now = Instant::now();
@@ -110,7 +110,7 @@
         }
         while now.elapsed() < ROOM_WAIT {
             Timer::after(LOOK_EVERY).await;
-            if let Some(held) = self.take(held_for, bytes) {
+            if let Some(held) = self.try_reserve(held_for, bytes) {
                 return Some(held);
             }
         }
@@ -119,14 +119,14 @@
 
     /// Counts bytes that are there already.
     #[must_use]
-    pub fn hold(&self, held_for: Use, bytes: usize) -> Held {
+    pub fn hold(&self, held_for: Use, bytes: usize) -> HeldBytes {
         self.lock().buffers.add(held_for, bytes);
-        Held::new(self.clone(), held_for, bytes)
+        HeldBytes::new(self.clone(), held_for, bytes)
     }
 
     /// Returns when to come back where something did not fit.
     #[must_use]
-    pub fn come_back(&self) -> Option<Duration> {
+    pub fn retry_after(&self) -> Option<Duration> {
         self.lock().buffers.next_end(self.shared.stall, Instant::now())
     }
 
@@ -145,7 +145,7 @@
     }
 
     /// Shows how much is held for each use.
-    pub fn show(&self) {
+    pub fn update_gauges(&self) {
         let account = self.lock();
         for (held_for, gauge) in &self.shared.meters.held {
             gauge.set(i64::try_from(account.buffers.held(*held_for)).unwrap_or(i64::MAX));
--- a/crates/harefield/src/memory/writer.rs
+++ b/crates/harefield/src/memory/writer.rs
@@ -9,7 +9,7 @@
 use std::task::Waker;
 use std::time::Instant;
 
-use super::LEAST_COUNTED;
+use super::MIN_COUNTED;
 use super::Memory;
 use crate::domain::buffers::WriterId;
 
@@ -57,7 +57,7 @@
 impl Writer {
     /// Takes that so many bytes are to be written.
     pub fn begin(&self, bytes: usize) {
-        if bytes < LEAST_COUNTED {
+        if bytes < MIN_COUNTED {
             return;
         }
         self.left.set(bytes);
@@ -90,7 +90,7 @@
     }
 
     /// Counts that its peer took nothing for too long.
-    pub fn note_stalled(&self) {
+    pub fn record_stalled(&self) {
         self.memory.shared.meters.stalled.inc();
     }
 }
--- a/crates/harefield/src/telemetry/board.rs
+++ b/crates/harefield/src/telemetry/board.rs
@@ -86,7 +86,7 @@
 /// What became of one account's requests at this daemon since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct AccountUse {
+pub struct AccountUsage {
     /// Let in.
     pub admitted: u64,
     /// Refused, since the account asks more than it may.
@@ -128,7 +128,7 @@
     set: Mutex<Arc<ResourceSet>>,
     store: Mutex<Store>,
     freshness: Mutex<Freshness>,
-    accounts: Mutex<BTreeMap<AccountId, AccountUse>>,
+    accounts: Mutex<BTreeMap<AccountId, AccountUsage>>,
     metrics: Metrics,
 }
 
@@ -187,7 +187,7 @@
         }
     }
 
-    fn count_for(&self, account: &AccountId, count: impl FnOnce(&mut AccountUse)) {
+    fn count_for(&self, account: &AccountId, count: impl FnOnce(&mut AccountUsage)) {
         let mut accounts = self.lock_accounts();
         if accounts.len() >= MOST_ACCOUNTS && !accounts.contains_key(account) {
             let set = self.set();
@@ -198,16 +198,16 @@
 
     /// Returns what became of an account's requests.
     #[must_use]
-    pub fn account_use(&self, account: &str) -> AccountUse {
+    pub fn account_usage(&self, account: &str) -> AccountUsage {
         self.lock_accounts().get(account).copied().unwrap_or_default()
     }
 
-    fn lock_accounts(&self) -> MutexGuard<'_, BTreeMap<AccountId, AccountUse>> {
+    fn lock_accounts(&self) -> MutexGuard<'_, BTreeMap<AccountId, AccountUsage>> {
         self.accounts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Notes that every change confirmed up to `at` is in force.
-    pub fn prove(&self, at: Instant) {
+    pub fn record_proof(&self, at: Instant) {
         self.freshness.lock().unwrap_or_else(PoisonError::into_inner).prove(at);
     }
 
--- a/crates/harefield/src/telemetry/duty.rs
+++ b/crates/harefield/src/telemetry/collector.rs
@@ -11,14 +11,14 @@
 use super::ring::Batch;
 use super::ring::Telemetry;
 use super::tally::Ended;
-use super::tally::Tallies;
+use super::tally::LookupTallies;
 use crate::adapters::logs::EVENTS;
 use crate::domain::event::Event;
 use crate::domain::event::Record;
 
 /// Moves batches from the ring into the store until the ring is closed.
 pub async fn run(receiver: async_channel::Receiver<Batch>, telemetry: Telemetry, board: Arc<Board>) {
-    let mut tallies = Tallies::new(Instant::now());
+    let mut tallies = LookupTallies::new(Instant::now());
     while let Ok(batch) = receiver.recv().await {
         let dropped = telemetry.take_dropped();
         for (_, event) in &batch.events {
@@ -56,7 +56,7 @@
     }
 }
 
-fn tally(event: &Event, tallies: &mut Tallies, board: &Board) {
+fn tally(event: &Event, tallies: &mut LookupTallies, board: &Board) {
     let Event::Answered { lookup, outcome, contributed, missing, micros, .. } = event else { return };
     let (outcome, contributed, missing, micros) = (*outcome, *contributed, *missing, *micros);
     let ended = Ended { outcome, contributed, missing, micros };
--- a/crates/harefield/src/telemetry/mod.rs
+++ b/crates/harefield/src/telemetry/mod.rs
@@ -4,7 +4,7 @@
 //! drops and counts; it never blocks a request.
 
 mod board;
-mod duty;
+mod collector;
 mod ring;
 mod store;
 mod tally;
@@ -16,13 +16,13 @@
 pub use board::Status;
 pub use board::UpstreamStatus;
 pub use board::WorkerStatus;
-pub use duty::run;
+pub use collector::run;
 pub use ring::Batch;
 pub use ring::Telemetry;
 pub use ring::ring;
 pub use store::Filter;
 pub use store::Store;
 pub use tally::LookupStatus;
-pub use tally::Tallies;
+pub use tally::LookupTallies;
 pub use trace::Trace;
 pub use waterfall::waterfall;
--- a/crates/harefield/src/telemetry/store.rs
+++ b/crates/harefield/src/telemetry/store.rs
@@ -31,7 +31,7 @@
 impl Filter {
     /// Returns whether a record is selected.
     #[must_use]
-    pub fn takes(&self, record: &Record) -> bool {
+    pub fn matches(&self, record: &Record) -> bool {
         let at = record.stamp.micros;
         let in_time = self.after.is_none_or(|after| at > after) && self.until.is_none_or(|until| at <= until);
         in_time && self.takes_request(record) && self.takes_event(record)
@@ -84,14 +84,14 @@
 
     /// Returns how many records were forgotten to make room.
     #[must_use]
-    pub fn forgotten(&self) -> u64 {
+    pub fn evicted(&self) -> u64 {
         self.forgotten
     }
 
     /// Returns the selected records in the order of their stamps.
     #[must_use]
     pub fn select(&self, filter: &Filter) -> Vec<Record> {
-        let mut found: Vec<Record> = self.records.iter().filter(|r| filter.takes(r)).cloned().collect();
+        let mut found: Vec<Record> = self.records.iter().filter(|r| filter.matches(r)).cloned().collect();
         found.sort_by_key(|record| record.stamp);
         let surplus = found.len().saturating_sub(filter.most.unwrap_or(usize::MAX));
         found.drain(..surplus);
--- a/crates/harefield/src/telemetry/tally.rs
+++ b/crates/harefield/src/telemetry/tally.rs
@@ -60,12 +60,12 @@
 
 /// Tallies of all lookups.
 #[derive(Debug)]
-pub struct Tallies {
+pub struct LookupTallies {
     lookups: BTreeMap<String, (LookupStatus, Times)>,
     turned: Instant,
 }
 
-impl Tallies {
+impl LookupTallies {
     /// Creates empty tallies.
     #[must_use]
     pub fn new(now: Instant) -> Self {
