--- a/crates/harefield/src/commands/query.rs
+++ b/crates/harefield/src/commands/query.rs
@@ -100,7 +100,12 @@
     text.parse().map_err(|error: T::Err| format!("{text:?}: {error}").into())
 }
 
-fn ask(asker: &DaemonClient, to: SocketAddr, lookup: &str, body: &Map<String, Value>) -> Result<Answer, Failure> {
+fn ask(
+    asker: &DaemonClient,
+    to: SocketAddr,
+    lookup: &str,
+    body: &Map<String, Value>,
+) -> Result<Answer, Failure> {
     let text = Value::Object(body.clone()).to_string();
     let reply = asker.call(Method::POST, to, &format!("/v1/lookups/{lookup}"), text, LIMIT);
     let reply = reply.ok_or_else(|| unreachable_error(&[to]))?;
--- a/crates/harefield/src/telemetry/board.rs
+++ b/crates/harefield/src/telemetry/board.rs
@@ -1,4 +1,4 @@
-//! What the duties last said of themselves, for operators.
+//! The state that a daemon's threads publish for operators.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -26,102 +26,104 @@
 use crate::domain::resources::ResourceSet;
 use crate::domain::revision::Revision;
 
-/// The most accounts that are counted before those are dropped that are in force no more.
-const MOST_ACCOUNTS: usize = 4096;
+/// At this many counted accounts, those that the active configuration no longer has are dropped.
+const MAX_ACCOUNTS: usize = 4096;
 
-/// The configuration as one daemon has it.
+/// The state of the configuration at one daemon.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ConfigStatus {
-    /// The revision in force.
+    /// The revision in force; absent before the first.
     pub revision: Option<Revision>,
-    /// The newest revision seen, good or not.
+    /// The newest revision received, valid or not.
     pub seen: Option<Revision>,
-    /// The refused revision, while none newer is in force.
+    /// The last rejected revision, while no newer one is in force.
     pub refused: Option<Revision>,
-    /// Its faults.
+    /// Why it was rejected.
     pub faults: Vec<ResourceError>,
-    /// The revision of the host list.
+    /// The revision of the host list; absent where none was received.
     pub listed: Option<Revision>,
 }
 
-/// An upstream as one worker observes it.
+/// The state of one upstream, as one worker observes it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct UpstreamStatus {
-    /// The upstream.
+    /// The upstream's name.
     pub upstream: UpstreamId,
-    /// Whether it takes no new work.
+    /// Whether it is draining and accepts no new work.
     pub leaving: bool,
-    /// Requests under way.
+    /// This worker's requests in flight to it.
     pub running: usize,
-    /// The adaptive limit on them.
+    /// The adaptive limit on requests in flight.
     pub window: f64,
-    /// The observed time of a request, in milliseconds.
+    /// The observed request latency, in milliseconds.
     pub latency: f64,
-    /// The versions that it says it holds.
+    /// The snapshot versions that it announced; absent where it announced none.
     pub held: Option<Vec<Version>>,
 }
 
-/// One worker's counts and observations.
+/// One worker's counters and the upstreams that it observes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct WorkerStatus {
     /// Requests in progress.
     pub running: usize,
-    /// Requests that wait at a gate.
+    /// Requests that wait at an admission gate.
     pub waiting: usize,
-    /// Requests answered since the start.
+    /// Requests answered since the daemon started.
     pub answered: u64,
-    /// Shard requests sent since the start, first ones.
+    /// First attempts sent to shards since the daemon started.
     pub first: u64,
-    /// Shard requests sent since the start, retries and hedges.
+    /// Retries and hedges sent to shards since the daemon started.
     pub extra: u64,
-    /// Connections opened to upstreams since the start.
+    /// Connections opened to upstreams since the daemon started.
     pub opened: u64,
-    /// The upstreams as observed.
+    /// The upstreams that the worker knows.
     pub upstreams: Vec<UpstreamStatus>,
 }
 
-/// What became of one account's requests at this daemon since its start.
+/// How one account's requests were decided at this daemon since it started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct AccountUsage {
-    /// Let in.
+    /// Admitted requests.
     pub admitted: u64,
-    /// Refused, since the account asks more than it may.
+    /// Requests refused because the account was over its limit.
     pub over_limit: u64,
-    /// Refused, since nobody that holds a part of its limit answered.
+    /// Requests refused because no daemon that holds a part of the account's limit answered.
     pub unchecked: u64,
 }
 
-/// One daemon's account of itself.
+/// The status of one daemon, as `/v1/status` returns it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Status {
-    /// The daemon.
+    /// The daemon's host.
     pub host: HostId,
-    /// Its incarnation.
+    /// The incarnation of its current run.
     pub incarnation: Incarnation,
-    /// Its configuration.
+    /// The state of its configuration.
     pub config: ConfigStatus,
-    /// The daemons as it sees them.
+    /// Its membership table of daemons.
     pub peers: Vec<Row>,
-    /// Bytes that control has sent and received since the start.
+    /// Bytes of control traffic sent and received since the start.
     pub control_bytes: u64,
     /// Whether a planned stop has begun.
     #[serde(default)]
     pub stopping: bool,
-    /// Its workers.
+    /// Its workers, by number.
     pub workers: BTreeMap<usize, WorkerStatus>,
-    /// What became of each lookup's requests.
+    /// Request outcomes and latencies, by lookup.
     pub lookups: BTreeMap<String, LookupStatus>,
-    /// Events dropped since a ring was full.
+    /// Events dropped because the telemetry ring was full.
     pub dropped: u64,
 }
 
-/// Shared between the duties that report and the operators' listener; no
-/// request waits for it.
+/// Status, configuration, events and metrics, shared between the threads that publish them and
+/// the operators' listener.
+///
+/// No request waits for it.
 #[derive(Debug)]
 pub struct Board {
     status: Mutex<Status>,
@@ -133,7 +135,7 @@
 }
 
 impl Board {
-    /// Creates the board of one daemon.
+    /// Creates the board of one daemon; it keeps the newest `keep` events.
     #[must_use]
     pub fn new(host: HostId, incarnation: Incarnation, keep: usize) -> Self {
         let status = Status {
@@ -157,46 +159,48 @@
         }
     }
 
-    /// Returns the status, to read or change it.
+    /// Locks the status for reading or updating.
     pub fn status(&self) -> MutexGuard<'_, Status> {
         self.status.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the set in force.
+    /// Returns the resource set in force.
     #[must_use]
     pub fn set(&self) -> Arc<ResourceSet> {
         Arc::clone(&self.set.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Takes the set that came into force.
+    /// Replaces the resource set in force.
     pub fn put_set(&self, set: Arc<ResourceSet>) {
         *self.set.lock().unwrap_or_else(PoisonError::into_inner) = set;
     }
 
-    /// Counts what an event says of an account's requests.
+    /// Updates the account counters where the event admits or refuses a request of an account.
     pub fn count_account(&self, event: &Event) {
         match event {
-            Event::Admitted { account: Some(account), .. } => self.count_for(account, |used| {
-                used.admitted += 1;
+            Event::Admitted { account: Some(account), .. } => self.count_for(account, |counters| {
+                counters.admitted += 1;
             }),
             Event::LimitRefused { account, code: Code::LimitReached, .. } => {
-                self.count_for(account, |used| used.over_limit += 1);
+                self.count_for(account, |counters| counters.over_limit += 1);
+            }
+            Event::LimitRefused { account, .. } => {
+                self.count_for(account, |counters| counters.unchecked += 1)
             }
-            Event::LimitRefused { account, .. } => self.count_for(account, |used| used.unchecked += 1),
             _ => {}
         }
     }
 
     fn count_for(&self, account: &AccountId, count: impl FnOnce(&mut AccountUsage)) {
         let mut accounts = self.lock_accounts();
-        if accounts.len() >= MOST_ACCOUNTS && !accounts.contains_key(account) {
+        if accounts.len() >= MAX_ACCOUNTS && !accounts.contains_key(account) {
             let set = self.set();
             accounts.retain(|name, _| set.accounts.contains_key(name));
         }
         count(accounts.entry(Arc::clone(account)).or_default());
     }
 
-    /// Returns what became of an account's requests.
+    /// Returns the counters of an account; all zero for an account without requests.
     #[must_use]
     pub fn account_usage(&self, account: &str) -> AccountUsage {
         self.lock_accounts().get(account).copied().unwrap_or_default()
@@ -206,12 +210,12 @@
         self.accounts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that every change confirmed up to `at` is in force.
+    /// Records a proof of freshness: every change confirmed up to `at` is in force.
     pub fn record_proof(&self, at: Instant) {
         self.freshness.lock().unwrap_or_else(PoisonError::into_inner).prove(at);
     }
 
-    /// Returns what is counted and measured, with how old what is in force may be now.
+    /// Returns the metrics after setting the configuration age to its value at `now`.
     #[must_use]
     pub fn metrics_at(&self, now: Instant) -> &Metrics {
         let freshness = *self.freshness.lock().unwrap_or_else(PoisonError::into_inner);
@@ -219,13 +223,13 @@
         &self.metrics
     }
 
-    /// Returns what is counted and measured.
+    /// Returns the metrics; the configuration age is as last set.
     #[must_use]
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// Returns the records, to read or add to them.
+    /// Locks the event store for reading or adding records.
     pub fn store(&self) -> MutexGuard<'_, Store> {
         self.store.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/harefield/src/telemetry/mod.rs
+++ b/crates/harefield/src/telemetry/mod.rs
@@ -1,7 +1,7 @@
-//! The time line: every duty's events, kept for a while and asked by operators.
+//! The time line: the events of all threads of a daemon, kept for a while for operators to query.
 //!
-//! Events travel over a bounded ring to the telemetry thread. A full ring
-//! drops and counts; it never blocks a request.
+//! Events are sent over a bounded ring to the telemetry thread. A full ring drops events and
+//! counts them; it never blocks a request.
 
 mod board;
 mod collector;
--- a/crates/harefield/src/telemetry/tally.rs
+++ b/crates/harefield/src/telemetry/tally.rs
@@ -1,4 +1,4 @@
-//! What became of each lookup's requests, for operators.
+//! Outcome counters and latency quantiles of each lookup, for operators.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,73 +10,74 @@
 
 use crate::domain::outcome::Outcome;
 
-/// How long times count before they are forgotten.
-const LIFE: Duration = Duration::from_secs(60);
+/// How long latencies are collected before a new histogram is begun.
+const WINDOW: Duration = Duration::from_secs(60);
 
-/// The longest time told apart, in microseconds.
-const LONGEST: u64 = 600_000_000;
+/// The longest latency that the histograms distinguish, in microseconds.
+const MAX_LATENCY: u64 = 600_000_000;
 
-/// One lookup's requests at this daemon since its start; times of the last
-/// minute or two.
+/// The outcomes of one lookup's requests at this daemon since it started, and their latency
+/// over the last minute or two.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct LookupStatus {
-    /// Answered whole.
+    /// Answered, all shards contributed.
     pub whole: u64,
-    /// Answered in part.
+    /// Answered, some shards missing.
     pub partial: u64,
     /// Not run.
     pub not_run: u64,
     /// May have run.
     pub unknown: u64,
-    /// Shards that contributed, of all answers.
+    /// Shards that contributed, summed over all requests.
     pub contributed: u64,
-    /// Shards that did not.
+    /// Shards that did not contribute, summed over all requests.
     pub missing: u64,
-    /// The median time, in milliseconds.
+    /// The median latency, in milliseconds.
     pub p50: f64,
-    /// The 99th percentile.
+    /// The 99th percentile of the latency, in milliseconds.
     pub p99: f64,
 }
 
-/// How one request ended.
+/// The outcome of one request.
 #[derive(Clone, Copy, Debug)]
-pub struct Ended {
-    /// What became of it.
+pub struct RequestEnd {
+    /// Whether it was answered, not run, or may have run.
     pub outcome: Outcome,
     /// Shards that contributed.
     pub contributed: usize,
-    /// Shards that did not.
+    /// Shards that did not contribute.
     pub missing: usize,
-    /// The time it took, in microseconds.
+    /// The request's latency, in microseconds.
     pub micros: u64,
 }
 
+/// The latencies of one lookup in the current window and in the one before it.
 #[derive(Debug)]
-struct Times {
-    now: Histogram<u64>,
-    before: Histogram<u64>,
+struct LatencyWindows {
+    current: Histogram<u64>,
+    previous: Histogram<u64>,
 }
 
-/// Tallies of all lookups.
+/// The counters and latencies of all lookups.
 #[derive(Debug)]
 pub struct LookupTallies {
-    lookups: BTreeMap<String, (LookupStatus, Times)>,
-    turned: Instant,
+    lookups: BTreeMap<String, (LookupStatus, LatencyWindows)>,
+    rotated_at: Instant,
 }
 
 impl LookupTallies {
-    /// Creates empty tallies.
+    /// Creates empty tallies; the first window starts at `now`.
     #[must_use]
     pub fn new(now: Instant) -> Self {
-        Self { lookups: BTreeMap::new(), turned: now }
+        Self { lookups: BTreeMap::new(), rotated_at: now }
     }
 
-    /// Takes the end of one request; returns the lookup's status.
-    pub fn take(&mut self, lookup: &str, ended: &Ended, now: Instant) -> LookupStatus {
-        self.turn(now);
+    /// Records the end of one request and returns the lookup's updated status.
+    pub fn record(&mut self, lookup: &str, ended: &RequestEnd, now: Instant) -> LookupStatus {
+        self.rotate(now);
         let entry = self.lookups.entry(lookup.to_owned());
-        let (status, times) = entry.or_insert_with(|| (LookupStatus::default(), Times::new()));
+        let (status, times) = entry.or_insert_with(|| (LookupStatus::default(), LatencyWindows::new()));
         let count = match ended.outcome {
             Outcome::Answered if ended.missing == 0 => &mut status.whole,
             Outcome::Answered => &mut status.partial,
@@ -86,33 +87,35 @@
         *count += 1;
         status.contributed += u64::try_from(ended.contributed).unwrap_or(0);
         status.missing += u64::try_from(ended.missing).unwrap_or(0);
-        times.now.saturating_record(ended.micros);
+        times.current.saturating_record(ended.micros);
         status.p50 = times.quantile(0.5);
         status.p99 = times.quantile(0.99);
         status.clone()
     }
 
-    fn turn(&mut self, now: Instant) {
-        if now.saturating_duration_since(self.turned) < LIFE {
+    fn rotate(&mut self, now: Instant) {
+        if now.saturating_duration_since(self.rotated_at) < WINDOW {
             return;
         }
-        self.turned = now;
+        self.rotated_at = now;
         for (_, times) in self.lookups.values_mut() {
-            std::mem::swap(&mut times.now, &mut times.before);
-            times.now.reset();
+            std::mem::swap(&mut times.current, &mut times.previous);
+            times.current.reset();
         }
     }
 }
 
-impl Times {
+impl LatencyWindows {
     fn new() -> Self {
-        let make = || Histogram::new_with_bounds(1, LONGEST, 2).unwrap_or_else(|_bounds| unreachable!());
-        Self { now: make(), before: make() }
+        let make = || Histogram::new_with_bounds(1, MAX_LATENCY, 2).unwrap_or_else(|_bounds| unreachable!());
+        Self { current: make(), previous: make() }
     }
 
-    /// Returns a quantile in milliseconds, of this minute or the one before.
+    /// Returns a quantile in milliseconds: of the current window, or of the previous one while
+    /// the current has fewer than 20 latencies.
     fn quantile(&self, quantile: f64) -> f64 {
-        let times = if self.now.len() < 20 && !self.before.is_empty() { &self.before } else { &self.now };
+        let times =
+            if self.current.len() < 20 && !self.previous.is_empty() { &self.previous } else { &self.current };
         let micros = u32::try_from(times.value_at_quantile(quantile)).unwrap_or(u32::MAX);
         f64::from(micros) / 1000.0
     }
--- a/crates/harefield/src/telemetry/trace.rs
+++ b/crates/harefield/src/telemetry/trace.rs
@@ -1,4 +1,4 @@
-//! The events of one request, stamped as they happen.
+//! Collects the events of one request and stamps them as they happen.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -13,27 +13,30 @@
 use crate::domain::ids::RequestId;
 use crate::ports::Clock;
 
-/// How many events are held back before they are sent on.
-const BATCH: usize = 128;
+/// How many events are collected before they are sent to the telemetry thread.
+const BATCH_SIZE: usize = 128;
 
-/// Collects the events of one request or duty.
+/// Collects the events of one request, or of a task that serves none.
+///
+/// Sends them to the telemetry thread in batches and, at the latest, when dropped.
 #[derive(Debug)]
 pub struct Trace<C: Clock> {
     request: Option<RequestId>,
     events: Vec<(Stamp, Event)>,
     detail: bool,
-    hybrid: Rc<RefCell<HybridClock>>,
+    hybrid_clock: Rc<RefCell<HybridClock>>,
     clock: C,
     telemetry: Telemetry,
 }
 
 impl<C: Clock> Trace<C> {
-    /// Creates the trace of a request; `detail` says whether details are kept.
+    /// Creates the trace of a request, or of no request; without `detail`, events that
+    /// [`Event::is_detail`] are left out.
     #[must_use]
     pub fn new(
         request: Option<RequestId>,
         detail: bool,
-        hybrid: &Rc<RefCell<HybridClock>>,
+        hybrid_clock: &Rc<RefCell<HybridClock>>,
         clock: C,
         telemetry: &Telemetry,
     ) -> Self {
@@ -41,25 +44,25 @@
             request,
             events: Vec::new(),
             detail,
-            hybrid: Rc::clone(hybrid),
+            hybrid_clock: Rc::clone(hybrid_clock),
             clock,
             telemetry: telemetry.clone(),
         }
     }
 
-    /// Returns the request's id.
+    /// Returns the id of the request; none where the trace belongs to none.
     #[must_use]
     pub fn request(&self) -> Option<&RequestId> {
         self.request.as_ref()
     }
 
-    /// Returns a stamp for a message that leaves now.
+    /// Advances the hybrid_clock clock and returns its stamp, for an event or a message sent now.
     #[must_use]
     pub fn stamp(&self) -> Stamp {
-        self.hybrid.borrow_mut().tick(self.clock.wall())
+        self.hybrid_clock.borrow_mut().tick(self.clock.wall())
     }
 
-    /// Sends on what was collected.
+    /// Sends the collected events to the telemetry thread.
     pub fn flush(&mut self) {
         if self.events.is_empty() {
             return;
@@ -76,7 +79,7 @@
         }
         let stamp = self.stamp();
         self.events.push((stamp, event));
-        if self.events.len() >= BATCH {
+        if self.events.len() >= BATCH_SIZE {
             self.flush();
         }
     }
