--- a/crates/harefield/src/daemon/accept.rs
+++ b/crates/harefield/src/daemon/accept.rs
@@ -1,4 +1,4 @@
-//! The accept thread: takes connections and deals them to the workers in turn.
+//! The accept thread: accepts connections and distributes them among the workers in turn.
 
 use std::cell::Cell;
 use std::net::Shutdown;
@@ -20,46 +20,48 @@
 use log::debug;
 use log::warn;
 
-use super::context::Arrived;
+use super::context::AcceptedConnection;
 use super::context::Context;
 use super::context::Side;
 use crate::domain::code::Code;
 use crate::domain::outcome::Answer;
 
-/// The pause after the system had no room for a connection.
-const PAUSE: Duration = Duration::from_millis(20);
+/// The pause after a failed accept, such as when the process is out of file descriptors.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// How many connections are refused with an answer at a time.
-const MOST_REFUSING: usize = 256;
+/// How many connections are refused with an answer at the same time.
+const MAX_REFUSALS: usize = 256;
 
-/// How long a refusal may take.
-const REFUSAL_LIMIT: Duration = Duration::from_secs(1);
+/// How long answering a refused connection may take.
+const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// When a caller that found no room may come back, in milliseconds.
-const COME_BACK: u64 = 1000;
+/// After how long a caller whose connection was refused may retry, in milliseconds.
+const RETRY_AFTER: u64 = 1000;
 
-/// Takes connections until a planned stop has lingered; callers' only once the
-/// daemon has joined, peers' from the start, so that joining daemons can meet.
+/// Accepts connections until the linger time of a planned stop is over.
+///
+/// Callers' connections are accepted once the daemon has joined, peers' connections from the
+/// start, so that daemons that are joining at the same time reach each other.
 pub(super) fn run(
     context: &Context,
     callers: TcpListener,
     peers: TcpListener,
-    workers: &[Sender<Arrived>],
+    workers: &[Sender<AcceptedConnection>],
     joined: &Receiver<()>,
 ) {
     let executor = LocalExecutor::new();
-    let dealer = Dealer { context, executor: &executor, workers, refusing: Rc::default() };
+    let dispatcher = Dispatcher { context, executor: &executor, workers, refusals: Rc::default() };
     let stopping = async {
         let _ = context.stop.recv().await;
         Timer::after(context.linger()).await;
     };
     let callers = async {
         let _ = joined.recv().await;
-        dealer.take(callers, Side::Callers).await;
+        dispatcher.accept_from(callers, Side::Callers).await;
     };
-    let taking = future::zip(callers, dealer.take(peers, Side::Peers));
+    let accepting = future::zip(callers, dispatcher.accept_from(peers, Side::Peers));
     let both = async {
-        taking.await;
+        accepting.await;
     };
     future::block_on(executor.run(both.or(stopping)));
     for worker in workers {
@@ -67,16 +69,16 @@
     }
 }
 
-/// Deals connections to the workers, or refuses them.
-struct Dealer<'a> {
+/// Passes connections to the workers, or refuses them.
+struct Dispatcher<'a> {
     context: &'a Context,
     executor: &'a LocalExecutor<'static>,
-    workers: &'a [Sender<Arrived>],
-    refusing: Rc<Cell<usize>>,
+    workers: &'a [Sender<AcceptedConnection>],
+    refusals: Rc<Cell<usize>>,
 }
 
-impl Dealer<'_> {
-    async fn take(&self, listener: TcpListener, side: Side) {
+impl Dispatcher<'_> {
+    async fn accept_from(&self, listener: TcpListener, side: Side) {
         let listener = match Async::new(listener) {
             Ok(listener) => listener,
             Err(error) => {
@@ -90,17 +92,17 @@
                 Ok((stream, from)) => {
                     debug!("{side:?} connection from {from}");
                     turn = turn.wrapping_add(1);
-                    self.deal(stream, side, turn);
+                    self.dispatch(stream, side, turn);
                 }
                 Err(error) => {
-                    warn!("cannot take a connection: {error}");
-                    Timer::after(PAUSE).await;
+                    warn!("cannot accept a connection: {error}");
+                    Timer::after(ACCEPT_PAUSE).await;
                 }
             }
         }
     }
 
-    fn deal(&self, stream: Async<TcpStream>, side: Side, turn: usize) {
+    fn dispatch(&self, stream: Async<TcpStream>, side: Side, turn: usize) {
         let Ok(stream) = stream.into_inner() else { return };
         let connections = &self.context.connections;
         let open = connections.load(Ordering::Relaxed);
@@ -110,39 +112,41 @@
         }
         connections.fetch_add(1, Ordering::Relaxed);
         let worker = &self.workers[turn % self.workers.len()];
-        if let Err(error) = worker.try_send(Arrived { stream, side }) {
+        if let Err(error) = worker.try_send(AcceptedConnection { stream, side }) {
             connections.fetch_sub(1, Ordering::Relaxed);
             self.refuse(error.into_inner().stream);
         }
     }
 
-    /// Refuses a connection; beyond a number of them it is just closed.
+    /// Refuses a connection with an answer; while [`MAX_REFUSALS`] are being answered, only closes it.
     fn refuse(&self, stream: TcpStream) {
-        if self.refusing.get() >= MOST_REFUSING {
+        if self.refusals.get() >= MAX_REFUSALS {
             return;
         }
-        self.refusing.set(self.refusing.get() + 1);
-        let refusing = Rc::clone(&self.refusing);
+        self.refusals.set(self.refusals.get() + 1);
+        let refusals = Rc::clone(&self.refusals);
         let refusal = async move {
-            if let Err(error) = refuse(stream).or(give_up()).await {
-                debug!("a refused connection was gone: {error}");
+            if let Err(error) = refuse(stream).or(refusal_timeout()).await {
+                debug!("cannot answer a refused connection: {error}");
             }
-            refusing.set(refusing.get() - 1);
+            refusals.set(refusals.get() - 1);
         };
         self.executor.spawn(refusal).detach();
     }
 }
 
-async fn give_up() -> std::io::Result<()> {
-    Timer::after(REFUSAL_LIMIT).await;
+async fn refusal_timeout() -> std::io::Result<()> {
+    Timer::after(REFUSAL_TIMEOUT).await;
     Ok(())
 }
 
-/// Answers without understanding what was sent, once something was: an answer
-/// before its request belongs to none. The rest is read, too: closing a socket
-/// with unread bytes would take the answer back.
+/// Answers that there are too many connections, without parsing the request.
+///
+/// Waits for the first bytes of a request, since an answer that is sent before its request
+/// belongs to none. Reads the rest, too: closing a socket with unread bytes resets the
+/// connection, and the answer may be lost.
 async fn refuse(stream: TcpStream) -> std::io::Result<()> {
-    let answer = Answer::not_run("", Code::TooManyConnections, Some(COME_BACK));
+    let answer = Answer::not_run("", Code::TooManyConnections, Some(RETRY_AFTER));
     let body = serde_json::to_string(&answer).unwrap_or_default();
     let head = format!(
         "HTTP/1.1 503 Service Unavailable\r\ncontent-type: application/json\r\ncontent-length: {}\r\n\
--- a/crates/harefield/src/daemon/context.rs
+++ b/crates/harefield/src/daemon/context.rs
@@ -1,4 +1,4 @@
-//! What the threads of a daemon share.
+//! The state and settings that the threads of a daemon share.
 
 use std::net::SocketAddr;
 use std::net::TcpStream;
@@ -20,32 +20,32 @@
 use crate::telemetry::Board;
 use crate::telemetry::Telemetry;
 
-/// The addresses that a daemon listens on, with the ports it got.
+/// The addresses that a daemon listens on, with the ports that the system assigned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Addresses {
-    /// For callers.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// For other daemons.
+    /// The address for other daemons.
     pub peers: SocketAddr,
-    /// For operators.
+    /// The address for operators.
     pub operators: SocketAddr,
 }
 
-/// Who a connection is from.
+/// Which listener accepted a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Side {
     Callers,
     Peers,
 }
 
-/// A connection on its way to a worker.
+/// A connection that was accepted and waits for its worker.
 #[derive(Debug)]
-pub(super) struct Arrived {
+pub(super) struct AcceptedConnection {
     pub stream: TcpStream,
     pub side: Side,
 }
 
-/// What every thread may need; cheap to clone.
+/// Settings, addresses and shared state for every thread; cheap to clone.
 #[derive(Clone, Debug)]
 pub(super) struct Context {
     pub settings: Arc<Settings>,
@@ -56,22 +56,29 @@
     pub control: Sender<ToControl>,
     pub telemetry: Telemetry,
     pub board: Arc<Board>,
+    /// The bytes of control traffic.
     pub traffic: Traffic,
+    /// Closed when a planned stop begins.
     pub stop: Stop,
+    /// Open connections of callers and peers.
     pub connections: Arc<AtomicUsize>,
+    /// The token that daemons show each other, where one is set.
     pub token: Option<String>,
 }
 
 impl Context {
+    /// Returns the limits for reading request heads.
     pub fn server_limits(&self) -> ServerLimits {
-        /// Heads between the configured limit and this get a numbered answer.
-        const LEAST_BUFFER: usize = 65_536;
+        /// The smallest limit on the bytes that are read of a head. A head that is over the
+        /// configured limit but within the read limit is refused with a result code.
+        const MIN_HEAD_BUFFER: usize = 65_536;
         ServerLimits {
-            head_bytes: self.settings.limits.head_bytes.saturating_mul(2).max(LEAST_BUFFER),
+            head_bytes: self.settings.limits.head_bytes.saturating_mul(2).max(MIN_HEAD_BUFFER),
             head_time: Duration::from_millis(self.settings.limits.head_ms),
         }
     }
 
+    /// Returns how long idle connections are kept open after a planned stop began.
     pub fn linger(&self) -> Duration {
         Duration::from_millis(self.settings.stop.linger_ms)
     }
--- a/crates/harefield/src/daemon/mod.rs
+++ b/crates/harefield/src/daemon/mod.rs
@@ -1,18 +1,18 @@
-//! A daemon: a thread for each duty, joined by bounded rings.
+//! A daemon: one thread for each duty and each worker, connected by bounded channels.
 //!
 //! | thread | duty |
 //! |---|---|
-//! | `accept` | takes connections of callers and peers and deals them to workers |
+//! | `accept` | accepts connections of callers and peers and distributes them among the workers |
 //! | `worker-N` | runs requests |
-//! | `control` | keeps configuration, host list and membership |
-//! | `telemetry` | keeps the time line |
-//! | `operators` | answers operators |
-//! | main | waits for signals and conducts a planned stop |
+//! | `control` | maintains configuration, host list and membership |
+//! | `telemetry` | logs events and stores them for the time line |
+//! | `operators` | serves operators' requests |
+//! | main | waits for signals and runs the planned stop |
 
 mod accept;
 mod context;
-mod edge;
 mod operators;
+mod protocols;
 mod start;
 mod threads;
 
--- a/crates/harefield/src/daemon/operators.rs
+++ b/crates/harefield/src/daemon/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' thread.
+//! The operators' thread: serves status, time line and metrics.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -15,19 +15,19 @@
 use crate::adapters::http;
 use crate::adapters::operators::Operators;
 
-/// The most connections of operators.
-const MOST_OPEN: usize = 256;
+/// How many connections of operators may be open; further ones are closed at once.
+const MAX_CONNECTIONS: usize = 256;
 
-/// The pause after a connection could not be taken.
-const PAUSE: Duration = Duration::from_millis(20);
+/// The pause after a failed accept.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Answers operators until the daemon ends.
+/// Serves operators until the daemon ends.
 pub(super) fn run(context: &Context, listener: TcpListener, token: Option<&String>) {
     let executor: Rc<LocalExecutor<'static>> = Rc::default();
-    future::block_on(executor.run(take(context, &executor, listener, token)));
+    future::block_on(executor.run(accept(context, &executor, listener, token)));
 }
 
-async fn take(
+async fn accept(
     context: &Context,
     executor: &Rc<LocalExecutor<'static>>,
     listener: TcpListener,
@@ -44,10 +44,10 @@
     let open = Rc::new(std::cell::Cell::new(0_usize));
     loop {
         let Ok((stream, _from)) = listener.accept().await else {
-            Timer::after(PAUSE).await;
+            Timer::after(ACCEPT_PAUSE).await;
             continue;
         };
-        if open.get() >= MOST_OPEN {
+        if open.get() >= MAX_CONNECTIONS {
             continue;
         }
         let (context, open) = (context.clone(), Rc::clone(&open));
@@ -65,8 +65,8 @@
                 drop(status);
                 operators.handle(request)
             };
-            // Operators may watch the stop itself, so it does not end them.
-            let (_never, stop) = async_channel::bounded(1);
+            // A planned stop leaves these connections open, so that operators can watch it.
+            let (_stop_sender, stop) = async_channel::bounded(1);
             http::serve(stream, context.server_limits(), (stop, Duration::ZERO), &memory, handle).await;
             open.set(open.get() - 1);
         };
--- a/crates/harefield/src/daemon/edge.rs
+++ b/crates/harefield/src/daemon/protocols.rs
@@ -1,4 +1,5 @@
-//! What a daemon speaks to its surroundings: its own protocols or the users'.
+//! The protocols by which a daemon serves callers and reaches upstreams and the platform: its own
+//! or the users'.
 
 use std::rc::Rc;
 
@@ -23,43 +24,44 @@
 use crate::platform;
 use crate::ports::Platform;
 
-/// A worker that asks upstreams by a protocol.
+/// A worker that sends requests to upstreams by the protocol `W`.
 pub(super) type HttpWorker<W> = Worker<HttpUpstreams<W>, HttpPeers, SystemClock>;
 
-/// The protocols of one kind of surroundings.
-pub(super) trait Edge: 'static {
-    /// The platform's client.
+/// The protocols of one kind of deployment.
+pub(super) trait Protocols: 'static {
+    /// The client of the platform.
     type Platform: Platform;
-    /// What is said to upstreams.
-    type Protocol: Protocol;
+    /// The protocol for requests to upstreams.
+    type UpstreamProtocol: Protocol;
 
-    /// Creates the platform's client on one thread's executor.
+    /// Creates the platform's client on one thread's executor; `left_out` shows how many listed
+    /// entries were left out, where the platform's protocol can have such.
     fn platform(executor: Rc<LocalExecutor<'static>>, traffic: Traffic, left_out: Gauge) -> Self::Platform;
 
-    /// Returns what is said to upstreams.
-    fn protocol() -> Self::Protocol;
+    /// Returns the protocol for requests to upstreams.
+    fn upstream_protocol() -> Self::UpstreamProtocol;
 
-    /// Answers one request of a caller.
+    /// Answers one request from a caller.
     fn answer(
-        worker: Rc<HttpWorker<Self::Protocol>>,
+        worker: Rc<HttpWorker<Self::UpstreamProtocol>>,
         request: Request<Incoming>,
         limits: RequestLimits,
     ) -> impl Future<Output = Response<Full<Bytes>>>;
 }
 
-/// The product's own protocols.
+/// Harefield's own protocols.
 #[derive(Debug)]
-pub(super) struct OwnEdge;
+pub(super) struct NativeProtocols;
 
-impl Edge for OwnEdge {
+impl Protocols for NativeProtocols {
     type Platform = HttpPlatform;
-    type Protocol = OwnProtocol;
+    type UpstreamProtocol = OwnProtocol;
 
     fn platform(executor: Rc<LocalExecutor<'static>>, traffic: Traffic, _left_out: Gauge) -> HttpPlatform {
         HttpPlatform::new(executor, traffic)
     }
 
-    fn protocol() -> OwnProtocol {
+    fn upstream_protocol() -> OwnProtocol {
         OwnProtocol
     }
 
@@ -72,13 +74,13 @@
     }
 }
 
-/// The protocols of the users' machines.
+/// The protocols of the users' machines, with their store as the platform.
 #[derive(Debug)]
-pub(super) struct StoreEdge;
+pub(super) struct PlatformProtocols;
 
-impl Edge for StoreEdge {
+impl Protocols for PlatformProtocols {
     type Platform = platform::HttpStore;
-    type Protocol = platform::SignedProtocol;
+    type UpstreamProtocol = platform::SignedProtocol;
 
     fn platform(
         executor: Rc<LocalExecutor<'static>>,
@@ -88,7 +90,7 @@
         platform::HttpStore::new(executor, traffic, left_out)
     }
 
-    fn protocol() -> platform::SignedProtocol {
+    fn upstream_protocol() -> platform::SignedProtocol {
         platform::SignedProtocol
     }
 
--- a/crates/harefield/src/daemon/start.rs
+++ b/crates/harefield/src/daemon/start.rs
@@ -1,4 +1,4 @@
-//! Starting a daemon and conducting its planned stop.
+//! Starts a daemon and runs its planned stop.
 
 use std::net::SocketAddr;
 use std::net::TcpListener;
@@ -24,10 +24,10 @@
 use super::accept;
 use super::context::Addresses;
 use super::context::Context;
-use super::edge::Edge;
-use super::edge::OwnEdge;
-use super::edge::StoreEdge;
 use super::operators;
+use super::protocols::NativeProtocols;
+use super::protocols::PlatformProtocols;
+use super::protocols::Protocols;
 use super::threads;
 use crate::adapters::clock::SystemClock;
 use crate::adapters::http::Traffic;
@@ -52,45 +52,45 @@
 use crate::telemetry::Board;
 use crate::telemetry::Telemetry;
 
-/// How many connections may be on their way to one worker.
-const ARRIVALS: usize = 1024;
+/// The capacity of the channel of accepted connections to one worker.
+const CONNECTION_CAPACITY: usize = 1024;
 
-/// How many messages may be on their way to one worker.
-const MESSAGES: usize = 4096;
+/// The capacity of the channel of messages to one worker.
+const MESSAGE_CAPACITY: usize = 4096;
 
-/// How many messages may be on their way to the control duty.
-const INBOX: usize = 4096;
+/// The capacity of the channel of messages to the control thread.
+const CONTROL_CAPACITY: usize = 4096;
 
-/// How often the main thread looks whether the workers have ended.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+/// How often the main thread checks whether the workers have ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Why a daemon could not start.
 #[derive(Debug, thiserror::Error, Diagnostic)]
 pub enum DaemonError {
-    /// An address cannot be listened on.
+    /// The daemon cannot listen on an address.
     #[error("{}: {}: {address}: {source}", Code::BindFailed, Code::BindFailed.text())]
     Bind {
         /// The address.
         address: SocketAddr,
-        /// Why not.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// The system lacks something else that is needed.
+    /// The system did not provide something else that the start needs.
     #[error("{}: {what}: {source}", Code::SettingsUnreadable)]
     System {
-        /// What is lacking.
+        /// What is missing: a setting's name, or such as "thread control".
         what: String,
-        /// Why.
+        /// The system's error.
         source: std::io::Error,
     },
 }
 
-/// How a daemon ended.
+/// How a planned stop ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopOutcome {
-    /// Nothing was cut.
+    /// All requests and connections ended by themselves.
     Complete,
-    /// The wait was over, or a second signal came, with requests in progress.
+    /// The stop limit passed or a second signal came while workers were still serving.
     Interrupted,
 }
 
@@ -100,7 +100,7 @@
     operators: TcpListener,
 }
 
-/// Runs a daemon until a planned stop has ended; `ready` is told its addresses.
+/// Runs a daemon until its planned stop has ended; calls `ready` with its addresses once it serves.
 ///
 /// # Errors
 ///
@@ -122,28 +122,28 @@
     let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]);
     let mut signals = signals.map_err(|source| DaemonError::System { what: "signals".to_owned(), source })?;
     let (stop_sender, stop) = async_channel::bounded(1);
-    let (control, inbox) = async_channel::bounded(INBOX);
+    let (control, inbox) = async_channel::bounded(CONTROL_CAPACITY);
     let (telemetry, batches) = telemetry::ring();
     let context = make_context(settings, addresses, host, stop, control, telemetry)?;
     let workers = match context.settings.platform.kind {
-        PlatformKind::Own => start_threads::<OwnEdge>(&context, listeners, inbox, batches)?,
-        PlatformKind::Store => start_threads::<StoreEdge>(&context, listeners, inbox, batches)?,
+        PlatformKind::Own => start_threads::<NativeProtocols>(&context, listeners, inbox, batches)?,
+        PlatformKind::Store => start_threads::<PlatformProtocols>(&context, listeners, inbox, batches)?,
     };
-    note(&context, Event::Started { version: env!("CARGO_PKG_VERSION").to_owned() });
+    record_event(&context, Event::Started { version: env!("CARGO_PKG_VERSION").to_owned() });
     ready(&addresses);
     info!("ready: callers {}, peers {}", addresses.callers, addresses.peers);
     future::block_on(await_stop(&context, &mut signals));
-    Ok(conduct_stop(&context, &stop_sender, &workers, signals))
+    Ok(stop_gracefully(&context, &stop_sender, &workers, signals))
 }
 
-/// Waits for a planned stop; takes changed settings meanwhile.
+/// Waits for the signal that begins a planned stop; reloads the settings at each `SIGHUP` before it.
 async fn await_stop(context: &Context, signals: &mut Signals) {
     while let Some(Ok(Signal::Hup)) = signals.next().await {
         reload(context);
     }
 }
 
-/// Takes what may change while a daemon runs: the daemons to ask.
+/// Reloads the settings that may change while a daemon runs: the seeds, the daemons to contact first.
 fn reload(context: &Context) {
     let Some(path) = &context.settings.source else {
         return;
@@ -152,10 +152,10 @@
         Ok(settings) => {
             let seeds: Vec<HostId> =
                 settings.peers.seeds.iter().map(|seed| seed.to_string().into()).collect();
-            note(context, Event::Reloaded { seeds: seeds.len() });
+            record_event(context, Event::Reloaded { seeds: seeds.len() });
             drop(context.control.try_send(ToControl::Seeds(seeds)));
         }
-        Err(error) => warn!("the changed settings are not valid and the old ones stay: {error}"),
+        Err(error) => warn!("the changed settings are not valid, the old ones stay active: {error}"),
     }
 }
 
@@ -202,16 +202,18 @@
     })
 }
 
-/// Makes an incarnation that is later than earlier ones of the same host, and
-/// unlike any other.
+/// Creates an incarnation: milliseconds since the epoch in the high bits, so that it is later than
+/// earlier ones of the same host, and random low bits, so that it is unlike any other.
 fn new_incarnation() -> Incarnation {
     const RANDOM_BITS: u32 = 20;
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     (millis(since) << RANDOM_BITS) | u64::from(rand::random::<u32>() >> (u32::BITS - RANDOM_BITS))
 }
 
-/// Starts every duty's thread; returns those that a planned stop waits for.
-fn start_threads<E: Edge>(
+/// Starts all threads and waits until the daemon has joined.
+///
+/// Returns the workers' threads, which a planned stop waits for.
+fn start_threads<P: Protocols>(
     context: &Context,
     listeners: Listeners,
     inbox: Receiver<ToControl>,
@@ -223,39 +225,39 @@
     spawn("telemetry", move || {
         future::block_on(telemetry::run(batches, telemetry, board));
     })?;
-    let own = context.clone();
+    let thread_context = context.clone();
     let listener = listeners.operators;
     spawn("operators", move || {
-        operators::run(&own, listener, token.as_ref());
+        operators::run(&thread_context, listener, token.as_ref());
     })?;
-    let mut waited = Vec::new();
+    let mut worker_threads = Vec::new();
     let mut arrivals = Vec::new();
     let mut messages = Vec::new();
     for number in 0..context.settings.limits.workers {
-        let (arrived, connections) = async_channel::bounded(ARRIVALS);
-        let (message, heard) = async_channel::bounded(MESSAGES);
-        arrivals.push(arrived);
-        messages.push(message);
-        let own = context.clone();
+        let (connection_sender, connections) = async_channel::bounded(CONNECTION_CAPACITY);
+        let (sender, received) = async_channel::bounded(MESSAGE_CAPACITY);
+        arrivals.push(connection_sender);
+        messages.push(sender);
+        let thread_context = context.clone();
         let name = format!("worker-{number}");
-        waited.push(spawn(&name, move || {
-            threads::run_worker::<E>(&own, number, &connections, heard);
+        worker_threads.push(spawn(&name, move || {
+            threads::run_worker::<P>(&thread_context, number, &connections, received);
         })?);
     }
     let (joined, wait) = async_channel::bounded(1);
-    let own = context.clone();
+    let thread_context = context.clone();
     spawn("control", move || {
-        threads::run_control::<E>(&own, messages, inbox, joined);
+        threads::run_control::<P>(&thread_context, messages, inbox, joined);
     })?;
-    let own = context.clone();
+    let thread_context = context.clone();
     let (callers, peers) = (listeners.callers, listeners.peers);
     let (open, opened) = async_channel::bounded::<()>(1);
     spawn("accept", move || {
-        accept::run(&own, callers, peers, &arrivals, &opened);
+        accept::run(&thread_context, callers, peers, &arrivals, &opened);
     })?;
     let _ = future::block_on(wait.recv());
     open.close();
-    Ok(waited)
+    Ok(worker_threads)
 }
 
 fn spawn(name: &str, body: impl FnOnce() + Send + 'static) -> Result<JoinHandle<()>, DaemonError> {
@@ -263,9 +265,10 @@
     built.map_err(|source| DaemonError::System { what: format!("thread {name}"), source })
 }
 
-/// Tells everyone that the daemon is leaving, and waits for requests in
-/// progress; a second signal ends the wait.
-fn conduct_stop(
+/// Announces to the other daemons that this one is leaving, and waits for requests in progress.
+///
+/// The wait ends early at the stop limit or at a second signal other than `SIGHUP`.
+fn stop_gracefully(
     context: &Context,
     stop: &Sender<()>,
     workers: &[JoinHandle<()>],
@@ -273,28 +276,28 @@
 ) -> StopOutcome {
     let begun = Instant::now();
     let running = || context.connections.load(Ordering::Relaxed);
-    info!("a planned stop begins with {} connections", running());
-    note(context, Event::StopBegun { running: running() });
+    info!("planned stop begun with {} open connections", running());
+    record_event(context, Event::StopBegun { running: running() });
     drop(context.control.try_send(ToControl::Stop));
     stop.close();
     let limit = context.settings.stop_limit();
-    let ended = |workers: &[JoinHandle<()>]| workers.iter().all(JoinHandle::is_finished);
-    while !ended(workers) {
+    let all_ended = |workers: &[JoinHandle<()>]| workers.iter().all(JoinHandle::is_finished);
+    while !all_ended(workers) {
         let signal = future::block_on(future::poll_once(signals.next()));
-        let again = signal.is_some_and(|signal| !matches!(signal, Some(Ok(Signal::Hup))));
-        if again || begun.elapsed() > limit {
-            warn!("the stop ends with {} connections open", running());
-            note(context, Event::StopEnded { cut: running() });
+        let interrupted = signal.is_some_and(|signal| !matches!(signal, Some(Ok(Signal::Hup))));
+        if interrupted || begun.elapsed() > limit {
+            warn!("planned stop ended with {} connections still open", running());
+            record_event(context, Event::StopEnded { cut: running() });
             return StopOutcome::Interrupted;
         }
-        std::thread::sleep(LOOK_EVERY);
+        std::thread::sleep(POLL_INTERVAL);
     }
-    note(context, Event::StopEnded { cut: 0 });
-    info!("the stop ends with nothing cut");
+    record_event(context, Event::StopEnded { cut: 0 });
+    info!("planned stop ended with all connections closed");
     StopOutcome::Complete
 }
 
-fn note(context: &Context, event: Event) {
+fn record_event(context: &Context, event: Event) {
     let stamp = Stamp { micros: SystemClock.wall(), count: 0 };
     context.telemetry.send(Batch { request: None, events: vec![(stamp, event)] });
 }
--- a/crates/harefield/src/daemon/threads.rs
+++ b/crates/harefield/src/daemon/threads.rs
@@ -1,4 +1,4 @@
-//! The worker and control threads.
+//! The worker and control threads: their settings, ports and main loops.
 
 use std::net::TcpStream;
 use std::rc::Rc;
@@ -13,11 +13,11 @@
 use async_io::Timer;
 use futures_lite::future;
 
-use super::context::Arrived;
+use super::context::AcceptedConnection;
 use super::context::Context;
 use super::context::Side;
-use super::edge::Edge;
-use super::edge::HttpWorker;
+use super::protocols::HttpWorker;
+use super::protocols::Protocols;
 use crate::adapters::callers::RequestLimits;
 use crate::adapters::clock::SystemClock;
 use crate::adapters::http;
@@ -41,30 +41,30 @@
 use crate::engine::Worker;
 use crate::engine::WorkerSettings;
 
-/// How often a stopping worker looks whether all is done.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+/// How often a stopping worker checks whether its requests and connections have ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Counts a connection as open until dropped.
-struct Open<'a> {
+/// Takes a connection off the count of open ones when dropped.
+struct ConnectionGuard<'a> {
     context: &'a Context,
 }
 
-impl Drop for Open<'_> {
+impl Drop for ConnectionGuard<'_> {
     fn drop(&mut self) {
         self.context.connections.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Runs a worker until a planned stop has let its requests end.
-pub(super) fn run_worker<E: Edge>(
+/// Runs a worker until its requests and connections have ended in a planned stop.
+pub(super) fn run_worker<P: Protocols>(
     context: &Context,
     number: usize,
-    arrivals: &Receiver<Arrived>,
+    arrivals: &Receiver<AcceptedConnection>,
     messages: Receiver<ToWorker>,
 ) {
     let executor: Rc<LocalExecutor<'static>> = Rc::default();
     let memory = context.shared.memory.clone();
-    let upstreams = HttpUpstreams::new(E::protocol(), Rc::clone(&executor), memory);
+    let upstreams = HttpUpstreams::new(P::upstream_protocol(), Rc::clone(&executor), memory);
     let peers = make_peers(context, &executor);
     let ports = Ports { upstreams: upstreams.clone(), peers, clock: SystemClock };
     let worker = Worker::new(
@@ -80,34 +80,38 @@
     executor.spawn(Rc::clone(&worker).keep_warm()).detach();
     let board = Arc::clone(&context.board);
     executor.spawn(Rc::clone(&worker).report(board, move || upstreams.opened())).detach();
-    async_io::block_on(executor.run(take_connections::<E>(context, &executor, &worker, arrivals)));
+    async_io::block_on(executor.run(serve_connections::<P>(context, &executor, &worker, arrivals)));
 }
 
 /// Serves connections until the accept thread ends, then waits for requests
 /// and connections in progress.
-async fn take_connections<E: Edge>(
+async fn serve_connections<P: Protocols>(
     context: &Context,
     executor: &Rc<LocalExecutor<'static>>,
-    worker: &Rc<HttpWorker<E::Protocol>>,
-    arrivals: &Receiver<Arrived>,
+    worker: &Rc<HttpWorker<P::UpstreamProtocol>>,
+    arrivals: &Receiver<AcceptedConnection>,
 ) {
     let open = Rc::new(std::cell::Cell::new(0_usize));
     while let Ok(arrived) = arrivals.recv().await {
         let (context, worker, open) = (context.clone(), Rc::clone(worker), Rc::clone(&open));
         open.set(open.get() + 1);
         let serving = async move {
-            serve::<E>(&context, worker, arrived).await;
+            serve::<P>(&context, worker, arrived).await;
             open.set(open.get() - 1);
         };
         executor.spawn(serving).detach();
     }
     while worker.running() > 0 || open.get() > 0 {
-        Timer::after(LOOK_EVERY).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
-async fn serve<E: Edge>(context: &Context, worker: Rc<HttpWorker<E::Protocol>>, arrived: Arrived) {
-    let _open = Open { context };
+async fn serve<P: Protocols>(
+    context: &Context,
+    worker: Rc<HttpWorker<P::UpstreamProtocol>>,
+    arrived: AcceptedConnection,
+) {
+    let _guard = ConnectionGuard { context };
     let Ok(stream) = Async::<TcpStream>::new(arrived.stream) else {
         return;
     };
@@ -116,7 +120,7 @@
     match arrived.side {
         Side::Callers => {
             let limited = request_limits(context);
-            let handle = |request| E::answer(Rc::clone(&worker), request, limited);
+            let handle = |request| P::answer(Rc::clone(&worker), request, limited);
             http::serve(stream, limits, (stop, linger), memory, handle).await;
         }
         Side::Peers => {
@@ -179,8 +183,8 @@
     Places { zone: host.zone.as_str().into(), regions: host.regions.clone() }
 }
 
-/// Runs the control duty until the daemon ends.
-pub(super) fn run_control<E: Edge>(
+/// Runs the control loop until the daemon ends; `ready` is signalled once the daemon has joined.
+pub(super) fn run_control<P: Protocols>(
     context: &Context,
     workers: Vec<Sender<ToWorker>>,
     inbox: Receiver<ToControl>,
@@ -188,7 +192,7 @@
 ) {
     let executor: Rc<LocalExecutor<'static>> = Rc::default();
     let ports = ControlPorts {
-        platform: E::platform(
+        platform: P::platform(
             Rc::clone(&executor),
             context.traffic.clone(),
             context.board.metrics().left_out(),
