--- a/crates/harefield/src/commands/arguments.rs
+++ b/crates/harefield/src/commands/arguments.rs
@@ -1,4 +1,4 @@
-//! Reading a command line, with `--help` and `--version` everywhere.
+//! Reads a command line; handles `--help` and `--version` for every command.
 
 use std::ffi::OsString;
 use std::net::SocketAddr;
@@ -10,13 +10,13 @@
 /// One argument of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Argument {
-    /// A long option's name.
+    /// A long option, by its name without the dashes.
     Option(String),
-    /// A plain word.
+    /// A positional argument.
     Positional(String),
 }
 
-/// Reads a command line.
+/// The arguments of a command line that are left to read.
 #[derive(Debug)]
 pub(super) struct Arguments {
     parser: Parser,
@@ -28,12 +28,14 @@
         Self { parser: Parser::from_args(arguments), help }
     }
 
-    /// Sets what `--help` prints from here on.
+    /// Sets the text that `--help` prints from here on.
     pub fn set_help(&mut self, help: &'static str) {
         self.help = help;
     }
 
-    /// Returns the next argument; none at the end, or once help was printed.
+    /// Returns the next argument; none at the end.
+    ///
+    /// `--help` and `--version` print their text and end the process.
     pub fn next(&mut self) -> Result<Option<Argument>, lexopt::Error> {
         let Some(argument) = self.parser.next()? else {
             return Ok(None);
@@ -48,23 +50,23 @@
                 std::process::exit(0);
             }
             Arg::Long(name) => Ok(Some(Argument::Option(name.to_owned()))),
-            Arg::Short(name) => Err(format!("no option -{name}").into()),
-            Arg::Value(word) => Ok(Some(Argument::Positional(word.string()?))),
+            Arg::Short(name) => Err(format!("unknown option -{name}").into()),
+            Arg::Value(value) => Ok(Some(Argument::Positional(value.string()?))),
         }
     }
 
-    /// Returns the value of the option just read.
+    /// Returns the value of the option that was read last.
     pub fn value(&mut self) -> Result<String, lexopt::Error> {
         self.parser.value()?.string()
     }
 
-    /// Returns the value of the option just read, as an address.
+    /// Returns the value of the option that was read last, parsed as an address.
     pub fn address(&mut self) -> Result<SocketAddr, lexopt::Error> {
         let text = self.value()?;
-        text.parse().map_err(|_error| format!("{text:?} is no address").into())
+        text.parse().map_err(|_error| format!("{text:?} is not an IP:PORT address").into())
     }
 
-    /// Returns the command; none once help was printed.
+    /// Returns the command; prints the help and returns none where no argument is left.
     pub fn command(&mut self) -> Result<Option<String>, lexopt::Error> {
         match self.next()? {
             Some(Argument::Positional(command)) => Ok(Some(command)),
@@ -77,7 +79,7 @@
     }
 }
 
-/// Makes the error for an option that a command does not take.
+/// Returns the error for an option that the command doesn't have.
 pub(super) fn unknown_option(name: &str) -> lexopt::Error {
-    format!("no option --{name}").into()
+    format!("unknown option --{name}").into()
 }
--- a/crates/harefield/src/commands/check.rs
+++ b/crates/harefield/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `harefield check`: check a settings file or a set of resources.
+//! `harefield check`: validates a settings file or a set of resources.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -22,12 +22,12 @@
 Usage: harefield check FILE
 
 Checks a settings file (.toml) or a set of resources (.json, an object with
-\"items\": the values by key), and prints every fault with its place.
+\"items\": the values by key), and prints every error with its position.
 ";
 
-/// Every fault of a set of resources, with its place.
+/// The errors of a set of resources, as labels in its source text.
 #[derive(Debug, thiserror::Error)]
-#[error("the resources are refused: {count} faults")]
+#[error("the resources are not valid: {count} errors")]
 struct SetError {
     count: usize,
     source_code: NamedSource<String>,
@@ -49,20 +49,20 @@
     let mut path = None;
     while let Some(argument) = arguments.next()? {
         match argument {
-            Argument::Positional(word) if path.is_none() => path = Some(PathBuf::from(word)),
-            Argument::Positional(word) => {
-                return Err(lexopt::Error::from(format!("unexpected {word:?}")).into());
+            Argument::Positional(argument) if path.is_none() => path = Some(PathBuf::from(argument)),
+            Argument::Positional(argument) => {
+                return Err(lexopt::Error::from(format!("unexpected argument {argument:?}")).into());
             }
             Argument::Option(name) => return Err(unknown_option(&name).into()),
         }
     }
-    let path = path.ok_or_else(|| lexopt::Error::from("a FILE is needed"))?;
+    let path = path.ok_or_else(|| lexopt::Error::from("FILE is required"))?;
     if path.extension().is_some_and(|kind| kind == "json") {
         check_resources(&path)
     } else {
         let settings = Settings::load(&path).map_err(|error| Failure::new(Exit::Invalid, error))?;
         println!("valid: {settings:#?}");
-        Ok(Exit::Done)
+        Ok(Exit::Success)
     }
 }
 
@@ -83,10 +83,10 @@
         Ok(set) => {
             let (services, upstreams) = (set.services.len(), set.upstreams.len());
             println!("valid: {services} services, {upstreams} upstreams");
-            Ok(Exit::Done)
+            Ok(Exit::Success)
         }
-        Err(faults) => {
-            let labels = faults.iter().map(|fault| label(&text, fault)).collect();
+        Err(errors) => {
+            let labels = errors.iter().map(|error| label(&text, error)).collect();
             Err(invalid(path, text, labels))
         }
     }
@@ -97,14 +97,15 @@
     Failure::new(Exit::Invalid, SetError { count: labels.len(), source_code, labels })
 }
 
-/// Points at the key of a resource with a fault.
-fn label(text: &str, fault: &ResourceError) -> LabeledSpan {
-    let quoted = format!("\"{}\"", fault.key);
+/// Returns a label at the key of the invalid resource, or at the start where the key isn't in the text.
+fn label(text: &str, error: &ResourceError) -> LabeledSpan {
+    let quoted = format!("\"{}\"", error.key);
     let start = text.find(&quoted).unwrap_or(0);
-    LabeledSpan::at(start..start + quoted.len(), format!("{}: {}", fault.code, fault.detail))
+    LabeledSpan::at(start..start + quoted.len(), format!("{}: {}", error.code, error.detail))
 }
 
+/// Returns the byte offset of a 1-based line and column.
 fn offset(text: &str, line: usize, column: usize) -> usize {
-    let before: usize = text.split_inclusive('\n').take(line.saturating_sub(1)).map(str::len).sum();
-    (before + column.saturating_sub(1)).min(text.len())
+    let line_start: usize = text.split_inclusive('\n').take(line.saturating_sub(1)).map(str::len).sum();
+    (line_start + column.saturating_sub(1)).min(text.len())
 }
--- a/crates/harefield/src/commands/explain.rs
+++ b/crates/harefield/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `harefield explain`: tell the story of one request.
+//! `harefield explain`: prints the events of one request in order.
 
 use super::Exit;
 use super::Outcome;
@@ -13,8 +13,8 @@
 const HELP: &str = "\
 Usage: harefield explain REQUEST --from IP:PORT [--from IP:PORT ...]
 
-Tells one request's story in order, over the daemon that it came through and
-the member of the cell that ran it. Times count from its first event.
+Prints the events of one request in order: those of the daemon that received it
+and of the member of the cell that ran it. Times are relative to the first event.
 
 Options:
   --token-file F   the file with the operators' token
@@ -25,7 +25,7 @@
     let mut options = Options::default();
     while let Some(argument) = arguments.next()? {
         match argument {
-            Argument::Positional(word) => options.filter.request = Some(word),
+            Argument::Positional(id) => options.filter.request = Some(id),
             Argument::Option(name) => match name.as_str() {
                 "from" => options.from.push(arguments.address()?),
                 "token-file" => options.client = DaemonClient::with_token(&arguments.value()?)?,
@@ -38,12 +38,12 @@
     timeline::print_unanswered(&fleet);
     let records = timeline::fetch_records(&fleet, &options);
     let Some(first) = records.first() else {
-        println!("no daemon holds events of {request}");
-        return Ok(Exit::Done);
+        println!("no daemon has events of {request}");
+        return Ok(Exit::Success);
     };
     let origin = first.stamp.micros;
     for record in &records {
         println!("{}", timeline::format_record(record, origin));
     }
-    Ok(Exit::Done)
+    Ok(Exit::Success)
 }
--- a/crates/harefield/src/commands/fetch.rs
+++ b/crates/harefield/src/commands/fetch.rs
@@ -1,4 +1,4 @@
-//! Asking daemons by HTTP from the command line.
+//! Sends HTTP requests to daemons for the commands.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -18,16 +18,18 @@
 use crate::domain::code::Code;
 use crate::telemetry::Status;
 
-const MOST_REPLY: usize = 256 << 20;
+/// The largest reply body that is read, in bytes.
+const MAX_REPLY: usize = 256 << 20;
 
-/// How daemons' addresses are asked.
+/// Sends requests to daemons, with a token where one is set.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DaemonClient {
     token: Option<String>,
 }
 
 impl DaemonClient {
-    /// Reads the token that operators show, or the key of a client account.
+    /// Creates a client that sends the token of operators, or the key of a client account, in the
+    /// first line of the file `path`.
     pub fn with_token(path: &str) -> Result<Self, Failure> {
         let token = read_token(Some(Path::new(path))).map_err(|error| {
             Failure::new(Exit::Invalid, miette::miette!("{}: {path}: {error}", Code::SettingsUnreadable))
@@ -35,13 +37,14 @@
         Ok(Self { token })
     }
 
-    /// Gets a JSON document; none where the daemon gave none.
+    /// Fetches a JSON document; none where the daemon did not return a valid one within `limit`.
     pub fn get<T: DeserializeOwned>(&self, address: SocketAddr, path: &str, limit: Duration) -> Option<T> {
         let body = self.call(Method::GET, address, path, String::new(), limit)?;
         serde_json::from_slice(&body).ok()
     }
 
-    /// Sends a request and returns the reply's body.
+    /// Sends a request and returns the reply's body, whatever its status; none where no reply came
+    /// within `limit`.
     pub fn call(
         &self,
         method: Method,
@@ -56,16 +59,16 @@
             request = request.header("authorization", format!("Bearer {token}"));
         }
         let request = request.body(Full::new(Bytes::from(body))).ok()?;
-        let exchange = http::exchange(&executor, address, request, MOST_REPLY, limit);
+        let exchange = http::exchange(&executor, address, request, MAX_REPLY, limit);
         let reply = async_io::block_on(executor.run(exchange));
         reply.ok().map(hyper::Response::into_body)
     }
 }
 
-/// How long an operators' address may take to answer.
+/// How long a daemon may take to answer at its operators' address.
 pub(super) const OPERATOR_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A fleet as found from one daemon.
+/// The daemons that were found by following membership tables.
 #[derive(Debug, Default)]
 pub(super) struct Fleet {
     /// The daemons that answered, with their operators' addresses.
@@ -74,14 +77,14 @@
     pub unanswered: Vec<SocketAddr>,
 }
 
-/// Asks the daemons at `start` for the others, and all of them for their status.
-pub(super) fn find_fleet(asker: &DaemonClient, start: &[SocketAddr]) -> Result<Fleet, Failure> {
+/// Fetches the status of the daemons at `start`, and of all daemons that these statuses name.
+pub(super) fn find_fleet(client: &DaemonClient, start: &[SocketAddr]) -> Result<Fleet, Failure> {
     let mut fleet = Fleet::default();
     let mut found: Vec<SocketAddr> = start.to_vec();
-    let mut at = 0;
-    while let Some(address) = found.get(at).copied() {
-        at += 1;
-        let Some(status) = asker.get::<Status>(address, "/v1/status", OPERATOR_TIMEOUT) else {
+    let mut next = 0;
+    while let Some(address) = found.get(next).copied() {
+        next += 1;
+        let Some(status) = client.get::<Status>(address, "/v1/status", OPERATOR_TIMEOUT) else {
             fleet.unanswered.push(address);
             continue;
         };
@@ -100,7 +103,7 @@
     Ok(fleet)
 }
 
-/// Makes the failure for daemons that do not answer.
+/// Returns the failure for daemons that did not answer.
 pub(super) fn unreachable_error(addresses: &[SocketAddr]) -> Failure {
     let code = Code::DaemonUnreachable;
     Failure::new(Exit::Unreachable, miette::miette!("{code}: {}: {addresses:?}", code.text()))
--- a/crates/harefield/src/commands/mod.rs
+++ b/crates/harefield/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: one file a subcommand.
+//! The command line, with one module for each subcommand.
 
 mod arguments;
 mod check;
@@ -24,42 +24,42 @@
 Commands:
   serve      run a daemon
   check      check a settings file or a set of resources
-  query      ask a daemon and print the answer
+  query      send a request to a daemon and print the answer
   timeline   print the events of all daemons
-  explain    tell the story of one request
-  report     draw one request as a file
+  explain    print the events of one request in order
+  report     write a drawing of one request to a file
   status     show every daemon and where they disagree
 
 Options:
-  --help     print this help; after a command, the command's
+  --help     print this help; after a command, the help of that command
   --version  print the version
 
-Exit codes: 0 done, 2 wrong usage, 3 not valid, 4 cannot start,
+Exit codes: 0 success, 2 wrong usage, 3 invalid file, 4 cannot start,
 5 no daemon reached, 6 partial answer, 7 not run, 8 may have run,
-9 a stop cut requests
+9 planned stop interrupted
 ";
 
 /// The exit codes of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// All went well.
-    Done = 0,
-    /// The command line is not understood.
+    /// The command succeeded; an answer covers all shards.
+    Success = 0,
+    /// The command line is not valid.
     Usage = 2,
-    /// Settings or resources are not valid.
+    /// A file that was read is not valid, or a file could not be read or written.
     Invalid = 3,
     /// The daemon could not start.
     CannotStart = 4,
-    /// No daemon could be reached.
+    /// No daemon answered.
     Unreachable = 5,
-    /// The answer is partial.
+    /// The answer lacks some shards.
     Partial = 6,
     /// The request did not run.
     NotRun = 7,
     /// The request may have run.
     MayHaveRun = 8,
-    /// A planned stop was ended with requests in progress.
-    Cut = 9,
+    /// The planned stop of a daemon ended with connections still open.
+    Interrupted = 9,
 }
 
 impl From<Exit> for ExitCode {
@@ -68,7 +68,7 @@
     }
 }
 
-/// A command that failed: what to print, and the exit code.
+/// The failure of a command: the report to print and the exit code.
 #[derive(Debug)]
 pub(crate) struct Failure {
     exit: Exit,
@@ -90,7 +90,7 @@
 
 type Outcome = Result<Exit, Failure>;
 
-/// Runs the program on the process's arguments.
+/// Runs the command that the process's arguments name, and returns the exit code.
 #[must_use]
 pub fn main() -> ExitCode {
     let arguments: Vec<OsString> = std::env::args_os().skip(1).collect();
@@ -106,7 +106,7 @@
 fn dispatch(arguments: Vec<OsString>) -> Outcome {
     let mut parser = Arguments::new(arguments, HELP);
     let Some(command) = parser.command()? else {
-        return Ok(Exit::Done);
+        return Ok(Exit::Success);
     };
     match command.as_str() {
         "serve" => serve::run(parser),
@@ -116,6 +116,6 @@
         "explain" => explain::run(parser),
         "report" => report::run(parser),
         "status" => status::run(parser),
-        other => Err(lexopt::Error::from(format!("no command {other:?}")).into()),
+        other => Err(lexopt::Error::from(format!("unknown command {other:?}")).into()),
     }
 }
--- a/crates/harefield/src/commands/query.rs
+++ b/crates/harefield/src/commands/query.rs
@@ -1,4 +1,4 @@
-//! `harefield query`: ask a daemon and print the answer.
+//! `harefield query`: sends a request to a daemon and prints the answer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,45 +22,45 @@
 const HELP: &str = "\
 Usage: harefield query --to IP:PORT LOOKUP [QUERY] [OPTIONS]
 
-Asks the daemon at a callers' address for a lookup and prints the answer as
-JSON. QUERY is a JSON value, null where it is left out. A once-only lookup is
-first given its ticket, then sent under it.
+Sends a request for a lookup to the daemon at a callers' address and prints the
+answer as JSON. QUERY is a JSON value, null where it is left out. For a once-only
+lookup, first obtains a ticket, then sends the request with it.
 
 Options:
   --id TEXT          the caller's own id of the request
-  --ticket TEXT      send a once-only lookup again under its ticket
+  --ticket TEXT      send a once-only lookup again with its ticket
   --deadline-ms N    a shorter deadline than the lookup's
-  --key-file FILE    show the client account's key in this file's first line
+  --key-file FILE    send the client account's key from this file's first line
 ";
 
-/// How long an answer is awaited beyond any lookup's deadline.
-const LIMIT: Duration = Duration::from_secs(610);
+/// How long to wait for an answer; longer than any lookup's deadline.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(610);
 
 #[derive(Debug, Default)]
 struct Options {
     to: Option<SocketAddr>,
     lookup: Option<String>,
-    asker: DaemonClient,
+    client: DaemonClient,
     body: Map<String, Value>,
 }
 
 pub(super) fn run(mut arguments: Arguments) -> Outcome {
     arguments.set_help(HELP);
-    let Options { to, lookup, asker, mut body } = read(&mut arguments)?;
-    let to = to.ok_or_else(|| lexopt::Error::from("--to IP:PORT is needed"))?;
-    let lookup = lookup.ok_or_else(|| lexopt::Error::from("a LOOKUP is needed"))?;
+    let Options { to, lookup, client, mut body } = read(&mut arguments)?;
+    let to = to.ok_or_else(|| lexopt::Error::from("--to IP:PORT is required"))?;
+    let lookup = lookup.ok_or_else(|| lexopt::Error::from("LOOKUP is required"))?;
     body.entry("query").or_insert(Value::Null);
-    let mut answer = ask(&asker, to, &lookup, &body)?;
+    let mut answer = send(&client, to, &lookup, &body)?;
     if answer.code == Code::TicketRequired
         && let Some(ticket) = &answer.ticket
     {
         eprintln!("ticket: {ticket}");
         body.insert("ticket".to_owned(), Value::String(ticket.clone()));
-        answer = ask(&asker, to, &lookup, &body)?;
+        answer = send(&client, to, &lookup, &body)?;
     }
     println!("{}", serde_json::to_string_pretty(&answer).unwrap_or_default());
     Ok(match answer.outcome {
-        outcome::Outcome::Answered if answer.coverage.whole => Exit::Done,
+        outcome::Outcome::Answered if answer.coverage.whole => Exit::Success,
         outcome::Outcome::Answered => Exit::Partial,
         outcome::Outcome::NotRun => Exit::NotRun,
         outcome::Outcome::MayHaveRun => Exit::MayHaveRun,
@@ -72,7 +72,7 @@
     while let Some(argument) = arguments.next()? {
         match argument {
             Argument::Option(name) => match name.as_str() {
-                "key-file" => options.asker = DaemonClient::with_token(&arguments.value()?)?,
+                "key-file" => options.client = DaemonClient::with_token(&arguments.value()?)?,
                 "to" => options.to = Some(parse(&arguments.value()?)?),
                 "id" | "ticket" => {
                     options.body.insert(name, Value::String(arguments.value()?));
@@ -83,9 +83,9 @@
                 }
                 other => return Err(unknown_option(other).into()),
             },
-            Argument::Positional(word) if options.lookup.is_none() => options.lookup = Some(word),
-            Argument::Positional(word) => {
-                options.body.insert("query".to_owned(), parse(&word)?);
+            Argument::Positional(name) if options.lookup.is_none() => options.lookup = Some(name),
+            Argument::Positional(query) => {
+                options.body.insert("query".to_owned(), parse(&query)?);
             }
         }
     }
@@ -100,14 +100,14 @@
     text.parse().map_err(|error: T::Err| format!("{text:?}: {error}").into())
 }
 
-fn ask(
-    asker: &DaemonClient,
+fn send(
+    client: &DaemonClient,
     to: SocketAddr,
     lookup: &str,
     body: &Map<String, Value>,
 ) -> Result<Answer, Failure> {
     let text = Value::Object(body.clone()).to_string();
-    let reply = asker.call(Method::POST, to, &format!("/v1/lookups/{lookup}"), text, LIMIT);
+    let reply = client.call(Method::POST, to, &format!("/v1/lookups/{lookup}"), text, ANSWER_TIMEOUT);
     let reply = reply.ok_or_else(|| unreachable_error(&[to]))?;
     serde_json::from_slice(&reply).map_err(|_error| unreachable_error(&[to]))
 }
--- a/crates/harefield/src/commands/report.rs
+++ b/crates/harefield/src/commands/report.rs
@@ -1,4 +1,4 @@
-//! `harefield report`: write one request's waterfall as a file.
+//! `harefield report`: writes one request's waterfall and events to an HTML file.
 
 use std::path::PathBuf;
 
@@ -31,7 +31,7 @@
     let mut out = None;
     while let Some(argument) = arguments.next()? {
         match argument {
-            Argument::Positional(word) => options.filter.request = Some(word),
+            Argument::Positional(id) => options.filter.request = Some(id),
             Argument::Option(name) => match name.as_str() {
                 "from" => options.from.push(arguments.address()?),
                 "out" => out = Some(PathBuf::from(arguments.value()?)),
@@ -40,22 +40,22 @@
             },
         }
     }
-    let out = out.ok_or_else(|| lexopt::Error::from("--out FILE is needed"))?;
+    let out = out.ok_or_else(|| lexopt::Error::from("--out FILE is required"))?;
     options.required_request()?;
     let fleet = find_fleet(&options.client, &options.from)?;
     timeline::print_unanswered(&fleet);
     let records = timeline::fetch_records(&fleet, &options);
     let origin = records.first().map_or(0, |record| record.stamp.micros);
     let lines: Vec<String> = records.iter().map(|record| timeline::format_record(record, origin)).collect();
-    let page = page(&waterfall(&records), &lines);
+    let page = render_page(&waterfall(&records), &lines);
     std::fs::write(&out, page).map_err(|error| {
         let code = Code::SettingsUnreadable;
         Failure::new(Exit::Invalid, miette::miette!("{code}: {}: {error}", out.display()))
     })?;
-    Ok(Exit::Done)
+    Ok(Exit::Success)
 }
 
-fn page(drawing: &str, lines: &[String]) -> String {
+fn render_page(drawing: &str, lines: &[String]) -> String {
     let text = lines.join("\n").replace('&', "&amp;").replace('<', "&lt;");
     format!("<!doctype html><meta charset='utf-8'><title>harefield</title>\n{drawing}\n<pre>{text}</pre>\n")
 }
--- a/crates/harefield/src/commands/serve.rs
+++ b/crates/harefield/src/commands/serve.rs
@@ -1,4 +1,4 @@
-//! `harefield serve`: run a daemon.
+//! `harefield serve`: runs a daemon.
 
 use std::path::PathBuf;
 
@@ -15,8 +15,9 @@
 const HELP: &str = "\
 Usage: harefield serve --settings FILE
 
-Runs a daemon. Its log goes to standard output, one JSON object a line; so does
-one line with its addresses, once it serves. SIGTERM begins a planned stop, a second one ends it at once.
+Runs a daemon. It logs to standard output, one JSON object per line; once it
+serves, it prints one more line with its addresses. SIGTERM begins a planned
+stop, a second SIGTERM ends the daemon at once.
 ";
 
 pub(super) fn run(mut arguments: Arguments) -> Outcome {
@@ -28,18 +29,18 @@
                 path = Some(PathBuf::from(arguments.value()?));
             }
             Argument::Option(name) => return Err(unknown_option(&name).into()),
-            Argument::Positional(word) => {
-                return Err(lexopt::Error::from(format!("unexpected {word:?}")).into());
+            Argument::Positional(argument) => {
+                return Err(lexopt::Error::from(format!("unexpected argument {argument:?}")).into());
             }
         }
     }
-    let path = path.ok_or_else(|| lexopt::Error::from("--settings FILE is needed"))?;
+    let path = path.ok_or_else(|| lexopt::Error::from("--settings FILE is required"))?;
     let settings = Settings::load(&path).map_err(|error| Failure::new(Exit::Invalid, error))?;
     let ended = daemon::run(settings, |addresses| {
         println!("{}", serde_json::to_string(addresses).unwrap_or_default());
     });
     match ended.map_err(|error| Failure::new(Exit::CannotStart, error))? {
-        StopOutcome::Complete => Ok(Exit::Done),
-        StopOutcome::Interrupted => Ok(Exit::Cut),
+        StopOutcome::Complete => Ok(Exit::Success),
+        StopOutcome::Interrupted => Ok(Exit::Interrupted),
     }
 }
--- a/crates/harefield/src/commands/status.rs
+++ b/crates/harefield/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `harefield status`: show every daemon and where they disagree.
+//! `harefield status`: shows every daemon and where they disagree.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -17,8 +17,9 @@
 const HELP: &str = "\
 Usage: harefield status --from IP:PORT [--from IP:PORT ...]
 
-Asks every daemon that can be found for its status, and names where they
-disagree: the revision in force, the list of hosts, which daemons are seen how.
+Fetches the status of every daemon that can be found and prints it: the revision
+in force, the revision of the host list, requests. Then prints the differences:
+daemons with an older revision, daemons that others do not see as live.
 
 Options:
   --json           each daemon's status as a JSON line
@@ -28,46 +29,46 @@
 pub(super) fn run(mut arguments: Arguments) -> Outcome {
     arguments.set_help(HELP);
     let mut from: Vec<SocketAddr> = Vec::new();
-    let mut asker = DaemonClient::default();
+    let mut client = DaemonClient::default();
     let mut json = false;
     while let Some(argument) = arguments.next()? {
         let Argument::Option(name) = argument else {
-            return Err(lexopt::Error::from("only options are taken").into());
+            return Err(lexopt::Error::from("unexpected positional argument").into());
         };
         match name.as_str() {
             "json" => json = true,
-            "token-file" => asker = DaemonClient::with_token(&arguments.value()?)?,
+            "token-file" => client = DaemonClient::with_token(&arguments.value()?)?,
             "from" => from.push(arguments.address()?),
             other => return Err(unknown_option(other).into()),
         }
     }
     if from.is_empty() {
-        return Err(lexopt::Error::from("--from IP:PORT is needed").into());
+        return Err(lexopt::Error::from("--from IP:PORT is required").into());
     }
-    let fleet = find_fleet(&asker, &from)?;
+    let fleet = find_fleet(&client, &from)?;
     for (_, status) in &fleet.answered {
         if json {
             println!("{}", serde_json::to_string(status).unwrap_or_default());
         } else {
-            println!("{}", line(status));
+            println!("{}", format_status(status));
         }
     }
     if !json {
-        tell_differences(&fleet);
+        print_differences(&fleet);
     }
-    Ok(Exit::Done)
+    Ok(Exit::Success)
 }
 
-fn line(status: &Status) -> String {
-    let number = |revision: Option<Revision>| revision.map_or("none".to_owned(), |r| r.to_string());
+fn format_status(status: &Status) -> String {
+    let format_revision = |revision: Option<Revision>| revision.map_or("none".to_owned(), |r| r.to_string());
     let config = &status.config;
     let answered: u64 = status.workers.values().map(|w| w.answered).sum();
     let running: usize = status.workers.values().map(|w| w.running).sum();
     let mut text = format!(
         "{} revision {} hosts {} running {running} answered {answered} control-bytes {}",
         status.host,
-        number(config.revision),
-        number(config.listed),
+        format_revision(config.revision),
+        format_revision(config.listed),
         status.control_bytes,
     );
     if let Some(refused) = config.refused {
@@ -78,14 +79,14 @@
     text
 }
 
-fn tell_differences(fleet: &Fleet) {
+fn print_differences(fleet: &Fleet) {
     for address in &fleet.unanswered {
         println!("did not answer: {address}");
     }
     let newest = fleet.answered.iter().map(|(_, status)| status.config.revision).max().flatten();
     for (_, status) in &fleet.answered {
         if status.config.revision != newest {
-            println!("behind: {} holds an older revision", status.host);
+            println!("behind: {} has an older revision", status.host);
         }
         for row in status.peers.iter().filter(|row| row.state.to_string() != "live") {
             println!("{} sees {} as {}", status.host, row.host, row.state);
--- a/crates/harefield/src/commands/timeline.rs
+++ b/crates/harefield/src/commands/timeline.rs
@@ -1,4 +1,4 @@
-//! `harefield timeline`: print the events of all daemons, merged causally.
+//! `harefield timeline`: prints the events of all daemons, merged in causal order.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,9 +19,9 @@
 const HELP: &str = "\
 Usage: harefield timeline --from IP:PORT [--from IP:PORT ...] [OPTIONS]
 
-Asks every daemon that can be found from the operators' addresses given, and
-prints their events merged by hybrid logical time. Daemons that did not answer
-are named on standard error.
+Fetches the events of every daemon that can be found from the given operators'
+addresses and prints them, sorted by hybrid logical time. Daemons that did not
+answer are named on standard error.
 
 Options:
   --request ID     events of one request
@@ -31,13 +31,13 @@
   --after MICROS   events after a time, microseconds since the epoch
   --until MICROS   events up to a time
   --most N         at most the newest N of each daemon
-  --json           JSON lines for programs
-  --follow         go on with new events
+  --json           print each event as a JSON line
+  --follow         keep printing new events
   --token-file F   the file with the operators' token
 ";
 
-/// How often new events are asked for when following.
-const FOLLOW_EVERY: Duration = Duration::from_millis(500);
+/// The pause between two fetches of new events with `--follow`.
+const FOLLOW_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Default)]
 pub(super) struct Options {
@@ -49,11 +49,11 @@
 }
 
 impl Options {
-    /// Returns the request that is asked for; some daemon must be named too.
+    /// Returns the id of the request; an error where it or the address of a daemon is not given.
     pub fn required_request(&self) -> Result<String, lexopt::Error> {
-        let request = self.filter.request.clone().ok_or("a REQUEST is needed")?;
+        let request = self.filter.request.clone().ok_or("REQUEST is required")?;
         if self.from.is_empty() {
-            return Err("--from IP:PORT is needed".into());
+            return Err("--from IP:PORT is required".into());
         }
         Ok(request)
     }
@@ -67,14 +67,14 @@
     loop {
         let records = fetch_records(&fleet, &options);
         for record in &records {
-            print(record, options.json);
+            print_record(record, options.json);
         }
         if !options.follow {
-            return Ok(Exit::Done);
+            return Ok(Exit::Success);
         }
         let newest = records.last().map(|record| record.stamp.micros);
         options.filter.after = newest.or(options.filter.after);
-        std::thread::sleep(FOLLOW_EVERY);
+        std::thread::sleep(FOLLOW_INTERVAL);
     }
 }
 
@@ -82,7 +82,7 @@
     let mut options = Options::default();
     while let Some(argument) = arguments.next()? {
         let Argument::Option(name) = argument else {
-            return Err(lexopt::Error::from("only options are taken").into());
+            return Err(lexopt::Error::from("unexpected positional argument").into());
         };
         let filter = &mut options.filter;
         match name.as_str() {
@@ -93,31 +93,31 @@
             "lookup" => filter.lookup = Some(arguments.value()?),
             "upstream" => filter.upstream = Some(arguments.value()?),
             "kind" => filter.kind = Some(arguments.value()?),
-            "after" => filter.after = Some(number(&arguments.value()?)?),
-            "until" => filter.until = Some(number(&arguments.value()?)?),
-            "most" => filter.most = Some(number(&arguments.value()?)?),
+            "after" => filter.after = Some(parse_number(&arguments.value()?)?),
+            "until" => filter.until = Some(parse_number(&arguments.value()?)?),
+            "most" => filter.most = Some(parse_number(&arguments.value()?)?),
             "token-file" => options.client = DaemonClient::with_token(&arguments.value()?)?,
             other => return Err(unknown_option(other).into()),
         }
     }
     if options.from.is_empty() {
-        return Err(lexopt::Error::from("--from IP:PORT is needed").into());
+        return Err(lexopt::Error::from("--from IP:PORT is required").into());
     }
     Ok(options)
 }
 
-fn number<T: std::str::FromStr>(text: &str) -> Result<T, lexopt::Error> {
-    text.parse().map_err(|_error| format!("{text:?} is not valid here").into())
+fn parse_number<T: std::str::FromStr>(text: &str) -> Result<T, lexopt::Error> {
+    text.parse().map_err(|_error| format!("{text:?} is not a valid number").into())
 }
 
-/// Names the daemons that did not answer.
+/// Prints the daemons that did not answer to standard error.
 pub(super) fn print_unanswered(fleet: &Fleet) {
     for address in &fleet.unanswered {
         eprintln!("did not answer: {address}");
     }
 }
 
-/// Gathers the selected records of a fleet, merged.
+/// Fetches the selected records of all daemons, sorted by stamp and host.
 pub(super) fn fetch_records(fleet: &Fleet, options: &Options) -> Vec<Record> {
     let query = serde_urlencoded::to_string(&options.filter).unwrap_or_default();
     let path = format!("/v1/timeline?{query}");
@@ -132,7 +132,7 @@
     records
 }
 
-fn print(record: &Record, json: bool) {
+fn print_record(record: &Record, json: bool) {
     if json {
         println!("{}", serde_json::to_string(record).unwrap_or_default());
     } else {
@@ -140,16 +140,17 @@
     }
 }
 
-/// Returns a record as a line of text, its time relative to `origin`.
+/// Formats a record as a line of text; its time is in seconds since `origin`, which is in
+/// microseconds.
 pub(super) fn format_record(record: &Record, origin: u64) -> String {
     let mut fields = match serde_json::to_value(&record.event) {
         Ok(serde_json::Value::Object(fields)) => fields,
         _ => serde_json::Map::new(),
     };
     let kind = fields.remove("kind").and_then(|kind| kind.as_str().map(str::to_owned)).unwrap_or_default();
-    let words: Vec<String> = fields.iter().map(|(name, value)| format!("{name}={value}")).collect();
+    let values: Vec<String> = fields.iter().map(|(name, value)| format!("{name}={value}")).collect();
     let micros = record.stamp.micros.saturating_sub(origin);
     let request = record.request.as_deref().unwrap_or("-");
     let (seconds, rest) = (micros / 1_000_000, micros % 1_000_000);
-    format!("{seconds}.{rest:06} {} {request} {kind} {}", record.host, words.join(" "))
+    format!("{seconds}.{rest:06} {} {request} {kind} {}", record.host, values.join(" "))
 }
--- a/crates/harefield/src/lib.rs
+++ b/crates/harefield/src/lib.rs
@@ -1,12 +1,18 @@
 //! Harefield: a query tier over many shards.
 //!
-//! Callers ask any daemon for a lookup; the daemon asks every shard, answers
-//! from one snapshot, and names exactly the shards that contributed.
+//! Callers send a request for a lookup to any daemon; the daemon sends it to a replica of every
+//! shard, answers from one snapshot, and names exactly the shards that contributed.
 //!
-//! `domain` holds the decisions, `ports` the small traits that they need,
-//! `adapters` the surroundings, `engine` a worker running requests, `control`
-//! the duty that keeps configuration and membership, `telemetry` the time
-//! line, `platform` the users' machines, and `commands` the command line.
+//! - `domain` makes the decisions.
+//! - `ports` has the small traits that carrying them out needs.
+//! - `adapters` connects to the outside: HTTP, clock, settings, logs and metrics.
+//! - `engine` runs requests on a worker.
+//! - `control` maintains configuration and membership.
+//! - `telemetry` collects the events of the time line.
+//! - `platform` has the protocols of the users' machines.
+//! - `memory` limits the bytes that the threads hold.
+//! - `daemon` starts and stops the threads.
+//! - `commands` is the command line.
 
 pub mod adapters;
 pub mod domain;
--- a/crates/harefield/src/main.rs
+++ b/crates/harefield/src/main.rs
@@ -1,4 +1,4 @@
-//! The `harefield` program.
+//! The `harefield` program; `commands` has its command line.
 
 use std::process::ExitCode;
 
--- a/crates/harefield/src/memory/held.rs
+++ b/crates/harefield/src/memory/held.rs
@@ -1,11 +1,11 @@
-//! A part of the account that is given back when dropped.
+//! A reservation of the memory budget that is released when dropped.
 
 use bytes::Bytes;
 
 use super::Memory;
 use crate::domain::buffers::Use;
 
-/// Bytes that are held, until dropped.
+/// A number of bytes that are counted as held until this is dropped.
 #[derive(Debug)]
 pub struct HeldBytes {
     memory: Memory,
@@ -13,13 +13,13 @@
     bytes: usize,
 }
 
-/// Bytes with the part of the account that they take.
-struct Counted {
+/// Bytes together with their reservation.
+struct CountedBytes {
     bytes: Bytes,
     _held: HeldBytes,
 }
 
-impl AsRef<[u8]> for Counted {
+impl AsRef<[u8]> for CountedBytes {
     fn as_ref(&self) -> &[u8] {
         &self.bytes
     }
@@ -30,18 +30,17 @@
         Self { memory, purpose, bytes }
     }
 
-    /// Takes more in where it fits, ending connections whose peers do not read where that
-    /// makes room; returns whether it does.
+    /// Reserves more bytes, as [`Memory::reserve`] does; returns whether they fit.
     pub async fn grow(&mut self, bytes: usize) -> bool {
         let Some(mut more) = self.memory.reserve(self.purpose, bytes).await else { return false };
         self.bytes += std::mem::take(&mut more.bytes);
         true
     }
 
-    /// Binds it to some bytes: it is given back when the last part of them is dropped.
+    /// Attaches the reservation to some bytes: it is released when the last slice of them is dropped.
     #[must_use]
     pub fn bind(self, bytes: Bytes) -> Bytes {
-        if bytes.is_empty() { bytes } else { Bytes::from_owner(Counted { bytes, _held: self }) }
+        if bytes.is_empty() { bytes } else { Bytes::from_owner(CountedBytes { bytes, _held: self }) }
     }
 }
 
--- a/crates/harefield/src/memory/mod.rs
+++ b/crates/harefield/src/memory/mod.rs
@@ -1,8 +1,8 @@
-//! The memory that a daemon's threads share for what they hold for others.
+//! The memory budget for the requests, replies and messages that a daemon's threads hold.
 //!
-//! [`Memory`] carries the account of `domain::buffers`; [`Held`] is a part of it that is
-//! given back when dropped, and may go with the bytes themselves. A [`Writer`] is a connection
-//! that the account may end.
+//! [`Memory`] shares the byte counts of `domain::buffers` between the threads. [`HeldBytes`] is a
+//! reservation that is released when dropped, and that may be attached to the bytes themselves.
+//! A [`Writer`] is a connection that may be ended to free memory.
 
 mod held;
 mod writer;
@@ -27,30 +27,30 @@
 pub use self::held::HeldBytes;
 pub use self::writer::Writer;
 
-/// Fewer bytes than this are not counted: the state of one request takes more.
+/// Fewer bytes than this are not counted: the state of one request takes more memory.
 pub const MIN_COUNTED: usize = 1024;
 
-/// How long a peer may take nothing where no setting says.
+/// How long a connection's peer may read nothing, where no setting gives a limit.
 const DEFAULT_STALL: Duration = Duration::from_secs(5);
 
-/// How long it is awaited that ended connections give back what they hold.
-const ROOM_WAIT: Duration = Duration::from_millis(50);
+/// How long to wait for ended connections to release their memory.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// How often it is looked whether they have.
-const LOOK_EVERY: Duration = Duration::from_millis(2);
+/// How often to check whether they have.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What is shown of the account.
+/// The metrics of the memory budget.
 #[derive(Clone, Debug, Default)]
 pub struct Meters {
-    /// Bytes held, by use.
+    /// Bytes held, by purpose.
     pub held: BTreeMap<Use, Gauge>,
-    /// Connections ended, since their peers took nothing for long.
+    /// Connections ended because their peers read next to nothing for too long.
     pub stalled: Counter,
-    /// Connections ended to make room.
+    /// Connections ended to free memory.
     pub evicted: Counter,
 }
 
-/// The account that the threads share.
+/// The memory budget; clones share it.
 #[derive(Clone, Debug)]
 pub struct Memory {
     shared: Arc<Shared>,
@@ -58,19 +58,20 @@
 
 #[derive(Debug)]
 struct Shared {
-    account: Mutex<Account>,
+    usage: Mutex<Usage>,
     stall: Duration,
     meters: Meters,
 }
 
+/// The byte counts, and the connections that may be ended to free memory.
 #[derive(Debug)]
-struct Account {
+struct Usage {
     buffers: Buffers,
-    writers: HashMap<WriterId, Arc<writer::Ending>>,
+    writers: HashMap<WriterId, Arc<writer::EndSignal>>,
     next: WriterId,
 }
 
-/// Counts without a bound.
+/// Counts without a limit.
 impl Default for Memory {
     fn default() -> Self {
         Self::new(usize::MAX, DEFAULT_STALL, Meters::default())
@@ -78,82 +79,85 @@
 }
 
 impl Memory {
-    /// Creates the account of at most `limit` bytes; a connection whose peer takes nothing
-    /// for `stall` is ended.
+    /// Creates a budget of `limit` bytes; a connection whose peer reads nothing for `stall` is
+    /// ended.
     #[must_use]
     pub fn new(limit: usize, stall: Duration, meters: Meters) -> Self {
-        let account = Account { buffers: Buffers::new(limit), writers: HashMap::new(), next: 0 };
-        Self { shared: Arc::new(Shared { account: Mutex::new(account), stall, meters }) }
+        let usage = Usage { buffers: Buffers::new(limit), writers: HashMap::new(), next: 0 };
+        Self { shared: Arc::new(Shared { usage: Mutex::new(usage), stall, meters }) }
     }
 
-    /// Returns how long a connection's peer may take nothing.
+    /// Returns how long a connection's peer may read nothing.
     #[must_use]
     pub fn stall(&self) -> Duration {
         self.shared.stall
     }
 
-    /// Takes bytes in where they fit.
+    /// Reserves bytes; none where they don't fit the budget.
     #[must_use]
-    pub fn try_reserve(&self, held_for: Use, bytes: usize) -> Option<HeldBytes> {
-        let taken = self.lock().buffers.take(held_for, bytes);
-        taken.then(|| HeldBytes::new(self.clone(), held_for, bytes))
+    pub fn try_reserve(&self, purpose: Use, bytes: usize) -> Option<HeldBytes> {
+        let reserved = self.lock().buffers.take(purpose, bytes);
+        reserved.then(|| HeldBytes::new(self.clone(), purpose, bytes))
     }
 
-    /// Takes bytes in, ending connections whose peers do not read where that makes room.
-    pub async fn reserve(&self, held_for: Use, bytes: usize) -> Option<HeldBytes> {
-        if let Some(held) = self.try_reserve(held_for, bytes) {
+    /// Reserves bytes; where they don't fit, first ends connections whose peers do not read, if that
+    /// frees enough. None where they don't fit within `RELEASE_TIMEOUT` of that.
+    pub async fn reserve(&self, purpose: Use, bytes: usize) -> Option<HeldBytes> {
+        if let Some(held) = self.try_reserve(purpose, bytes) {
             return Some(held);
         }
         let now = Instant::now();
         if !self.make_room(bytes, now) {
             return None;
         }
-        while now.elapsed() < ROOM_WAIT {
-            Timer::after(LOOK_EVERY).await;
-            if let Some(held) = self.try_reserve(held_for, bytes) {
+        while now.elapsed() < RELEASE_TIMEOUT {
+            Timer::after(POLL_INTERVAL).await;
+            if let Some(held) = self.try_reserve(purpose, bytes) {
                 return Some(held);
             }
         }
         None
     }
 
-    /// Counts bytes that are there already.
+    /// Counts bytes that are in memory already, whether they fit or not.
     #[must_use]
-    pub fn hold(&self, held_for: Use, bytes: usize) -> HeldBytes {
-        self.lock().buffers.add(held_for, bytes);
-        HeldBytes::new(self.clone(), held_for, bytes)
+    pub fn hold(&self, purpose: Use, bytes: usize) -> HeldBytes {
+        self.lock().buffers.add(purpose, bytes);
+        HeldBytes::new(self.clone(), purpose, bytes)
     }
 
-    /// Returns when to come back where something did not fit.
+    /// Returns after how long to retry what did not fit: when the first connection whose peer does
+    /// not read is ended. None where all peers read.
     #[must_use]
     pub fn retry_after(&self) -> Option<Duration> {
         self.lock().buffers.next_end(self.shared.stall, Instant::now())
     }
 
-    /// Ends connections so that so many bytes fit; returns whether that is enough.
+    /// Ends connections so that `bytes` fit; returns whether any were chosen. None are where ending
+    /// all connections whose peers do not read would not be enough.
     fn make_room(&self, bytes: usize, now: Instant) -> bool {
-        let account = self.lock();
-        let ended = account.buffers.make_room(bytes, now);
-        let endings: Vec<_> = ended.iter().filter_map(|id| account.writers.get(id)).map(Arc::clone).collect();
-        drop(account);
-        for ending in &endings {
-            if ending.end() {
+        let usage = self.lock();
+        let writers = usage.buffers.make_room(bytes, now);
+        let signals: Vec<_> = writers.iter().filter_map(|id| usage.writers.get(id)).map(Arc::clone).collect();
+        drop(usage);
+        for signal in &signals {
+            if signal.end() {
                 self.shared.meters.evicted.inc();
             }
         }
-        !endings.is_empty()
+        !signals.is_empty()
     }
 
-    /// Shows how much is held for each use.
+    /// Updates the gauges of the bytes held for each purpose.
     pub fn update_gauges(&self) {
-        let account = self.lock();
-        for (held_for, gauge) in &self.shared.meters.held {
-            gauge.set(i64::try_from(account.buffers.held(*held_for)).unwrap_or(i64::MAX));
+        let usage = self.lock();
+        for (purpose, gauge) in &self.shared.meters.held {
+            gauge.set(i64::try_from(usage.buffers.held(*purpose)).unwrap_or(i64::MAX));
         }
     }
 
-    /// Locks the account; it is whole even where a thread panicked beside it.
-    fn lock(&self) -> MutexGuard<'_, Account> {
-        self.shared.account.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Locks the counts; they are consistent even where a thread panicked while holding the lock.
+    fn lock(&self) -> MutexGuard<'_, Usage> {
+        self.shared.usage.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/harefield/src/memory/writer.rs
+++ b/crates/harefield/src/memory/writer.rs
@@ -1,4 +1,4 @@
-//! A connection that something is written to, and that may be ended to make room.
+//! A connection that is written to, and that may be ended to free memory.
 
 use std::cell::Cell;
 use std::sync::Arc;
@@ -13,15 +13,15 @@
 use super::Memory;
 use crate::domain::buffers::WriterId;
 
-/// Whether a connection is to end.
+/// Signals a connection that it has to end.
 #[derive(Debug, Default)]
-pub(super) struct Ending {
+pub(super) struct EndSignal {
     ended: AtomicBool,
     waker: Mutex<Option<Waker>>,
 }
 
-impl Ending {
-    /// Ends the connection; returns whether it was not ended before.
+impl EndSignal {
+    /// Tells the connection to end and wakes it; returns whether this is the first time.
     pub(super) fn end(&self) -> bool {
         let first = !self.ended.swap(true, Ordering::AcqRel);
         let waker = self.waker.lock().unwrap_or_else(PoisonError::into_inner).take();
@@ -32,41 +32,42 @@
     }
 }
 
-/// A connection that something is written to.
+/// A connection's side of the memory budget: reports how much is left to write, and learns
+/// when the connection has to end.
 #[derive(Debug)]
 pub struct Writer {
     memory: Memory,
     id: WriterId,
-    ending: Arc<Ending>,
-    /// What is left to be written, in bytes.
+    signal: Arc<EndSignal>,
+    /// How many bytes are left to write; 0 while nothing is counted.
     left: Cell<usize>,
 }
 
 impl Memory {
-    /// Creates the account of one connection.
+    /// Creates the writer of one connection.
     #[must_use]
     pub fn writer(&self) -> Writer {
-        let mut account = self.lock();
-        let id = account.next;
-        account.next += 1;
-        drop(account);
-        Writer { memory: self.clone(), id, ending: Arc::default(), left: Cell::new(0) }
+        let mut usage = self.lock();
+        let id = usage.next;
+        usage.next += 1;
+        drop(usage);
+        Writer { memory: self.clone(), id, signal: Arc::default(), left: Cell::new(0) }
     }
 }
 
 impl Writer {
-    /// Takes that so many bytes are to be written.
+    /// Records that `bytes` are about to be written; fewer than [`MIN_COUNTED`] are not counted.
     pub fn begin(&self, bytes: usize) {
         if bytes < MIN_COUNTED {
             return;
         }
         self.left.set(bytes);
-        let mut account = self.memory.lock();
-        account.buffers.begin_write(self.id, bytes, Instant::now());
-        account.writers.insert(self.id, Arc::clone(&self.ending));
+        let mut usage = self.memory.lock();
+        usage.buffers.begin_write(self.id, bytes, Instant::now());
+        usage.writers.insert(self.id, Arc::clone(&self.signal));
     }
 
-    /// Takes that the peer took so many bytes.
+    /// Records that the connection accepted `bytes` for its peer.
     pub fn progress(&self, bytes: usize) {
         if self.left.get() == 0 {
             return;
@@ -75,21 +76,21 @@
         self.memory.lock().buffers.progress(self.id, bytes, Instant::now());
     }
 
-    /// Returns whether the connection is to end; who is told otherwise is woken when it is.
+    /// Returns whether the connection has to end; where it hasn't, `waker` is woken once it has.
     #[must_use]
     pub fn is_ended(&self, waker: &Waker) -> bool {
-        if self.ending.ended.load(Ordering::Acquire) {
+        if self.signal.ended.load(Ordering::Acquire) {
             return true;
         }
-        let mut held = self.ending.waker.lock().unwrap_or_else(PoisonError::into_inner);
-        if !held.as_ref().is_some_and(|held| held.will_wake(waker)) {
-            *held = Some(waker.clone());
+        let mut stored = self.signal.waker.lock().unwrap_or_else(PoisonError::into_inner);
+        if !stored.as_ref().is_some_and(|stored| stored.will_wake(waker)) {
+            *stored = Some(waker.clone());
         }
-        drop(held);
-        self.ending.ended.load(Ordering::Acquire)
+        drop(stored);
+        self.signal.ended.load(Ordering::Acquire)
     }
 
-    /// Counts that its peer took nothing for too long.
+    /// Counts the connection as ended because its peer read next to nothing for too long.
     pub fn record_stalled(&self) {
         self.memory.shared.meters.stalled.inc();
     }
@@ -97,8 +98,8 @@
 
 impl Drop for Writer {
     fn drop(&mut self) {
-        let mut account = self.memory.lock();
-        account.buffers.end_write(self.id);
-        account.writers.remove(&self.id);
+        let mut usage = self.memory.lock();
+        usage.buffers.end_write(self.id);
+        usage.writers.remove(&self.id);
     }
 }
--- a/crates/harefield/src/telemetry/board.rs
+++ b/crates/harefield/src/telemetry/board.rs
@@ -178,15 +178,13 @@
     /// Updates the account counters where the event admits or refuses a request of an account.
     pub fn count_account(&self, event: &Event) {
         match event {
-            Event::Admitted { account: Some(account), .. } => self.count_for(account, |counters| {
-                counters.admitted += 1;
+            Event::Admitted { account: Some(account), .. } => self.count_for(account, |counts| {
+                counts.admitted += 1;
             }),
             Event::LimitRefused { account, code: Code::LimitReached, .. } => {
-                self.count_for(account, |counters| counters.over_limit += 1);
-            }
-            Event::LimitRefused { account, .. } => {
-                self.count_for(account, |counters| counters.unchecked += 1)
+                self.count_for(account, |counts| counts.over_limit += 1);
             }
+            Event::LimitRefused { account, .. } => self.count_for(account, |counts| counts.unchecked += 1),
             _ => {}
         }
     }
--- a/crates/harefield/src/telemetry/trace.rs
+++ b/crates/harefield/src/telemetry/trace.rs
@@ -56,7 +56,7 @@
         self.request.as_ref()
     }
 
-    /// Advances the hybrid_clock clock and returns its stamp, for an event or a message sent now.
+    /// Advances the hybrid clock and returns its stamp, for an event or a message sent now.
     #[must_use]
     pub fn stamp(&self) -> Stamp {
         self.hybrid_clock.borrow_mut().tick(self.clock.wall())
