--- a/crates/harefield/examples/accounts.rs
+++ b/crates/harefield/examples/accounts.rs
@@ -1,5 +1,5 @@
-//! What a key's check and a limit cost a request, at ten thousand accounts; prints
-//! nanoseconds.
+//! Measures what authentication by key and a rate limit cost per request, with ten thousand
+//! accounts; prints nanoseconds.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -17,6 +17,7 @@
 
 const ACCOUNTS: u32 = 10_000;
 
+/// How often each operation is run.
 const ROUNDS: u32 = 1_000_000;
 
 fn main() {
@@ -28,19 +29,20 @@
             (format!("accounts/account-{number:05}").into(), value.into())
         })
         .collect();
-    let set = ResourceSet::parse(values.iter().map(|(key, value)| (key, value))).expect("it is valid");
+    let set =
+        ResourceSet::parse(values.iter().map(|(key, value)| (key, value))).expect("the accounts are valid");
     let directory = Directory::new(&set, false);
-    let shown: Vec<String> = (0..ACCOUNTS).step_by(97).map(key).collect();
+    let presented: Vec<String> = (0..ACCOUNTS).step_by(97).map(key).collect();
     let identify = measure(|round| {
-        let key = &shown[usize::try_from(round).unwrap_or(0) % shown.len()];
+        let key = &presented[usize::try_from(round).unwrap_or(0) % presented.len()];
         black_box(directory.identify(Credential::of_key(key.as_bytes()), false));
     });
     let Identity::Known(client) = directory.identify(Credential::of_key(key(0).as_bytes()), false) else {
-        unreachable!("it is known")
+        unreachable!("the account exists")
     };
     let start = Instant::now();
     let mut reserve = Reserve::default();
-    let kept = measure(|_| {
+    let local = measure(|_| {
         reserve.add(1, start);
         reserve.count_request(start);
         black_box(reserve.take(start));
@@ -48,15 +50,17 @@
     let mut grants = Grants::new(start);
     let slot = (Arc::clone(&client.name), 0);
     let granted = measure(|round| {
-        let limit = FleetLimit::of(&client.account, &Overage::default()).expect("it has one").part(6);
+        let limit =
+            FleetLimit::of(&client.account, &Overage::default()).expect("the account has a limit").part(6);
         let now = start + Duration::from_micros(u64::from(round) * 100);
         black_box(grants.grant(&slot, limit, 1, now));
     });
-    println!("key {identify} ns, kept permit {kept} ns, granted permit {granted} ns");
+    println!("key {identify} ns, local permit {local} ns, granted permit {granted} ns");
 }
 
-fn measure(mut act: impl FnMut(u32)) -> u128 {
+/// Returns the mean time of one run, in nanoseconds.
+fn measure(mut operation: impl FnMut(u32)) -> u128 {
     let start = Instant::now();
-    (0..ROUNDS).for_each(&mut act);
+    (0..ROUNDS).for_each(&mut operation);
     start.elapsed().as_nanos() / u128::from(ROUNDS)
 }
--- a/crates/harefield/examples/target.rs
+++ b/crates/harefield/examples/target.rs
@@ -1,4 +1,4 @@
-//! Prints what control's decisions cost at the target size, for
+//! Measures the decisions of the control thread at the target size and prints the tables for
 //! `docs/CAPACITY.md`: `cargo run --release --example target`.
 
 use std::collections::BTreeMap;
@@ -32,14 +32,16 @@
 
 fn main() {
     println!("cells of 190 indexes over {DAEMONS} daemons:");
-    println!("| size | busiest over mean | daemons in no cell | new pairs when one daemon goes, of |");
+    println!(
+        "| size | max over mean cells per daemon | daemons in no cell | new pairs when one daemon leaves, of |"
+    );
     println!("|---|---|---|---|");
     for size in [14, 22, 24] {
         cells(size);
     }
-    println!("\none change at the size given, in milliseconds:");
+    println!("\none change at the given size, in milliseconds:");
     println!(
-        "| upstreams | read all | judge one change | next view, config | next view, hosts | worker takes it | own upstreams |"
+        "| upstreams | parse all | validate one change | next view, config | next view, hosts | worker applies it | own upstreams |"
     );
     println!("|---|---|---|---|---|---|---|");
     for upstreams in [5040, 20_160, 79_800] {
@@ -51,31 +53,34 @@
     format!("10.0.{}.{}:7200", number / 250, number % 250).into()
 }
 
+/// Returns every pair of a cell and a daemon in it.
 fn pairs(cells: &Cells) -> BTreeSet<(&str, &str)> {
     cells.iter().flat_map(|(name, cell)| cell.iter().map(|host| (&**name, &**host))).collect()
 }
 
+/// Prints how evenly cells of `size` daemons are spread, and how many pairs of a cell and a daemon
+/// are new when one daemon leaves.
 fn cells(size: usize) {
     let sizes: BTreeMap<Arc<str>, usize> = (0..190).map(|n| (format!("index-{n}").into(), size)).collect();
     let hosts: Vec<HostId> = (0..DAEMONS).map(daemon).collect();
     let before = cell::assign(&sizes, &hosts);
-    let mut held: BTreeMap<&str, u32> = hosts.iter().map(|host| (&**host, 0)).collect();
+    let mut cell_counts: BTreeMap<&str, u32> = hosts.iter().map(|host| (&**host, 0)).collect();
     for (_, host) in pairs(&before) {
-        *held.entry(host).or_default() += 1;
+        *cell_counts.entry(host).or_default() += 1;
     }
-    let total: u32 = held.values().sum();
+    let total: u32 = cell_counts.values().sum();
     let mean = f64::from(total) / f64::from(u32::try_from(DAEMONS).unwrap_or(1));
-    let most = held.values().copied().max().unwrap_or(0);
-    let idle = held.values().filter(|count| **count == 0).count();
+    let max_count = cell_counts.values().copied().max().unwrap_or(0);
+    let idle = cell_counts.values().filter(|count| **count == 0).count();
     let mut moved = Vec::new();
-    for gone in (0..DAEMONS).step_by(270) {
-        let rest: Vec<HostId> =
-            hosts.iter().enumerate().filter(|(n, _)| *n != gone).map(|(_, h)| Arc::clone(h)).collect();
-        let after = cell::assign(&sizes, &rest);
+    for removed in (0..DAEMONS).step_by(270) {
+        let remaining: Vec<HostId> =
+            hosts.iter().enumerate().filter(|(n, _)| *n != removed).map(|(_, h)| Arc::clone(h)).collect();
+        let after = cell::assign(&sizes, &remaining);
         moved.push(pairs(&after).difference(&pairs(&before)).count());
     }
-    let most_moved = moved.iter().max().copied().unwrap_or(0);
-    println!("| {size} | {:.2} | {idle} | at most {most_moved} of {total} |", f64::from(most) / mean);
+    let max_moved = moved.iter().max().copied().unwrap_or(0);
+    println!("| {size} | {:.2} | {idle} | at most {max_moved} of {total} |", f64::from(max_count) / mean);
 }
 
 fn upstream_address(number: usize) -> String {
@@ -126,10 +131,10 @@
     since.elapsed().as_secs_f64() * 1000.0
 }
 
-/// One region.
+/// A topology of one region.
 static PLACES: LazyLock<Places> = LazyLock::new(Places::default);
 
-fn sources<'a>(own: &'a HostId, set: &'a Arc<ResourceSet>, hosts: &'a HostList) -> ViewInputs<'a> {
+fn view_inputs<'a>(own: &'a HostId, set: &'a Arc<ResourceSet>, hosts: &'a HostList) -> ViewInputs<'a> {
     ViewInputs {
         own,
         revision: Some(Revision::first(1)),
@@ -144,38 +149,40 @@
     }
 }
 
+/// Prints how long one change of the configuration and of the host list takes, from its validation
+/// to its application by a worker's router.
 fn changes(upstreams: usize) {
     let items = items(upstreams);
     let begun = Instant::now();
     let set = Arc::new(ResourceSet::parse(&items).expect("the values are valid"));
-    let read = millis(begun);
+    let parsing = millis(begun);
     let mut hosts = HostList::parse(&host_items(upstreams));
     let own = daemon(7);
-    let first = View::default().next(&sources(&own, &set, &hosts));
+    let first = View::default().next(&view_inputs(&own, &set, &hosts));
 
     let value =
         json!({ "address": "10.99.0.1:1", "zone": "zone-2", "slots": 2, "connections": 25 }).to_string();
     let change = [Change { key: "upstreams/up-3-5-0".into(), value: Some(value.into()) }];
     let begun = Instant::now();
     let changed = Arc::new(set.apply(&change).expect("the change is valid"));
-    let judged = millis(begun);
+    let validation = millis(begun);
     let begun = Instant::now();
-    let second = first.next(&sources(&own, &changed, &hosts));
-    let planned = millis(begun);
+    let second = first.next(&view_inputs(&own, &changed, &hosts));
+    let config_view = millis(begun);
 
-    let gone = [Change { key: format!("hosts/{}", daemon(9)).into(), value: None }];
-    hosts.apply(&gone);
+    let removal = [Change { key: format!("hosts/{}", daemon(9)).into(), value: None }];
+    hosts.apply(&removal);
     let begun = Instant::now();
-    let third = second.next(&sources(&own, &changed, &hosts));
-    let listed = millis(begun);
+    let third = second.next(&view_inputs(&own, &changed, &hosts));
+    let hosts_view = millis(begun);
 
     let mut router = Router::new(Policy::Cost, Budgets::single(0.05), 1, Instant::now());
     router.apply(&second, begun);
     let begun = Instant::now();
     router.apply(&third, begun);
-    let taken = millis(begun);
+    let application = millis(begun);
     println!(
-        "| {upstreams} | {read:.1} | {judged:.2} | {planned:.2} | {listed:.1} | {taken:.2} | {} |",
+        "| {upstreams} | {parsing:.1} | {validation:.2} | {config_view:.2} | {hosts_view:.1} | {application:.2} | {} |",
         third.upstreams.len()
     );
 }
