--- a/crates/harefield/src/adapters/operators/resources.rs
+++ b/crates/harefield/src/adapters/operators/resources.rs
@@ -14,7 +14,6 @@
 use serde_json::Value;
 use serde_json::json;
 
-use super::Operators;
 use crate::adapters::http;
 use crate::domain::code::Code;
 use crate::domain::ids::UpstreamId;
@@ -25,6 +24,7 @@
 use crate::domain::revision::Revision;
 use crate::telemetry::Status;
 use crate::telemetry::UpstreamStatus;
+use super::Operators;
 
 /// The longest wait of a watch.
 const LONGEST_WAIT: Duration = Duration::from_secs(60);
@@ -127,7 +127,7 @@
             }),
             accepted: true,
             faults: Vec::new(),
-            conditions: json!(self.board.account_use(name)),
+            conditions: json!(self.board.account_usage(name)),
         };
         set.accounts.iter().map(item).collect()
     }
--- a/crates/harefield/src/control/freshness.rs
+++ b/crates/harefield/src/control/freshness.rs
@@ -7,10 +7,6 @@
 
 use async_channel::Sender;
 
-use super::confirm::ASKED;
-use super::confirm::Asking;
-use super::confirm::ROUND_LIMIT;
-use super::duty::Control;
 use crate::domain::event::Event;
 use crate::domain::freshness::Freshness;
 use crate::domain::ids::HostId;
@@ -22,6 +18,10 @@
 use crate::ports::Peers;
 use crate::ports::Platform;
 use crate::ports::Space;
+use super::confirm::ASKED;
+use super::confirm::Asking;
+use super::confirm::ROUND_LIMIT;
+use super::duty::Control;
 
 /// How long asking for what is newer may take: a caller waits for it.
 const REFRESH_LIMIT: Duration = Duration::from_millis(500);
@@ -37,7 +37,7 @@
         let now = self.ports.clock.now();
         self.reach.borrow_mut().entry(space).or_default().record_proof(at, now);
         if space == Space::Config {
-            self.board.prove(at);
+            self.board.record_proof(at);
             self.tell(&ToWorker::Proven(at));
         }
         let Some(proven) = self.proven() else { return };
