--- a/crates/harefield/src/adapters/callers.rs
+++ b/crates/harefield/src/adapters/callers.rs
@@ -60,12 +60,12 @@
 }
 
 /// A request that is refused before it is a lookup.
-struct Refused {
+struct Rejection {
     code: Code,
     detail: String,
 }
 
-impl From<Code> for Refused {
+impl From<Code> for Rejection {
     fn from(code: Code) -> Self {
         Self { code, detail: String::new() }
     }
@@ -79,7 +79,7 @@
 ) -> Response<Full<Bytes>> {
     let mut reply = match read(request, limits, worker.memory()).await {
         Ok((body, lookup, credential)) => render(&look_up(&worker, body, lookup, credential).await),
-        Err(refused) => render(&refuse(&refused)),
+        Err(rejection) => render(&not_run(&rejection)),
     };
     if worker.is_stopping() {
         reply.headers_mut().insert("connection", HeaderValue::from_static("close"));
@@ -113,7 +113,7 @@
     request: Request<Incoming>,
     limits: RequestLimits,
     memory: &Memory,
-) -> Result<(Body, String, Credential), Refused> {
+) -> Result<(Body, String, Credential), Rejection> {
     let (head, incoming) = request.into_parts();
     if head_bytes(&head) > limits.head {
         return Err(Code::HeadTooLarge.into());
@@ -125,12 +125,12 @@
     }
     let credential = http::credential(&head.headers);
     let bytes = read_body(incoming, limits, memory).await?;
-    let body: Body = serde_json::from_slice(&bytes).map_err(|error| Refused {
+    let body: Body = serde_json::from_slice(&bytes).map_err(|error| Rejection {
         code: if error.classify() == Category::Data { Code::BadField } else { Code::MalformedBody },
         detail: error.to_string(),
     })?;
     if body.deadline_ms == Some(0) {
-        return Err(Refused { code: Code::BadField, detail: "deadline-ms must be at least 1".to_owned() });
+        return Err(Rejection { code: Code::BadField, detail: "deadline-ms must be at least 1".to_owned() });
     }
     Ok((body, lookup, credential))
 }
@@ -168,10 +168,10 @@
 }
 
 /// A request that was never taken ran nowhere.
-fn refuse(refused: &Refused) -> Answer {
-    let mut answer = Answer::not_run("", refused.code, None);
-    if !refused.detail.is_empty() {
-        answer.message = format!("{}: {}", answer.message, refused.detail);
+fn not_run(rejection: &Rejection) -> Answer {
+    let mut answer = Answer::not_run("", rejection.code, None);
+    if !rejection.detail.is_empty() {
+        answer.message = format!("{}: {}", answer.message, rejection.detail);
     }
     answer
 }
--- a/crates/harefield/src/adapters/clock.rs
+++ b/crates/harefield/src/adapters/clock.rs
@@ -24,7 +24,7 @@
 
 /// How often a wait looks whether the host was suspended meanwhile: whatever waits for
 /// longer is at most this late after it, beside what it awaited by then.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The first reading, on the steady clock and since the host started.
 static FIRST: OnceLock<(Instant, Duration)> = OnceLock::new();
@@ -57,7 +57,7 @@
         if left.is_zero() {
             return;
         }
-        Timer::after(left.min(LOOK_EVERY)).await;
+        Timer::after(left.min(CHECK_INTERVAL)).await;
     }
 }
 
--- a/crates/harefield/src/adapters/http/client.rs
+++ b/crates/harefield/src/adapters/http/client.rs
@@ -16,11 +16,11 @@
 use hyper::client::conn::http1::SendRequest;
 
 use super::body;
-use super::paced::Paced;
+use super::stall_guard::StallGuardedStream;
 
 /// How long an upstream, the platform or another daemon may take nothing of what is sent:
 /// what is sent to one that reads is taken within some round trips.
-const STALL: Duration = Duration::from_secs(5);
+const STALL_LIMIT: Duration = Duration::from_secs(5);
 
 /// Why a request got no reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -83,9 +83,10 @@
     };
     let stream = opened.or(expired).await.ok_or(ClientError::NotSent)?;
     stream.get_ref().set_nodelay(true).map_err(|_error| ClientError::NotSent)?;
-    let (sender, driver) = hyper::client::conn::http1::handshake(Paced::new(stream, STALL))
-        .await
-        .map_err(|_error| ClientError::NotSent)?;
+    let (sender, driver) =
+        hyper::client::conn::http1::handshake(StallGuardedStream::new(stream, STALL_LIMIT))
+            .await
+            .map_err(|_error| ClientError::NotSent)?;
     executor.spawn(async move { drop(driver.await) }).detach();
     Ok(Connection { sender })
 }
@@ -99,7 +100,7 @@
     executor: &LocalExecutor<'_>,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
-    most: usize,
+    max_bytes: usize,
     limit: Duration,
 ) -> Result<Response<Bytes>, ClientError> {
     let mut connection = connect(executor, address, limit).await?;
@@ -107,19 +108,19 @@
         Timer::after(limit).await;
         Err(ClientError::Lost)
     };
-    converse(&mut connection, request, most).or(expired).await
+    round_trip(&mut connection, request, max_bytes).or(expired).await
 }
 
-async fn converse(
+async fn round_trip(
     connection: &mut Connection,
     request: Request<Full<Bytes>>,
-    most: usize,
+    max_bytes: usize,
 ) -> Result<Response<Bytes>, ClientError> {
     let reply = connection.send(request).await.map_err(|unsent| match unsent {
         Some(_) => ClientError::NotSent,
         None => ClientError::Lost,
     })?;
     let (head, incoming) = reply.into_parts();
-    let whole = body::read(incoming, most).await.map_err(|_cut| ClientError::Lost)?;
+    let whole = body::read(incoming, max_bytes).await.map_err(|_cut| ClientError::Lost)?;
     Ok(Response::from_parts(head, whole))
 }
--- a/crates/harefield/src/adapters/http/mod.rs
+++ b/crates/harefield/src/adapters/http/mod.rs
@@ -2,10 +2,10 @@
 
 mod body;
 mod client;
-mod paced;
 mod pool;
 mod reply;
 mod server;
+mod stall_guard;
 mod token;
 mod traffic;
 
@@ -21,8 +21,8 @@
 pub use pool::Pool;
 pub use reply::html;
 pub use reply::json;
-pub use reply::packed;
-pub use reply::packed_short;
+pub use reply::msgpack;
+pub use reply::msgpack_compact;
 pub use reply::refusal;
 pub use reply::svg;
 pub use reply::text;
@@ -30,5 +30,5 @@
 pub use server::Stop;
 pub use server::serve;
 pub use token::credential;
-pub use token::shows_token;
+pub use token::has_token;
 pub use traffic::Traffic;
--- a/crates/harefield/src/adapters/http/pool.rs
+++ b/crates/harefield/src/adapters/http/pool.rs
@@ -19,7 +19,7 @@
 use super::client::connect;
 
 /// The most idle connections kept to one address.
-const MOST_IDLE: usize = 64;
+const MAX_IDLE: usize = 64;
 
 /// Idle connections by address.
 #[derive(Debug, Default)]
@@ -47,7 +47,7 @@
     ) -> Result<(Response<Incoming>, Connection), ClientError> {
         let mut request = request;
         loop {
-            let idle = self.take(address);
+            let idle = self.take_idle(address);
             let reused = idle.is_some();
             let mut connection = match idle {
                 Some(connection) => connection,
@@ -71,31 +71,31 @@
         let opened = connect(executor, address, limit).await;
         self.opening.borrow_mut().remove(&address);
         match opened {
-            Ok(connection) => self.give_back(address, connection),
+            Ok(connection) => self.release(address, connection),
             Err(error) => debug!("no spare connection to {address}: {error:?}"),
         }
     }
 
     /// Keeps a connection whose reply was read whole.
-    pub fn give_back(&self, address: SocketAddr, connection: Connection) {
+    pub fn release(&self, address: SocketAddr, connection: Connection) {
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.entry(address).or_default();
-        if kept.len() < MOST_IDLE {
-            kept.push(connection);
+        let connections = idle.entry(address).or_default();
+        if connections.len() < MAX_IDLE {
+            connections.push(connection);
         }
     }
 
     /// Closes the idle connections to an address.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         if let Some(idle) = self.idle.borrow_mut().remove(&address) {
             debug!("{} idle connections to {address} are closed", idle.len());
         }
     }
 
-    fn take(&self, address: SocketAddr) -> Option<Connection> {
+    fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.get_mut(&address)?;
-        while let Some(connection) = kept.pop() {
+        let connections = idle.get_mut(&address)?;
+        while let Some(connection) = connections.pop() {
             if connection.is_ready() {
                 return Some(connection);
             }
--- a/crates/harefield/src/adapters/http/reply.rs
+++ b/crates/harefield/src/adapters/http/reply.rs
@@ -19,37 +19,37 @@
 /// Makes a JSON reply.
 pub fn json<T: Serialize>(status: u16, value: &T) -> Response<Full<Bytes>> {
     let body = serde_json::to_vec(value).unwrap_or_default();
-    make(status, "application/json", body)
+    reply_with(status, "application/json", body)
 }
 
 /// Makes a `MessagePack` reply.
-pub fn packed<T: Serialize>(value: &T) -> Response<Full<Bytes>> {
+pub fn msgpack<T: Serialize>(value: &T) -> Response<Full<Bytes>> {
     let body = rmp_serde::to_vec_named(value).unwrap_or_default();
-    make(200, "application/msgpack", body)
+    reply_with(200, "application/msgpack", body)
 }
 
 /// Makes a `MessagePack` reply whose fields go by their places.
-pub fn packed_short<T: Serialize>(value: &T) -> Response<Full<Bytes>> {
+pub fn msgpack_compact<T: Serialize>(value: &T) -> Response<Full<Bytes>> {
     let body = rmp_serde::to_vec(value).unwrap_or_default();
-    make(200, "application/msgpack", body)
+    reply_with(200, "application/msgpack", body)
 }
 
 /// Makes a reply that is plain text.
 #[must_use]
 pub fn text(text: &str) -> Response<Full<Bytes>> {
-    make(200, "text/plain; charset=utf-8", text.as_bytes().to_vec())
+    reply_with(200, "text/plain; charset=utf-8", text.as_bytes().to_vec())
 }
 
 /// Makes a reply that is a page.
 #[must_use]
 pub fn html(page: &str) -> Response<Full<Bytes>> {
-    make(200, "text/html; charset=utf-8", page.as_bytes().to_vec())
+    reply_with(200, "text/html; charset=utf-8", page.as_bytes().to_vec())
 }
 
 /// Makes a reply that is a drawing.
 #[must_use]
 pub fn svg(drawing: &str) -> Response<Full<Bytes>> {
-    make(200, "image/svg+xml", drawing.as_bytes().to_vec())
+    reply_with(200, "image/svg+xml", drawing.as_bytes().to_vec())
 }
 
 /// Makes a numbered refusal.
@@ -60,7 +60,7 @@
     json(code.status(), &Refusal { code, message: &message })
 }
 
-fn make(status: u16, kind: &'static str, body: Vec<u8>) -> Response<Full<Bytes>> {
+fn reply_with(status: u16, kind: &'static str, body: Vec<u8>) -> Response<Full<Bytes>> {
     let mut reply = Response::new(bytes(body));
     *reply.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     reply.headers_mut().insert("content-type", hyper::header::HeaderValue::from_static(kind));
--- a/crates/harefield/src/adapters/http/server.rs
+++ b/crates/harefield/src/adapters/http/server.rs
@@ -21,7 +21,7 @@
 use rustix::net::sockopt::set_socket_send_buffer_size;
 use smol_hyper::rt::SmolTimer;
 
-use super::paced::Paced;
+use super::stall_guard::StallGuardedStream;
 use crate::memory::Memory;
 
 /// Bounds on what one connection may take.
@@ -69,7 +69,7 @@
 {
     prepare(stream.get_ref());
     let writer = Rc::new(memory.writer());
-    let stream = Paced::new(stream, memory.stall()).counted_by(Rc::clone(&writer));
+    let stream = StallGuardedStream::new(stream, memory.stall()).with_writer(Rc::clone(&writer));
     let answer = |request| async {
         let reply = handle(request).await;
         let size = reply.body().size_hint().exact().unwrap_or(0);
--- a/crates/harefield/src/adapters/http/paced.rs
+++ b/crates/harefield/src/adapters/http/stall_guard.rs
@@ -24,38 +24,38 @@
 
 /// A peer that takes fewer bytes in the time of a stall takes nothing: the system hands a few
 /// on from time to time though nobody reads them.
-const LEAST_TAKEN: usize = 16 << 10;
+const MIN_PROGRESS: usize = 16 << 10;
 
 /// A stream whose writes must go on.
 ///
 /// It writes several buffers at once: else bodies are copied behind their heads, into a
 /// buffer that the connection then keeps at the size of its largest message.
 #[derive(Debug)]
-pub struct Paced<S> {
+pub struct StallGuardedStream<S> {
     stream: FuturesIo<S>,
     /// How long its peer may take next to nothing.
     stall: Duration,
     /// Runs while the peer takes next to nothing.
     timer: Option<Timer>,
     /// The bytes that were taken since then.
-    taken: usize,
+    written_bytes: usize,
     writer: Option<Rc<Writer>>,
 }
 
-impl<S> Paced<S> {
+impl<S> StallGuardedStream<S> {
     /// Wraps a stream that is ended where its peer takes nothing for `stall`.
     #[must_use]
     pub fn new(stream: S, stall: Duration) -> Self {
-        Self { stream: FuturesIo::new(stream), stall, timer: None, taken: 0, writer: None }
+        Self { stream: FuturesIo::new(stream), stall, timer: None, written_bytes: 0, writer: None }
     }
 
     /// Lets the account of memory end it as well.
     #[must_use]
-    pub fn counted_by(self, writer: Rc<Writer>) -> Self {
+    pub fn with_writer(self, writer: Rc<Writer>) -> Self {
         Self { writer: Some(writer), ..self }
     }
 
-    fn check(&self, context: &Context<'_>) -> Result<()> {
+    fn check_evicted(&self, context: &Context<'_>) -> Result<()> {
         if self.writer.as_ref().is_some_and(|writer| writer.is_ended(context.waker())) {
             info!("a connection whose peer does not read is ended to make room");
             return Err(Error::new(ErrorKind::ConnectionAborted, "ended to make room"));
@@ -64,15 +64,19 @@
     }
 
     /// Takes the result of a write; ends the stream where too little is taken for too long.
-    fn pace(&mut self, context: &mut Context<'_>, written: Poll<Result<usize>>) -> Poll<Result<usize>> {
+    fn check_progress(
+        &mut self,
+        context: &mut Context<'_>,
+        written: Poll<Result<usize>>,
+    ) -> Poll<Result<usize>> {
         if let (Poll::Ready(Ok(bytes)), Some(writer)) = (&written, &self.writer) {
             writer.progress(*bytes);
         }
         if let Poll::Ready(Ok(bytes)) = written {
-            self.taken += bytes;
+            self.written_bytes += bytes;
         }
-        if self.taken >= LEAST_TAKEN || matches!(written, Poll::Ready(Err(_))) {
-            self.rest();
+        if self.written_bytes >= MIN_PROGRESS || matches!(written, Poll::Ready(Err(_))) {
+            self.reset();
             return written;
         }
         let stall = self.stall;
@@ -87,28 +91,28 @@
         if let Some(writer) = &self.writer {
             writer.note_stalled();
         }
-        info!("a connection is ended: its peer took {} bytes in {stall:?}", self.taken);
+        info!("a connection is ended: its peer took {} bytes in {stall:?}", self.written_bytes);
         Poll::Ready(Err(Error::new(ErrorKind::TimedOut, "the peer takes nothing")))
     }
 
     /// Forgets what was taken: all is written, or enough of it was.
-    fn rest(&mut self) {
+    fn reset(&mut self) {
         self.timer = None;
-        self.taken = 0;
+        self.written_bytes = 0;
     }
 }
 
-impl<S: AsyncRead + Unpin> Read for Paced<S> {
+impl<S: AsyncRead + Unpin> Read for StallGuardedStream<S> {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: ReadBufCursor<'_>) -> Poll<Result<()>> {
         Pin::new(&mut self.stream).poll_read(cx, buf)
     }
 }
 
-impl<S: AsyncWrite + Unpin> Write for Paced<S> {
+impl<S: AsyncWrite + Unpin> Write for StallGuardedStream<S> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<Result<usize>> {
-        self.check(cx)?;
+        self.check_evicted(cx)?;
         let written = Pin::new(self.stream.get_mut()).poll_write(cx, buf);
-        self.pace(cx, written)
+        self.check_progress(cx, written)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -120,13 +124,13 @@
         cx: &mut Context<'_>,
         bufs: &[IoSlice<'_>],
     ) -> Poll<Result<usize>> {
-        self.check(cx)?;
+        self.check_evicted(cx)?;
         let written = Pin::new(self.stream.get_mut()).poll_write_vectored(cx, bufs);
-        self.pace(cx, written)
+        self.check_progress(cx, written)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Result<()>> {
-        self.rest();
+        self.reset();
         Pin::new(self.stream.get_mut()).poll_flush(cx)
     }
 
--- a/crates/harefield/src/adapters/http/token.rs
+++ b/crates/harefield/src/adapters/http/token.rs
@@ -7,13 +7,13 @@
 use crate::domain::key::Credential;
 
 /// What a key follows, in any case.
-const KEY_SCHEME: &str = "bearer ";
+const BEARER_SCHEME: &str = "bearer ";
 
 /// Says whether a request shows the token that is asked for, if any.
 ///
 /// The comparison takes the same time whatever is shown.
 #[must_use]
-pub fn shows_token(headers: &HeaderMap, token: Option<&str>) -> bool {
+pub fn has_token(headers: &HeaderMap, token: Option<&str>) -> bool {
     let Some(token) = token else { return true };
     let shown = headers.get("authorization").and_then(|value| value.to_str().ok());
     let shown = shown.and_then(|value| value.strip_prefix("Bearer ")).unwrap_or("");
@@ -28,8 +28,8 @@
         return if headers.contains_key(AUTHORIZATION) { Credential::Malformed } else { Credential::Missing };
     };
     let bytes = value.as_bytes();
-    match bytes.split_at_checked(KEY_SCHEME.len()) {
-        Some((scheme, key)) if scheme.eq_ignore_ascii_case(KEY_SCHEME.as_bytes()) => {
+    match bytes.split_at_checked(BEARER_SCHEME.len()) {
+        Some((scheme, key)) if scheme.eq_ignore_ascii_case(BEARER_SCHEME.as_bytes()) => {
             Credential::of_key(key.trim_ascii())
         }
         _ => Credential::Malformed,
--- a/crates/harefield/src/adapters/http/traffic.rs
+++ b/crates/harefield/src/adapters/http/traffic.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::Ordering;
 
 /// What the heads of a request and its reply come to, about.
-const HEADS: u64 = 300;
+const HEAD_BYTES: u64 = 300;
 
 /// Counts bytes of control messages, shared by a daemon's threads.
 #[derive(Clone, Debug, Default)]
@@ -17,7 +17,7 @@
     /// Counts one request and its reply by the sizes of their bodies.
     pub fn count(&self, request: usize, reply: usize) {
         let bodies = u64::try_from(request + reply).unwrap_or(u64::MAX);
-        self.bytes.fetch_add(bodies + HEADS, Ordering::Relaxed);
+        self.bytes.fetch_add(bodies + HEAD_BYTES, Ordering::Relaxed);
     }
 
     /// Returns the bytes counted since the start.
--- a/crates/harefield/src/adapters/logs.rs
+++ b/crates/harefield/src/adapters/logs.rs
@@ -33,10 +33,10 @@
 const BURST: f64 = 2_000.0;
 
 /// The most bytes written at once; a pipe takes that many whole or not at all.
-const PIECE: usize = 4096;
+const MAX_WRITE: usize = 4096;
 
 /// The pause between writes, so that lines go out together.
-const WRITE_EVERY: Duration = Duration::from_millis(100);
+const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Serialize)]
 struct Line<'a> {
@@ -75,7 +75,7 @@
         }
     });
     fern::Dispatch::new().level(level).chain(ring).apply()?;
-    let writer = Writer { lines, dropped, tokens: BURST, filled: Instant::now() };
+    let writer = Writer { lines, dropped, tokens: BURST, refilled: Instant::now() };
     let started = std::thread::Builder::new().name("log".to_owned()).spawn(move || writer.run());
     if let Err(error) = started {
         eprintln!("no thread for the log, nothing is logged: {error}");
@@ -98,30 +98,30 @@
     lines: Receiver<String>,
     dropped: Arc<AtomicU64>,
     tokens: f64,
-    filled: Instant,
+    refilled: Instant,
 }
 
 impl Writer {
     fn run(mut self) {
         while let Ok(line) = self.lines.recv_blocking() {
-            self.fill();
+            self.refill();
             if self.write_all(line).is_err() {
                 // Nobody reads any more; the ring fills up and is counted.
                 return;
             }
-            std::thread::sleep(WRITE_EVERY);
+            std::thread::sleep(WRITE_INTERVAL);
         }
     }
 
     /// Writes a line and all others that wait, in pieces of whole lines.
     fn write_all(&mut self, first: String) -> std::io::Result<()> {
-        let mut text = String::with_capacity(PIECE);
+        let mut text = String::with_capacity(MAX_WRITE);
         let mut next = Some(first);
         while let Some(line) = next {
-            if !text.is_empty() && text.len() + line.len() >= PIECE {
-                write_piece(&mut text)?;
+            if !text.is_empty() && text.len() + line.len() >= MAX_WRITE {
+                write_chunk(&mut text)?;
             }
-            self.take(&line, &mut text);
+            self.append(&line, &mut text);
             next = self.lines.try_recv().ok();
         }
         let dropped = self.dropped.swap(0, Ordering::Relaxed);
@@ -130,17 +130,17 @@
             text.push_str(&serde_json::to_string(&line).unwrap_or_default());
             text.push('\n');
         }
-        write_piece(&mut text)
+        write_chunk(&mut text)
     }
 
-    fn fill(&mut self) {
+    fn refill(&mut self) {
         let now = Instant::now();
-        let earned = now.saturating_duration_since(self.filled).as_secs_f64() * LINES_PER_SECOND;
+        let earned = now.saturating_duration_since(self.refilled).as_secs_f64() * LINES_PER_SECOND;
         self.tokens = (self.tokens + earned).min(BURST);
-        self.filled = now;
+        self.refilled = now;
     }
 
-    fn take(&mut self, line: &str, text: &mut String) {
+    fn append(&mut self, line: &str, text: &mut String) {
         if self.tokens < 1.0 {
             self.dropped.fetch_add(1, Ordering::Relaxed);
             return;
@@ -151,7 +151,7 @@
     }
 }
 
-fn write_piece(text: &mut String) -> std::io::Result<()> {
+fn write_chunk(text: &mut String) -> std::io::Result<()> {
     let written = std::io::stdout().lock().write_all(text.as_bytes());
     text.clear();
     written
--- a/crates/harefield/src/adapters/metrics.rs
+++ b/crates/harefield/src/adapters/metrics.rs
@@ -32,10 +32,10 @@
 
 /// How many lookups have times of their own; the rest share one, so that a
 /// configuration with many routes does not grow what is kept and served.
-const MOST_LOOKUPS: usize = 40;
+const MAX_LOOKUPS: usize = 40;
 
 /// The name under which further lookups are counted.
-const OTHERS: &str = "others";
+const OTHER_LOOKUPS: &str = "others";
 
 /// The name of requests that every shard contributed to.
 const WHOLE: &str = "whole";
@@ -156,7 +156,7 @@
     }
 
     /// Takes one event of the time line.
-    pub fn take(&self, event: &Event) {
+    pub fn record(&self, event: &Event) {
         match event {
             Event::Answered { lookup, outcome, code, missing, micros, .. } => {
                 let name = outcome_name(*outcome, *missing);
@@ -212,8 +212,8 @@
         if known.contains(lookup) {
             return Lookup { lookup: lookup.to_owned() };
         }
-        if known.len() >= MOST_LOOKUPS {
-            return Lookup { lookup: OTHERS.to_owned() };
+        if known.len() >= MAX_LOOKUPS {
+            return Lookup { lookup: OTHER_LOOKUPS.to_owned() };
         }
         known.insert(lookup.to_owned());
         Lookup { lookup: lookup.to_owned() }
--- a/crates/harefield/src/adapters/opaque.rs
+++ b/crates/harefield/src/adapters/opaque.rs
@@ -40,8 +40,8 @@
     pub fn new(answer: &Answer) -> Self {
         let bytes = |part: &Part| Some((Arc::clone(&part.shard), (**part.reply.bytes()?).clone()));
         let mut parts: Vec<(ShardId, ByteReply)> = answer.results.iter().filter_map(bytes).collect();
-        if let Some(most) = answer.merge {
-            merge(&mut parts, most);
+        if let Some(limit) = answer.merge {
+            merge(&mut parts, limit);
         }
         Self {
             outcome: answer.outcome,
@@ -74,8 +74,8 @@
 }
 
 /// Merges the records of all parts into the first, which alone carries any then.
-fn merge(parts: &mut [(ShardId, ByteReply)], most: usize) {
-    let mut records = Bytes::from(greatest(parts.iter().map(|(_, reply)| &*reply.body), most));
+fn merge(parts: &mut [(ShardId, ByteReply)], limit: usize) {
+    let mut records = Bytes::from(greatest(parts.iter().map(|(_, reply)| &*reply.body), limit));
     for (_, reply) in parts {
         reply.headers.clear();
         reply.body = std::mem::take(&mut records);
--- a/crates/harefield/src/adapters/operators/fleet.rs
+++ b/crates/harefield/src/adapters/operators/fleet.rs
@@ -18,11 +18,11 @@
 const ANSWER_LIMIT: Duration = Duration::from_secs(2);
 
 /// The most bytes of another daemon's answer.
-const MOST_REPLY: usize = 64 << 20;
+const MAX_REPLY_BYTES: usize = 64 << 20;
 
 /// Events of the fleet, merged by hybrid logical time.
 #[derive(Debug, Serialize)]
-pub(super) struct Gathered {
+pub(super) struct FleetEvents {
     /// The operators' addresses that did not answer.
     pub silent: Vec<SocketAddr>,
     /// The events.
@@ -39,61 +39,62 @@
 }
 
 /// What was gathered from the other daemons.
-struct Answers<T> {
+struct FleetReplies<T> {
     silent: Vec<SocketAddr>,
     answers: Vec<T>,
 }
 
 impl Operators {
     /// Gathers the selected events of the fleet.
-    pub(super) async fn gather(&self, filter: &Filter) -> Gathered {
+    pub(super) async fn fleet_events(&self, filter: &Filter) -> FleetEvents {
         let query = serde_urlencoded::to_string(filter).unwrap_or_default();
-        let others: Answers<Vec<Record>> = self.ask_others(&format!("/v1/timeline?{query}")).await;
+        let others: FleetReplies<Vec<Record>> = self.query_peers(&format!("/v1/timeline?{query}")).await;
         let mut records = self.board.store().select(filter);
         records.extend(others.answers.into_iter().flatten());
         records.sort_by(|a, b| (a.stamp, &a.host).cmp(&(b.stamp, &b.host)));
-        Gathered { silent: others.silent, records }
+        FleetEvents { silent: others.silent, records }
     }
 
     /// Gathers every daemon's account of itself.
     pub(super) async fn fleet_status(&self) -> FleetStatus {
-        let others: Answers<Status> = self.ask_others("/v1/status").await;
+        let others: FleetReplies<Status> = self.query_peers("/v1/status").await;
         let mut daemons = vec![self.board.status().clone()];
         daemons.extend(others.answers);
         FleetStatus { silent: others.silent, daemons }
     }
 
     /// Asks every other known daemon, at once.
-    async fn ask_others<T: DeserializeOwned + 'static>(&self, path: &str) -> Answers<T> {
-        let addresses = self.others();
-        let asked = addresses.iter().map(|address| {
+    async fn query_peers<T: DeserializeOwned + 'static>(&self, path: &str) -> FleetReplies<T> {
+        let addresses = self.peer_addresses();
+        let queries = addresses.iter().map(|address| {
             let (this, address, path) = (self.clone(), *address, path.to_owned());
-            self.executor.spawn(async move { this.ask(address, &path).await })
+            self.executor.spawn(async move { this.query(address, &path).await })
         });
-        let tasks: Vec<_> = asked.collect();
-        let mut found = Answers { silent: Vec::new(), answers: Vec::new() };
+        let tasks: Vec<_> = queries.collect();
+        let mut replies = FleetReplies { silent: Vec::new(), answers: Vec::new() };
         for (address, task) in addresses.into_iter().zip(tasks) {
             match task.await {
-                Some(answer) => found.answers.push(answer),
-                None => found.silent.push(address),
+                Some(answer) => replies.answers.push(answer),
+                None => replies.silent.push(address),
             }
         }
-        found
+        replies
     }
 
-    fn others(&self) -> Vec<SocketAddr> {
+    fn peer_addresses(&self) -> Vec<SocketAddr> {
         let status = self.board.status();
         let others = status.peers.iter().filter(|row| row.host != status.host);
         others.filter_map(|row| row.operators.parse().ok()).collect()
     }
 
-    async fn ask<T: DeserializeOwned>(&self, address: SocketAddr, path: &str) -> Option<T> {
+    async fn query<T: DeserializeOwned>(&self, address: SocketAddr, path: &str) -> Option<T> {
         let mut request = Request::get(path).header("host", address.to_string());
         if let Some(token) = &self.token {
             request = request.header("authorization", format!("Bearer {token}"));
         }
         let request = request.body(Full::default()).ok()?;
-        let reply = http::exchange(&self.executor, address, request, MOST_REPLY, ANSWER_LIMIT).await.ok()?;
+        let reply =
+            http::exchange(&self.executor, address, request, MAX_REPLY_BYTES, ANSWER_LIMIT).await.ok()?;
         serde_json::from_slice(reply.body()).ok()
     }
 }
--- a/crates/harefield/src/adapters/operators/mod.rs
+++ b/crates/harefield/src/adapters/operators/mod.rs
@@ -37,17 +37,17 @@
 const PAGE: &str = include_str!("page.html");
 
 /// The most bytes of a resource set to check.
-const MOST_BODY: usize = 64 << 20;
+const MAX_BODY_BYTES: usize = 64 << 20;
 
 /// A resource set as a file or a request holds it.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct SetFile {
+pub struct ResourceFile {
     /// The values by key.
     pub items: BTreeMap<Key, Box<RawValue>>,
 }
 
-impl SetFile {
+impl ResourceFile {
     /// Checks the set.
     ///
     /// # Errors
@@ -62,7 +62,7 @@
 
 /// The result of a check.
 #[derive(Debug, Serialize)]
-struct Checked {
+struct CheckResult {
     accepted: bool,
     faults: Vec<ResourceError>,
 }
@@ -95,12 +95,12 @@
             }
             _ => {}
         }
-        if !http::shows_token(&head.headers, self.token.as_deref()) {
+        if !http::has_token(&head.headers, self.token.as_deref()) {
             return http::refusal(Code::TokenRequired, "");
         }
         let query = head.uri.query().unwrap_or("");
         match (&method, path.as_str()) {
-            (&Method::POST, "/v1/check") => match http::read(incoming, MOST_BODY).await {
+            (&Method::POST, "/v1/check") => match http::read(incoming, MAX_BODY_BYTES).await {
                 Ok(body) => check(&body),
                 Err(_error) => http::refusal(Code::BodyTooLarge, ""),
             },
@@ -146,24 +146,24 @@
 
     async fn fleet_timeline(&self, query: &str) -> Response<Full<Bytes>> {
         match serde_urlencoded::from_str::<Filter>(query) {
-            Ok(filter) => http::json(200, &self.gather(&filter).await),
+            Ok(filter) => http::json(200, &self.fleet_events(&filter).await),
             Err(error) => http::refusal(Code::BadField, &error.to_string()),
         }
     }
 
     async fn fleet_waterfall(&self, query: &str) -> Response<Full<Bytes>> {
         match serde_urlencoded::from_str::<Filter>(query) {
-            Ok(filter) => http::svg(&waterfall(&self.gather(&filter).await.records)),
+            Ok(filter) => http::svg(&waterfall(&self.fleet_events(&filter).await.records)),
             Err(error) => http::refusal(Code::BadField, &error.to_string()),
         }
     }
 }
 
 fn check(body: &Bytes) -> Response<Full<Bytes>> {
-    let file: SetFile = match serde_json::from_slice(body) {
+    let file: ResourceFile = match serde_json::from_slice(body) {
         Ok(file) => file,
         Err(error) => return http::refusal(Code::MalformedBody, &error.to_string()),
     };
     let faults = file.check().err().unwrap_or_default();
-    http::json(200, &Checked { accepted: faults.is_empty(), faults })
+    http::json(200, &CheckResult { accepted: faults.is_empty(), faults })
 }
--- a/crates/harefield/src/adapters/operators/resources.rs
+++ b/crates/harefield/src/adapters/operators/resources.rs
@@ -27,10 +27,10 @@
 use crate::telemetry::UpstreamStatus;
 
 /// The longest wait of a watch.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
 /// How often a waiting watch looks for a newer revision.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What is asked of a listing.
 #[derive(Clone, Debug, Default, Deserialize)]
@@ -89,9 +89,9 @@
     }
 
     async fn await_revision(&self, selection: &Selection) {
-        let until = Instant::now() + Duration::from_millis(selection.wait_ms).min(LONGEST_WAIT);
+        let until = Instant::now() + Duration::from_millis(selection.wait_ms).min(MAX_WAIT);
         while Instant::now() < until && self.board.status().config.revision <= selection.after {
-            Timer::after(LOOK_EVERY).await;
+            Timer::after(POLL_INTERVAL).await;
         }
     }
 
@@ -101,14 +101,14 @@
         let status = self.board.status().clone();
         let observed = observe(&status);
         let mut items = match kind {
-            "services" => make(
+            "services" => make_items(
                 kind,
                 &set.services,
-                |_, service| json!({ "without-replica": bare(&service.shards, &observed) }),
+                |_, service| json!({ "without-replica": unserved_shards(&service.shards, &observed) }),
             ),
-            "upstreams" => make(kind, &set.upstreams, |name, _| condition(observed.get(name).copied())),
-            "indexes" => make(kind, &set.indexes, |_, _| json!({})),
-            "lookups" => make(kind, &set.lookups, |name, _| json!(status.lookups.get(&**name))),
+            "upstreams" => make_items(kind, &set.upstreams, |name, _| condition(observed.get(name).copied())),
+            "indexes" => make_items(kind, &set.indexes, |_, _| json!({})),
+            "lookups" => make_items(kind, &set.lookups, |name, _| json!(status.lookups.get(&**name))),
             "accounts" => self.accounts(&set),
             "hosts" => hosts(&status),
             _ => return None,
@@ -133,7 +133,7 @@
     }
 }
 
-fn make<T: Serialize>(
+fn make_items<T: Serialize>(
     kind: &str,
     resources: &BTreeMap<Arc<str>, Arc<T>>,
     conditions: impl Fn(&Arc<str>, &T) -> Value,
@@ -179,9 +179,9 @@
 }
 
 /// Returns the shards that have no replica which takes new work.
-fn bare(shards: &BTreeMap<Arc<str>, Vec<UpstreamId>>, observed: &Observed<'_>) -> Vec<String> {
-    let takes_work = |name: &UpstreamId| observed.get(name).is_none_or(|upstream| !upstream.leaving);
-    let without = shards.iter().filter(|(_, replicas)| !replicas.iter().any(takes_work));
+fn unserved_shards(shards: &BTreeMap<Arc<str>, Vec<UpstreamId>>, observed: &Observed<'_>) -> Vec<String> {
+    let accepts_work = |name: &UpstreamId| observed.get(name).is_none_or(|upstream| !upstream.leaving);
+    let without = shards.iter().filter(|(_, replicas)| !replicas.iter().any(accepts_work));
     without.map(|(shard, _)| shard.to_string()).collect()
 }
 
--- a/crates/harefield/src/adapters/peer_server.rs
+++ b/crates/harefield/src/adapters/peer_server.rs
@@ -25,7 +25,7 @@
 use super::peers::GROUP_PATH;
 use super::peers::PERMITS_PATH;
 use super::peers::PULL_PATH;
-use super::peers::Travelling;
+use super::peers::WireAnswer;
 use crate::domain::buffers::Use;
 use crate::domain::code::Code;
 use crate::domain::key::Credential;
@@ -46,7 +46,7 @@
 use crate::ports::Upstreams;
 
 /// The most bytes of a message from a peer.
-const MOST_MESSAGE: usize = 8 << 20;
+const MAX_MESSAGE_BYTES: usize = 8 << 20;
 
 /// What the peers' address needs besides a worker.
 #[derive(Clone, Debug)]
@@ -68,13 +68,13 @@
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
     let (head, incoming) = request.into_parts();
-    if !http::shows_token(&head.headers, server.token.as_deref()) {
+    if !http::has_token(&head.headers, server.token.as_deref()) {
         return http::refusal(Code::TokenRequired, "");
     }
     if head.method != Method::POST {
         return http::refusal(Code::WrongMethod, "");
     }
-    let body = match http::read_counted(incoming, MOST_MESSAGE, &server.memory, Use::Messages).await {
+    let body = match http::read_counted(incoming, MAX_MESSAGE_BYTES, &server.memory, Use::Messages).await {
         Ok(body) => body,
         Err(BodyError::NoRoom) => return http::refusal(Code::NoRoom, ""),
         Err(_error) => return http::refusal(Code::BodyTooLarge, ""),
@@ -94,10 +94,10 @@
         GROUP_PATH => group(worker, body).await,
         PERMITS_PATH => permits(worker, body),
         EXCHANGE_PATH => {
-            ask_control(server, body, |said: Exchange, reply| ToControl::Exchange(Box::new(said), reply))
+            query_control(server, body, |said: Exchange, reply| ToControl::Exchange(Box::new(said), reply))
                 .await
         }
-        PULL_PATH => ask_control(server, body, |pull: Pull, reply| ToControl::Pull(pull, reply)).await,
+        PULL_PATH => query_control(server, body, |pull: Pull, reply| ToControl::Pull(pull, reply)).await,
         _ => http::refusal(Code::UnknownPath, ""),
     }
 }
@@ -112,17 +112,17 @@
     };
     let opaque = message.opaque.is_some();
     worker.hear_reports(&message.suspects);
-    let answer = worker.lookup(handed_request(message)).await;
+    let answer = worker.lookup(forwarded_request(message)).await;
     let answer = if opaque {
-        Travelling::Opaque(Box::new(OpaqueAnswer::new(&answer)))
+        WireAnswer::Opaque(Box::new(OpaqueAnswer::new(&answer)))
     } else {
-        Travelling::Json(ByteBuf::from(serde_json::to_vec(&answer).unwrap_or_default()))
+        WireAnswer::Json(ByteBuf::from(serde_json::to_vec(&answer).unwrap_or_default()))
     };
     // A newer edition may have come into force while the request ran: that is safe to say.
-    http::packed_short(&ForwardReply { stamp: worker.stamp(), edition: worker.edition(), answer })
+    http::msgpack_compact(&ForwardReply { stamp: worker.stamp(), edition: worker.edition(), answer })
 }
 
-fn handed_request(message: Forward) -> LookupRequest {
+fn forwarded_request(message: Forward) -> LookupRequest {
     let terms = Terms {
         gather: message.gather.map(Duration::from_micros),
         edition: message.edition,
@@ -149,7 +149,7 @@
     body: &Bytes,
 ) -> Response<Full<Bytes>> {
     match rmp_serde::from_slice::<Group>(body) {
-        Ok(message) => http::packed_short(&worker.group(message).await),
+        Ok(message) => http::msgpack_compact(&worker.group(message).await),
         Err(error) => http::refusal(Code::MalformedBody, &error.to_string()),
     }
 }
@@ -159,13 +159,13 @@
     body: &Bytes,
 ) -> Response<Full<Bytes>> {
     match rmp_serde::from_slice::<PermitAsk>(body) {
-        Ok(message) => http::packed_short(&worker.grant(&message)),
+        Ok(message) => http::msgpack_compact(&worker.grant(&message)),
         Err(error) => http::refusal(Code::MalformedBody, &error.to_string()),
     }
 }
 
 /// Hands a message to the control duty and answers with its reply.
-async fn ask_control<M, R>(
+async fn query_control<M, R>(
     server: &PeerServer,
     body: &Bytes,
     wrap: impl FnOnce(M, Sender<R>) -> ToControl,
@@ -184,7 +184,7 @@
     }
     match receiver.recv().await {
         Ok(reply) => {
-            let made = http::packed(&reply);
+            let made = http::msgpack(&reply);
             let size = hyper::body::Body::size_hint(made.body()).exact().unwrap_or(0);
             server.traffic.count(body.len(), usize::try_from(size).unwrap_or(usize::MAX));
             made
--- a/crates/harefield/src/adapters/peers.rs
+++ b/crates/harefield/src/adapters/peers.rs
@@ -55,7 +55,7 @@
 pub const PERMITS_PATH: &str = "/v1/permits";
 
 /// The most bytes of a peer's reply.
-const MOST_REPLY: usize = 64 << 20;
+const MAX_REPLY_BYTES: usize = 64 << 20;
 
 /// How long after a group leaves a spare connection to its daemon is opened, where none
 /// is left: the group itself goes first.
@@ -73,13 +73,13 @@
 pub(super) struct ForwardReply {
     pub stamp: Stamp,
     pub edition: Edition,
-    pub answer: Travelling,
+    pub answer: WireAnswer,
 }
 
 /// An answer between two daemons: JSON where it holds JSON replies as they were
 /// sent, else what there is of opaque ones.
 #[derive(Debug, Serialize, Deserialize)]
-pub(super) enum Travelling {
+pub(super) enum WireAnswer {
     Json(ByteBuf),
     Opaque(Box<OpaqueAnswer>),
 }
@@ -96,17 +96,17 @@
 
 /// A call under way. Where it ends unanswered after a while, the idle connections to
 /// its daemon go too: they may be as silent as its own, and new ones may work.
-struct Unanswered<'a> {
+struct PendingCall<'a> {
     pool: &'a Pool,
     address: SocketAddr,
     since: Instant,
-    settled: bool,
+    resolved: bool,
 }
 
-impl Drop for Unanswered<'_> {
+impl Drop for PendingCall<'_> {
     fn drop(&mut self) {
-        if !self.settled && self.since.elapsed() >= SUSPECT_AFTER {
-            self.pool.forget(self.address);
+        if !self.resolved && self.since.elapsed() >= SUSPECT_AFTER {
+            self.pool.close_idle(self.address);
         }
     }
 }
@@ -136,13 +136,13 @@
             Err(PeerError::Silent)
         };
         let address: SocketAddr = host.parse().map_err(|_error| PeerError::Unreachable)?;
-        let mut unanswered = Unanswered { pool: &self.pool, address, since: Instant::now(), settled: false };
-        let reply = self.converse(address, self.request(host, path, body)?, limit).or(expired).await;
-        unanswered.settled = !matches!(reply, Err(PeerError::Silent));
+        let mut pending = PendingCall { pool: &self.pool, address, since: Instant::now(), resolved: false };
+        let reply = self.round_trip(address, self.request(host, path, body)?, limit).or(expired).await;
+        pending.resolved = !matches!(reply, Err(PeerError::Silent));
         reply
     }
 
-    async fn converse<R: DeserializeOwned>(
+    async fn round_trip<R: DeserializeOwned>(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
@@ -155,9 +155,9 @@
             ClientError::Lost => PeerError::Silent,
         })?;
         let status = reply.status();
-        let whole = http::read_counted(reply.into_body(), MOST_REPLY, &self.memory, Use::Messages).await;
+        let whole = http::read_counted(reply.into_body(), MAX_REPLY_BYTES, &self.memory, Use::Messages).await;
         let whole = whole.map_err(|_error| PeerError::Silent)?;
-        self.pool.give_back(address, connection);
+        self.pool.release(address, connection);
         match status {
             StatusCode::OK => {}
             StatusCode::SERVICE_UNAVAILABLE => return Err(PeerError::Unreachable),
@@ -203,8 +203,8 @@
     ) -> Result<Forwarded, PeerError> {
         let (reply, _size): (ForwardReply, _) = self.call(host, FORWARD_PATH, pack(message)?, limit).await?;
         let answer = match reply.answer {
-            Travelling::Json(json) => serde_json::from_slice(&json).map_err(|_error| PeerError::Silent)?,
-            Travelling::Opaque(answer) => answer.into_answer(&message.request),
+            WireAnswer::Json(json) => serde_json::from_slice(&json).map_err(|_error| PeerError::Silent)?,
+            WireAnswer::Opaque(answer) => answer.into_answer(&message.request),
         };
         Ok(Forwarded { answer, stamp: reply.stamp, edition: reply.edition })
     }
--- a/crates/harefield/src/adapters/platform.rs
+++ b/crates/harefield/src/adapters/platform.rs
@@ -11,9 +11,9 @@
 use serde_json::value::RawValue;
 
 use super::http::Traffic;
-use super::reading::Answers;
 use super::reading::JsonReader;
 use super::reading::READ_LIMIT;
+use super::reading::ReplyFormat;
 use super::reading::deltas;
 use super::reading::watch_limit;
 use crate::domain::feed::Change;
@@ -70,7 +70,9 @@
     /// Creates the adapter on one thread's executor; `traffic` counts its bytes.
     #[must_use]
     pub fn new(executor: Rc<LocalExecutor<'static>>, traffic: Traffic) -> Self {
-        Self { reader: JsonReader::new(executor, traffic, Answers { gone: &[StatusCode::GONE], era: None }) }
+        Self {
+            reader: JsonReader::new(executor, traffic, ReplyFormat { gone: &[StatusCode::GONE], era: None }),
+        }
     }
 }
 
--- a/crates/harefield/src/adapters/reading.rs
+++ b/crates/harefield/src/adapters/reading.rs
@@ -24,7 +24,7 @@
 
 /// The most bytes of one reply: a page holds about a megabyte of values, in the
 /// users' store as a text that is a third longer.
-const MOST_REPLY: usize = 8 << 20;
+const MAX_REPLY_BYTES: usize = 8 << 20;
 
 /// How long a read may take, beyond the wait of a watch; the users' store answers
 /// in 4 ms as a rule, and in some 240 ms where it is slow.
@@ -45,12 +45,12 @@
 pub struct JsonReader {
     executor: Rc<LocalExecutor<'static>>,
     traffic: Traffic,
-    answers: Answers,
+    format: ReplyFormat,
 }
 
 /// An answer, and the era that it is of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Told<R> {
+pub struct StoreReply<R> {
     /// The era.
     pub era: Era,
     /// What stands there; none where it is gone.
@@ -59,7 +59,7 @@
 
 /// What a platform's answers look like.
 #[derive(Clone, Copy, Debug)]
-pub struct Answers {
+pub struct ReplyFormat {
     /// The statuses that say that there is nothing to read.
     pub gone: &'static [StatusCode],
     /// The header that names the era, where there is one.
@@ -69,13 +69,13 @@
 impl JsonReader {
     /// Creates a reader on one thread's executor; `traffic` counts its bytes.
     #[must_use]
-    pub fn new(executor: Rc<LocalExecutor<'static>>, traffic: Traffic, answers: Answers) -> Self {
-        Self { executor, traffic, answers }
+    pub fn new(executor: Rc<LocalExecutor<'static>>, traffic: Traffic, format: ReplyFormat) -> Self {
+        Self { executor, traffic, format }
     }
 
     /// Reads the era of an answer; the first of a platform that names none.
     fn era_of(&self, headers: &HeaderMap) -> Result<Era, PlatformError> {
-        let Some(value) = self.answers.era.and_then(|name| headers.get(name)) else { return Ok(0) };
+        let Some(value) = self.format.era.and_then(|name| headers.get(name)) else { return Ok(0) };
         let era = value.to_str().ok().and_then(|text| text.trim().parse().ok());
         era.ok_or_else(|| PlatformError::Malformed(format!("{value:?} is no era")))
     }
@@ -91,21 +91,21 @@
         copy: SocketAddr,
         path: &str,
         limit: Duration,
-    ) -> Result<Told<R>, PlatformError> {
+    ) -> Result<StoreReply<R>, PlatformError> {
         let request = Request::get(path).header("host", copy.to_string()).body(Full::default());
         let request = request.map_err(|error| PlatformError::Malformed(error.to_string()))?;
-        let reply = http::exchange(&self.executor, copy, request, MOST_REPLY, limit).await;
+        let reply = http::exchange(&self.executor, copy, request, MAX_REPLY_BYTES, limit).await;
         let reply = reply.map_err(|_error| PlatformError::Unreachable)?;
         self.traffic.count(0, reply.body().len());
         let era = self.era_of(reply.headers())?;
         match reply.status() {
             StatusCode::OK => {}
-            status if self.answers.gone.contains(&status) => return Ok(Told { era, body: None }),
+            status if self.format.gone.contains(&status) => return Ok(StoreReply { era, body: None }),
             _ => return Err(PlatformError::TurnedAway(era)),
         }
         let parsed = serde_json::from_slice(reply.body());
-        let told = parsed.map(|body| Told { era, body: Some(body) });
-        told.map_err(|error| PlatformError::Malformed(error.to_string()))
+        let reply = parsed.map(|body| StoreReply { era, body: Some(body) });
+        reply.map_err(|error| PlatformError::Malformed(error.to_string()))
     }
 }
 
--- a/crates/harefield/src/adapters/settings/load.rs
+++ b/crates/harefield/src/adapters/settings/load.rs
@@ -13,7 +13,7 @@
 
 /// The part of the host's memory that is held for others: the daemon's own state, its
 /// connections and what its allocator keeps take the rest.
-const HELD_PART: u32 = 4;
+const HELD_DIVISOR: u32 = 4;
 
 /// Every fault of a settings file, with its place.
 #[derive(Debug, thiserror::Error)]
@@ -69,7 +69,7 @@
     /// Returns every fault of the text at once, each with its place.
     pub fn parse(name: &str, text: &str) -> Result<Self, SettingsError> {
         let mut labels = Vec::new();
-        let settings = parse_past_faults(text, &mut labels);
+        let settings = parse_lenient(text, &mut labels);
         for fault in settings.faults() {
             labels.push(LabeledSpan::at(0..0, fault));
         }
@@ -82,7 +82,7 @@
 
     fn faults(&self) -> Vec<String> {
         let limits = &self.limits;
-        let stated = [
+        let checks = [
             (self.host.zone.is_empty(), "host.zone is required"),
             (self.platform.addresses.is_empty(), "platform.addresses needs at least one address"),
             (self.platform.apply_ms < 500, "platform.apply-ms must be at least 500"),
@@ -120,7 +120,7 @@
             ),
             (self.events.keep == 0, "events.keep must be at least 1"),
         ];
-        stated.iter().filter(|(bad, _)| *bad).map(|(_, text)| (*text).to_owned()).collect()
+        checks.iter().filter(|(bad, _)| *bad).map(|(_, text)| (*text).to_owned()).collect()
     }
 
     /// Returns how large cells may be.
@@ -132,7 +132,7 @@
     /// Returns how many bytes may be held for callers, upstreams and other daemons.
     #[must_use]
     pub fn held_limit(&self) -> usize {
-        let megabytes = self.limits.held_mb.unwrap_or(self.host.memory_mb / HELD_PART);
+        let megabytes = self.limits.held_mb.unwrap_or(self.host.memory_mb / HELD_DIVISOR);
         usize::try_from(megabytes).unwrap_or(usize::MAX).saturating_mul(1 << 20)
     }
 
@@ -144,10 +144,10 @@
 }
 
 /// Parses a text, noting each fault and blanking its line, until the rest parses.
-fn parse_past_faults(text: &str, labels: &mut Vec<LabeledSpan>) -> Settings {
-    const MOST_FAULTS: usize = 50;
+fn parse_lenient(text: &str, labels: &mut Vec<LabeledSpan>) -> Settings {
+    const MAX_FAULTS: usize = 50;
     let mut rest = text.to_owned();
-    while labels.len() < MOST_FAULTS {
+    while labels.len() < MAX_FAULTS {
         let error = match toml::from_str::<Settings>(&rest) {
             Ok(settings) => return settings,
             Err(error) => error,
--- a/crates/harefield/src/adapters/settings/sections.rs
+++ b/crates/harefield/src/adapters/settings/sections.rs
@@ -153,7 +153,7 @@
 impl PlatformSettings {
     /// Returns within which time whatever is confirmed is to be in force.
     #[must_use]
-    pub fn in_force(&self) -> Duration {
+    pub fn apply_limit(&self) -> Duration {
         let soonest = self.evacuate_ms.map_or(self.apply_ms, |evacuate| evacuate.min(self.apply_ms));
         Duration::from_millis(soonest)
     }
@@ -339,7 +339,7 @@
     /// Returns how old what a daemon holds may be for keys to open anything; none where that
     /// is not asked for.
     #[must_use]
-    pub fn proof_limit(&self) -> Option<Duration> {
+    pub fn max_proof_age(&self) -> Option<Duration> {
         self.strict.then(|| Duration::from_millis(self.revoke_ms))
     }
 }
--- a/crates/harefield/src/adapters/upstreams/mod.rs
+++ b/crates/harefield/src/adapters/upstreams/mod.rs
@@ -1,5 +1,5 @@
 //! The upstreams by HTTP: one pool of connections a searcher, owned by one
-//! worker; what is said on them is a [`Protocol`].
+//! worker; what is value_text on them is a [`Protocol`].
 
 mod pool;
 mod protocol;
@@ -21,8 +21,8 @@
 use hyper::body::Incoming;
 use hyper::header::HeaderMap;
 
+use self::pool::ConnectionSlot;
 use self::pool::Pool;
-use self::pool::Seat;
 use super::http;
 use super::http::Connection;
 use crate::domain::buffers::Use;
@@ -37,7 +37,7 @@
 use crate::ports::Place;
 use crate::ports::Upstreams;
 
-pub use self::protocol::OwnProtocol;
+pub use self::protocol::JsonProtocol;
 
 /// A request without a reply for this long may be on a silent connection: replies take a
 /// tenth of it, and some tenths from upstreams that are slow or pause.
@@ -45,14 +45,14 @@
 
 /// How long a look whether an upstream has ended may take; within the time in which a
 /// connection is given up, since one that is not answered says nothing.
-const LOOK_LIMIT: Duration = Duration::from_millis(400);
+const CONNECT_CHECK_LIMIT: Duration = Duration::from_millis(400);
 
 /// The most bytes of one shard's reply.
-const MOST_REPLY: usize = 4 << 20;
+const MAX_REPLY_BYTES: usize = 4 << 20;
 
 /// What a reply amounts to.
 #[derive(Debug)]
-pub struct Reading {
+pub struct ParsedReply {
     /// How the call ended.
     pub end: CallEnd,
     /// Whether the connection may carry another request.
@@ -65,7 +65,7 @@
     fn request(&self, call: &Call) -> Request<Full<Bytes>>;
 
     /// Reads a whole reply.
-    fn read(&self, call: &Call, reply: Response<Bytes>) -> Reading;
+    fn read(&self, call: &Call, reply: Response<Bytes>) -> ParsedReply;
 
     /// Reads what the head of a reply says of the upstream.
     fn report(&self, headers: &HeaderMap) -> Report;
@@ -100,7 +100,7 @@
 
     /// Sends on an idle connection first; one found dead before a byte was
     /// written is replaced by a new one.
-    async fn converse(&self, call: &Call, permit: impl Fn() -> bool) -> CallEnd {
+    async fn send_call(&self, call: &Call, permit: impl Fn() -> bool) -> CallEnd {
         let mut request = self.protocol.request(call);
         loop {
             let idle = self.take_idle(&call.place);
@@ -109,16 +109,16 @@
                 Some(held) => Ok(held),
                 None => self.open(&call.place, call.share).await,
             };
-            let (seat, mut connection) = match opened {
+            let (slot, mut connection) = match opened {
                 Ok(held) => held,
                 Err(why) => return unsent(why),
             };
             if !permit() {
-                seat.give_back(connection);
+                slot.release(connection);
                 return unsent(Gap::Unconfirmed);
             }
             match connection.send(request).await {
-                Ok(reply) => return self.finish(call, seat, connection, reply).await,
+                Ok(reply) => return self.finish(call, slot, connection, reply).await,
                 Err(Some(unwritten)) if reused => request = unwritten,
                 Err(Some(_unwritten)) => return unsent(Gap::Unreachable),
                 Err(None) => return lost(Gap::ReplyLost, Report::default()),
@@ -129,26 +129,26 @@
     async fn finish(
         &self,
         call: &Call,
-        seat: Seat,
+        slot: ConnectionSlot,
         connection: Connection,
         reply: Response<Incoming>,
     ) -> CallEnd {
         let (head, body) = reply.into_parts();
-        let Ok(whole) = http::read_counted(body, MOST_REPLY, &self.memory, Use::Replies).await else {
+        let Ok(whole) = http::read_counted(body, MAX_REPLY_BYTES, &self.memory, Use::Replies).await else {
             return lost(Gap::ReplyLost, self.protocol.report(&head.headers));
         };
         let closes = closes(&head.headers);
         let reading = self.protocol.read(call, Response::from_parts(head, whole));
         if reading.keep && !closes {
-            seat.give_back(connection);
+            slot.release(connection);
         }
         reading.end
     }
 }
 
 fn closes(headers: &HeaderMap) -> bool {
-    let said = headers.get(hyper::header::CONNECTION).and_then(|value| value.to_str().ok());
-    said.is_some_and(|value| value.eq_ignore_ascii_case("close"))
+    let value_text = headers.get(hyper::header::CONNECTION).and_then(|value| value.to_str().ok());
+    value_text.is_some_and(|value| value.eq_ignore_ascii_case("close"))
 }
 
 impl<W: Protocol> Upstreams for HttpUpstreams<W> {
@@ -163,15 +163,15 @@
             self.close_idle(&call.place);
             std::future::pending().await
         };
-        let ended = async { Some(self.converse(&call, permit).await) }.or(suspect).or(expired).await;
+        let ended = async { Some(self.send_call(&call, permit).await) }.or(suspect).or(expired).await;
         ended.unwrap_or_else(|| lost(Gap::ReplyLost, Report::default()))
     }
 
     async fn has_ended(&self, place: &Place, share: u32) -> bool {
-        let looked = async {
+        let checked = async {
             match self.open(place, share).await {
-                Ok((seat, connection)) => {
-                    seat.give_back(connection);
+                Ok((slot, connection)) => {
+                    slot.release(connection);
                     false
                 }
                 // Where no connection may be opened, that says nothing of the upstream.
@@ -179,10 +179,10 @@
             }
         };
         let expired = async {
-            Timer::after(LOOK_LIMIT).await;
+            Timer::after(CONNECT_CHECK_LIMIT).await;
             false
         };
-        looked.or(expired).await
+        checked.or(expired).await
     }
 
     fn cancel(&self, upstream: &UpstreamId, request: &str) {
@@ -193,29 +193,29 @@
         let Some(message) = self.protocol.cancel(&place, request) else {
             return;
         };
-        let Some((seat, mut connection)) = self.take_idle(&place) else {
+        let Some((slot, mut connection)) = self.take_idle(&place) else {
             return;
         };
         let send = async move {
             if let Ok(reply) = connection.send(message).await
-                && http::read(reply.into_body(), MOST_REPLY).await.is_ok()
+                && http::read(reply.into_body(), MAX_REPLY_BYTES).await.is_ok()
             {
-                seat.give_back(connection);
+                slot.release(connection);
             }
         };
         self.executor.spawn(send).detach();
     }
 
     fn warm(&self, place: &Place, share: u32, want: usize) -> bool {
-        if self.ready(place) >= want || !self.begin_warming(place, share) {
+        if self.ready(place) >= want || !self.begin_preconnect(place, share) {
             return false;
         }
         let (this, place) = (self.clone(), place.clone());
         let open = async move {
             let opened = this.open(&place, share).await;
-            this.with_pool(&place, |pool| pool.end_warming(opened.is_ok()));
-            if let Ok((seat, connection)) = opened {
-                seat.give_back(connection);
+            this.update_pool(&place, |pool| pool.end_preconnect(opened.is_ok()));
+            if let Ok((slot, connection)) = opened {
+                slot.release(connection);
             }
         };
         self.executor.spawn(open).detach();
--- a/crates/harefield/src/adapters/upstreams/pool.rs
+++ b/crates/harefield/src/adapters/upstreams/pool.rs
@@ -22,10 +22,10 @@
 
 /// The first pause after a connection could not be opened ahead of need; it
 /// doubles with each further failure.
-const COOLING: Duration = Duration::from_millis(250);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
 
 /// The longest such pause.
-const LONGEST_COOLING: Duration = Duration::from_secs(8);
+const MAX_BACKOFF: Duration = Duration::from_secs(8);
 
 type Pools = Rc<RefCell<HashMap<UpstreamId, Pool>>>;
 
@@ -38,62 +38,62 @@
     /// How many connections are open or being opened.
     pub open: u32,
     /// How many are being opened ahead of need.
-    pub warming: usize,
+    pub preconnecting: usize,
     /// Until when no connection is opened ahead of need, after that failed.
-    pub cooling: Option<Instant>,
+    pub backoff_until: Option<Instant>,
     /// How many openings ahead of need failed in a row.
-    pub strikes: u32,
+    pub failures: u32,
 }
 
 impl Pool {
     fn new(address: SocketAddr) -> Self {
-        Self { address, idle: Vec::new(), open: 0, warming: 0, cooling: None, strikes: 0 }
+        Self { address, idle: Vec::new(), open: 0, preconnecting: 0, backoff_until: None, failures: 0 }
     }
 
     /// Takes how opening a connection ahead of need went.
-    pub(super) fn end_warming(&mut self, opened: bool) {
-        self.warming = self.warming.saturating_sub(1);
+    pub(super) fn end_preconnect(&mut self, opened: bool) {
+        self.preconnecting = self.preconnecting.saturating_sub(1);
         if opened {
-            self.strikes = 0;
-            self.cooling = None;
+            self.failures = 0;
+            self.backoff_until = None;
             return;
         }
-        self.cooling = Some(Instant::now() + backoff(COOLING, self.strikes, LONGEST_COOLING));
-        self.strikes = self.strikes.saturating_add(1);
+        self.backoff_until = Some(Instant::now() + backoff(INITIAL_BACKOFF, self.failures, MAX_BACKOFF));
+        self.failures = self.failures.saturating_add(1);
     }
 }
 
 /// A place that a connection takes up at its upstream, given up when dropped
 /// unless the connection was given back for reuse.
 #[derive(Debug)]
-pub(super) struct Seat {
+pub(super) struct ConnectionSlot {
     pools: Pools,
     place: Place,
-    kept: bool,
+    released: bool,
 }
 
-impl Seat {
+impl ConnectionSlot {
     /// Keeps the connection for the next request.
-    pub(super) fn give_back(mut self, connection: Connection) {
-        self.kept = change(&self.pools, &self.place, |pool| pool.idle.push(connection));
+    pub(super) fn release(mut self, connection: Connection) {
+        self.released = update(&self.pools, &self.place, |pool| pool.idle.push(connection));
     }
 }
 
-impl Drop for Seat {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        if !self.kept {
-            change(&self.pools, &self.place, |pool| pool.open = pool.open.saturating_sub(1));
+        if !self.released {
+            update(&self.pools, &self.place, |pool| pool.open = pool.open.saturating_sub(1));
         }
     }
 }
 
 /// Changes the pool of a place, unless it has moved to another address;
 /// returns whether it did.
-fn change(pools: &Pools, place: &Place, change: impl FnOnce(&mut Pool)) -> bool {
+fn update(pools: &Pools, place: &Place, update: impl FnOnce(&mut Pool)) -> bool {
     let mut pools = pools.borrow_mut();
     match pools.get_mut(&place.upstream).filter(|pool| pool.address == place.address) {
         Some(pool) => {
-            change(pool);
+            update(pool);
             true
         }
         None => false,
@@ -101,11 +101,11 @@
 }
 
 impl<W: Protocol> HttpUpstreams<W> {
-    fn seat(&self, place: &Place) -> Seat {
-        Seat { pools: Rc::clone(&self.pools), place: place.clone(), kept: false }
+    fn slot(&self, place: &Place) -> ConnectionSlot {
+        ConnectionSlot { pools: Rc::clone(&self.pools), place: place.clone(), released: false }
     }
 
-    pub(super) fn take_idle(&self, place: &Place) -> Option<(Seat, Connection)> {
+    pub(super) fn take_idle(&self, place: &Place) -> Option<(ConnectionSlot, Connection)> {
         let mut pools = self.pools.borrow_mut();
         let pool = pools.get_mut(&place.upstream)?;
         if pool.address != place.address {
@@ -114,7 +114,7 @@
         }
         while let Some(connection) = pool.idle.pop() {
             if connection.is_ready() {
-                return Some((self.seat(place), connection));
+                return Some((self.slot(place), connection));
             }
             pool.open = pool.open.saturating_sub(1);
         }
@@ -124,7 +124,7 @@
     /// Closes the idle connections of a place: they may be as silent as one that has
     /// brought no reply for long, and new ones may work.
     pub(super) fn close_idle(&self, place: &Place) {
-        change(&self.pools, place, |pool| {
+        update(&self.pools, place, |pool| {
             let idle = u32::try_from(pool.idle.len()).unwrap_or(u32::MAX);
             pool.idle.clear();
             pool.open = pool.open.saturating_sub(idle);
@@ -132,20 +132,20 @@
     }
 
     /// Reserves a place for one more connection within the share.
-    fn reserve(&self, place: &Place, share: u32) -> Option<Seat> {
+    fn reserve(&self, place: &Place, share: u32) -> Option<ConnectionSlot> {
         let mut pools = self.pools.borrow_mut();
         let pool = pools.entry(Arc::clone(&place.upstream)).or_insert_with(|| Pool::new(place.address));
         if pool.address != place.address {
             *pool = Pool::new(place.address);
         }
-        let room = pool.open < share;
-        pool.open += u32::from(room);
-        room.then(|| self.seat(place))
+        let available = pool.open < share;
+        pool.open += u32::from(available);
+        available.then(|| self.slot(place))
     }
 
     /// Changes the pool of a place, unless it has moved to another address.
-    pub(super) fn with_pool(&self, place: &Place, with: impl FnOnce(&mut Pool)) {
-        change(&self.pools, place, with);
+    pub(super) fn update_pool(&self, place: &Place, with: impl FnOnce(&mut Pool)) {
+        update(&self.pools, place, with);
     }
 
     /// Returns how many connections are idle or being opened ahead of need;
@@ -157,25 +157,25 @@
         pool.idle.retain(|connection| !connection.is_closed());
         let closed = u32::try_from(before - pool.idle.len()).unwrap_or(u32::MAX);
         pool.open = pool.open.saturating_sub(closed);
-        pool.idle.len() + pool.warming
+        pool.idle.len() + pool.preconnecting
     }
 
     /// Notes that a connection is opened ahead of need; returns whether one may be:
     /// where the share has room, and none failed a moment ago.
-    pub(super) fn begin_warming(&self, place: &Place, share: u32) -> bool {
+    pub(super) fn begin_preconnect(&self, place: &Place, share: u32) -> bool {
         let mut pools = self.pools.borrow_mut();
         let pool = pools.entry(Arc::clone(&place.upstream)).or_insert_with(|| Pool::new(place.address));
-        let cooling = pool.cooling.is_some_and(|until| Instant::now() < until);
-        let room = pool.open < share && !cooling;
-        pool.warming += usize::from(room);
-        room
+        let backing_off = pool.backoff_until.is_some_and(|until| Instant::now() < until);
+        let available = pool.open < share && !backing_off;
+        pool.preconnecting += usize::from(available);
+        available
     }
 
-    pub(super) async fn open(&self, place: &Place, share: u32) -> Result<(Seat, Connection), Gap> {
-        let seat = self.reserve(place, share).ok_or(Gap::Overloaded)?;
+    pub(super) async fn open(&self, place: &Place, share: u32) -> Result<(ConnectionSlot, Connection), Gap> {
+        let slot = self.reserve(place, share).ok_or(Gap::Overloaded)?;
         let opened = http::connect(&self.executor, place.address, CONNECT_LIMIT).await;
         let connection = opened.map_err(|_unopened| Gap::Unreachable)?;
         self.opened.set(self.opened.get() + 1);
-        Ok((seat, connection))
+        Ok((slot, connection))
     }
 }
--- a/crates/harefield/src/adapters/upstreams/protocol.rs
+++ b/crates/harefield/src/adapters/upstreams/protocol.rs
@@ -11,8 +11,8 @@
 use hyper::header::HeaderMap;
 use serde_json::value::RawValue;
 
+use super::ParsedReply;
 use super::Protocol;
-use super::Reading;
 use super::lost;
 use crate::domain::fanout::AttemptEnd;
 use crate::domain::fanout::ReplyIdentity;
@@ -31,24 +31,24 @@
 
 /// The product's own protocol.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct OwnProtocol;
+pub struct JsonProtocol;
 
-impl Protocol for OwnProtocol {
+impl Protocol for JsonProtocol {
     fn request(&self, call: &Call) -> Request<Full<Bytes>> {
         make_request(call)
     }
 
-    fn read(&self, call: &Call, reply: Response<Bytes>) -> Reading {
+    fn read(&self, call: &Call, reply: Response<Bytes>) -> ParsedReply {
         let report = read_report(reply.headers());
-        if let Err(gap) = verify(&call.echo, read_echo(reply.headers()).as_ref()) {
-            return Reading { end: lost(gap, report), keep: false };
+        if let Err(gap) = verify(&call.echo, read_identity(reply.headers()).as_ref()) {
+            return ParsedReply { end: lost(gap, report), keep: false };
         }
         let end = if reply.status() == StatusCode::OK {
             answered(reply.body(), report)
         } else {
             refused(reply.headers(), report)
         };
-        Reading { end, keep: true }
+        ParsedReply { end, keep: true }
     }
 
     fn report(&self, headers: &HeaderMap) -> Report {
@@ -94,7 +94,7 @@
     headers.get(name)?.to_str().ok()
 }
 
-fn read_echo(headers: &HeaderMap) -> Option<ReplyIdentity> {
+fn read_identity(headers: &HeaderMap) -> Option<ReplyIdentity> {
     Some(ReplyIdentity {
         request: text(headers, "harefield-request")?.to_owned(),
         shard: text(headers, "harefield-shard")?.to_owned(),
@@ -103,7 +103,7 @@
 }
 
 fn read_report(headers: &HeaderMap) -> Report {
-    Report { load: read_load(headers), announcement: read_word(headers) }
+    Report { load: read_load(headers), announcement: read_announcement(headers) }
 }
 
 fn read_load(headers: &HeaderMap) -> Option<Load> {
@@ -111,7 +111,7 @@
     Some(Load { active: active.parse().ok()?, queued: queued.parse().ok()?, slowness: None })
 }
 
-fn read_word(headers: &HeaderMap) -> Option<Word> {
+fn read_announcement(headers: &HeaderMap) -> Option<Word> {
     let (start, change) = text(headers, "harefield-word")?.split_once('.')?;
     let stamp = WordStamp { start: start.parse().ok()?, change: change.parse().ok()? };
     let draining = text(headers, "harefield-draining") == Some("true");
--- a/crates/harefield/src/commands/check.rs
+++ b/crates/harefield/src/commands/check.rs
@@ -13,7 +13,7 @@
 use super::arguments::Argument;
 use super::arguments::Arguments;
 use super::arguments::unknown;
-use crate::adapters::operators::SetFile;
+use crate::adapters::operators::ResourceFile;
 use crate::adapters::settings::Settings;
 use crate::domain::code::Code;
 use crate::domain::resources::ResourceError;
@@ -71,7 +71,7 @@
         let report = miette::miette!("{}: {}: {error}", Code::SettingsUnreadable, path.display());
         Failure::new(Exit::Invalid, report)
     })?;
-    let file: SetFile = match serde_json::from_str(&text) {
+    let file: ResourceFile = match serde_json::from_str(&text) {
         Ok(file) => file,
         Err(error) => {
             let at = offset(&text, error.line(), error.column());
--- a/crates/harefield/src/daemon/edge.rs
+++ b/crates/harefield/src/daemon/edge.rs
@@ -17,7 +17,7 @@
 use crate::adapters::peers::HttpPeers;
 use crate::adapters::platform::HttpPlatform;
 use crate::adapters::upstreams::HttpUpstreams;
-use crate::adapters::upstreams::OwnProtocol;
+use crate::adapters::upstreams::JsonProtocol;
 use crate::adapters::upstreams::Protocol;
 use crate::engine::Worker;
 use crate::platform;
@@ -53,18 +53,18 @@
 
 impl Edge for OwnEdge {
     type Platform = HttpPlatform;
-    type Protocol = OwnProtocol;
+    type Protocol = JsonProtocol;
 
     fn platform(executor: Rc<LocalExecutor<'static>>, traffic: Traffic, _left_out: Gauge) -> HttpPlatform {
         HttpPlatform::new(executor, traffic)
     }
 
-    fn protocol() -> OwnProtocol {
-        OwnProtocol
+    fn protocol() -> JsonProtocol {
+        JsonProtocol
     }
 
     async fn answer(
-        worker: Rc<HttpWorker<OwnProtocol>>,
+        worker: Rc<HttpWorker<JsonProtocol>>,
         request: Request<Incoming>,
         limits: RequestLimits,
     ) -> Response<Full<Bytes>> {
--- a/crates/harefield/src/daemon/threads.rs
+++ b/crates/harefield/src/daemon/threads.rs
@@ -170,7 +170,7 @@
         detail: settings.events.detail_every,
         seed: rand::random(),
         overage: settings.accounts.overage(),
-        strict: settings.accounts.proof_limit(),
+        strict: settings.accounts.max_proof_age(),
     }
 }
 
@@ -226,7 +226,7 @@
         join: Duration::from_millis(settings.peers.join_ms),
         first_start: settings.peers.first_start,
         watch: Duration::from_millis(settings.platform.watch_ms),
-        pace: Pace::new(settings.platform.in_force()),
+        pace: Pace::new(settings.platform.apply_limit()),
         readers: settings.platform.readers,
         carry: CarryTimes::new(Duration::from_millis(settings.platform.heartbeat_ms)),
         places: places(context),
--- a/crates/harefield/src/platform/callers.rs
+++ b/crates/harefield/src/platform/callers.rs
@@ -48,7 +48,7 @@
         Err(code) => refuse(code, None),
     };
     if worker.is_stopping() {
-        headers::put(reply.headers_mut(), "connection", "close");
+        headers::set(reply.headers_mut(), "connection", "close");
     }
     reply
 }
@@ -68,16 +68,16 @@
     let limit = text(&head.headers, headers::TIME_LEFT).map(str::parse::<u64>);
     let limit = limit.transpose().map_err(|_error| Code::BadField)?.map(Duration::from_millis);
     let lookup = worker.lookup_at(&host_of(&head), head.uri.path())?;
-    let most = bounds.body_bytes.unwrap_or(limits.body);
-    let body = read_body(incoming, RequestLimits { body: most, ..limits }, worker.memory()).await?;
+    let max = bounds.body_bytes.unwrap_or(limits.body);
+    let body = read_body(incoming, RequestLimits { body: max, ..limits }, worker.memory()).await?;
     let target = head.uri.path_and_query().map_or("/", |target| target.as_str());
-    let mut handed_on = headers::handed_on(&head.headers);
-    let claims = headers::take_claims(&mut handed_on);
+    let mut forwardable = headers::forwardable(&head.headers);
+    let claims = headers::extract_claims(&mut forwardable);
     let query = ByteQuery {
         id: id.as_str().into(),
         method: head.method.as_str().into(),
         target: target.into(),
-        headers: handed_on,
+        headers: forwardable,
         body,
         claims,
     };
@@ -103,45 +103,45 @@
 fn render(answer: &Answer) -> Response<Full<Bytes>> {
     if answer.outcome == Outcome::Answered {
         return match answer.merge {
-            Some(most) => merged(answer, most),
+            Some(max) => merged(answer, max),
             None => answer
                 .results
                 .first()
                 .and_then(|part| part.reply.bytes())
-                .map_or_else(|| refuse(Code::Internal, None), |reply| handed_back(reply)),
+                .map_or_else(|| refuse(Code::Internal, None), |reply| pass_through(reply)),
         };
     }
     match answer.failure.as_ref().and_then(|reply| reply.bytes()).filter(|_| answer.merge.is_none()) {
-        Some(failure) => handed_back(failure),
+        Some(failure) => pass_through(failure),
         None => refuse(answer.code, answer.retry_after),
     }
 }
 
 /// Hands an upstream's reply back as it came.
-fn handed_back(reply: &ByteReply) -> Response<Full<Bytes>> {
-    let mut back = Response::new(http::bytes(reply.body.clone()));
-    *back.status_mut() = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::BAD_GATEWAY);
-    headers::put_all(back.headers_mut(), &reply.headers);
-    back
+fn pass_through(reply: &ByteReply) -> Response<Full<Bytes>> {
+    let mut response = Response::new(http::bytes(reply.body.clone()));
+    *response.status_mut() = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::BAD_GATEWAY);
+    headers::append_all(response.headers_mut(), &reply.headers);
+    response
 }
 
 /// Merges the shards' records into one answer.
-fn merged(answer: &Answer, most: usize) -> Response<Full<Bytes>> {
+fn merged(answer: &Answer, max: usize) -> Response<Full<Bytes>> {
     let replies = || answer.results.iter().filter_map(|part| part.reply.bytes());
-    let body = greatest(replies().map(|reply| &*reply.body), most);
+    let body = greatest(replies().map(|reply| &*reply.body), max);
     let signatures: Vec<&str> = replies().filter_map(|reply| reply.signature.as_deref()).collect();
-    let mut back = Response::new(http::bytes(body));
-    headers::put(back.headers_mut(), "content-type", "application/octet-stream");
-    headers::put(back.headers_mut(), headers::SIGNATURES, &signatures.join(", "));
-    headers::put(back.headers_mut(), headers::MISSING, &answer.coverage.missing.len().to_string());
-    back
+    let mut response = Response::new(http::bytes(body));
+    headers::set(response.headers_mut(), "content-type", "application/octet-stream");
+    headers::set(response.headers_mut(), headers::SIGNATURES, &signatures.join(", "));
+    headers::set(response.headers_mut(), headers::MISSING, &answer.coverage.missing.len().to_string());
+    response
 }
 
 fn refuse(code: Code, wait: Option<u64>) -> Response<Full<Bytes>> {
     let mut reply = http::refusal(code, "");
     if let Some(millis) = wait {
         let seconds = Duration::from_millis(millis).as_secs_f64();
-        headers::put(reply.headers_mut(), "retry-after", &format!("{seconds:.3}"));
+        headers::set(reply.headers_mut(), "retry-after", &format!("{seconds:.3}"));
     }
     reply
 }
--- a/crates/harefield/src/platform/documents.rs
+++ b/crates/harefield/src/platform/documents.rs
@@ -47,14 +47,14 @@
 const COLD_STEP_MS: f64 = 5000.0;
 
 /// The longest cold spell, in steps: ten minutes.
-const MOST_COLD_STEPS: f64 = 120.0;
+const MAX_COLD_STEPS: f64 = 120.0;
 
 /// Weights come as fractions too; they are kept in these parts of one.
 const WEIGHT_PARTS: f64 = 1000.0;
 
 /// The newest configuration in whole.
 #[derive(Debug, Deserialize)]
-struct Published {
+struct ConfigDocument {
     /// Rises with each one published, by uneven steps.
     version: u64,
     routes: Vec<Route>,
@@ -86,7 +86,7 @@
 }
 
 impl Tenant {
-    fn named(self) -> (AccountId, Account) {
+    fn into_account(self) -> (AccountId, Account) {
         let account = Account {
             team: String::new(),
             keys: self.api_keys,
@@ -116,7 +116,7 @@
     /// The one service that runs it, unless one of the next two stands.
     service: Option<Arc<str>>,
     /// Services that its requests are divided over.
-    traffic_split: Option<Vec<Part>>,
+    traffic_split: Option<Vec<SplitPart>>,
     /// The shards: every one of these services is asked.
     fanout_services: Option<Vec<Arc<str>>>,
     /// `safe` where a request may run more than once.
@@ -141,7 +141,7 @@
 
 /// A part of a route's requests.
 #[derive(Debug, Deserialize)]
-struct Part {
+struct SplitPart {
     service: Arc<str>,
     weight: f64,
 }
@@ -181,7 +181,7 @@
 /// with another type in it, is some other writer's.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Registered {
+struct UpstreamEntry {
     service: Arc<str>,
     address: SocketAddr,
     zone: Arc<str>,
@@ -229,19 +229,19 @@
 /// # Errors
 ///
 /// Returns why the document is not one.
-pub fn catalog_of(document: &[u8]) -> Result<Catalog, serde_json::Error> {
-    let published: Published = serde_json::from_slice(document)?;
+pub fn parse_catalog(document: &[u8]) -> Result<Catalog, serde_json::Error> {
+    let config: ConfigDocument = serde_json::from_slice(document)?;
     let mut catalog = Catalog {
-        bounds: Bounds { head_bytes: published.limits.header_bytes, body_bytes: published.limits.body_bytes },
-        edition: published.version,
+        bounds: Bounds { head_bytes: config.limits.header_bytes, body_bytes: config.limits.body_bytes },
+        edition: config.version,
         ..Catalog::default()
     };
-    for limits in published.services {
+    for limits in config.services {
         let service = Service { cold: limits.cold(), ..service(limits.connection_limit) };
         catalog.services.insert(limits.name, service);
     }
-    catalog.accounts = published.tenants.map(|tenants| tenants.into_iter().map(Tenant::named).collect());
-    for route in published.routes {
+    catalog.accounts = config.tenants.map(|tenants| tenants.into_iter().map(Tenant::into_account).collect());
+    for route in config.routes {
         let name = Arc::clone(&route.name);
         if let Some(lookup) = lookup(route, &mut catalog) {
             catalog.lookups.insert(name, lookup);
@@ -255,28 +255,28 @@
 /// # Errors
 ///
 /// Returns why the document names none.
-pub fn upstream_of(document: &[u8]) -> Result<Upstream, EntryError> {
-    let registered: Registered = serde_json::from_slice(document)?;
-    let address = registered.address;
+pub fn parse_upstream(document: &[u8]) -> Result<Upstream, EntryError> {
+    let entry: UpstreamEntry = serde_json::from_slice(document)?;
+    let address = entry.address;
     if address.port() == 0 || address.ip().is_unspecified() || address.ip().is_multicast() {
         return Err(EntryError::Address(address));
     }
     Ok(Upstream {
         address,
-        zone: registered.zone,
-        slots: registered.slots.get(),
+        zone: entry.zone,
+        slots: entry.slots.get(),
         connections: 0,
         connect_ms: 0,
-        holds: vec![shard_id(&registered.service, SHARD)],
-        leaving: registered.state == State::Draining,
-        born: registered.born,
-        cold_ms: cold_step(registered.cold_remaining_ms),
+        holds: vec![shard_id(&entry.service, SHARD)],
+        leaving: entry.state == State::Draining,
+        born: entry.born,
+        cold_ms: round_cold_ms(entry.cold_remaining_ms),
     })
 }
 
 /// Returns how long an upstream is cold, in whole steps, and never less than it says.
-fn cold_step(remaining: f64) -> u64 {
-    let steps = (remaining / COLD_STEP_MS).ceil().clamp(0.0, MOST_COLD_STEPS);
+fn round_cold_ms(remaining: f64) -> u64 {
+    let steps = (remaining / COLD_STEP_MS).ceil().clamp(0.0, MAX_COLD_STEPS);
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "it was clamped")]
     let cold = (steps * COLD_STEP_MS) as u64;
     cold
--- a/crates/harefield/src/platform/headers.rs
+++ b/crates/harefield/src/platform/headers.rs
@@ -15,7 +15,7 @@
 pub(super) const TIME_LEFT: &str = "deadline-remaining";
 
 /// The upstream that alone may run the request.
-pub(super) const EXPECTED: &str = "expect-instance";
+pub(super) const EXPECTED_UPSTREAM: &str = "expect-instance";
 
 /// The upstream's signature over its reply.
 pub(super) const SIGNATURE: &str = "server-seal";
@@ -46,7 +46,7 @@
 const CLAIMS: [&str; 2] = [KEY, ACCOUNT];
 
 /// Headers that belong to one connection or that are set anew on each.
-const OF_CONNECTION: [&str; 13] = [
+const HOP_BY_HOP: [&str; 13] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -59,7 +59,7 @@
     "content-length",
     "expect",
     TIME_LEFT,
-    EXPECTED,
+    EXPECTED_UPSTREAM,
 ];
 
 /// Returns the text of a header.
@@ -68,23 +68,23 @@
 }
 
 /// Returns the headers that are handed on: all but those of the connection.
-pub(super) fn handed_on(headers: &HeaderMap) -> Vec<Header> {
+pub(super) fn forwardable(headers: &HeaderMap) -> Vec<Header> {
     let named = text(headers, "connection").unwrap_or("");
     let named: Vec<String> = named.split(',').map(|name| name.trim().to_ascii_lowercase()).collect();
     let kept = headers.iter().filter(|(name, _)| {
         let name = name.as_str();
-        !OF_CONNECTION.contains(&name) && !named.iter().any(|other| other == name)
+        !HOP_BY_HOP.contains(&name) && !named.iter().any(|other| other == name)
     });
     kept.map(|(name, value)| (Arc::from(name.as_str()), Bytes::copy_from_slice(value.as_bytes()))).collect()
 }
 
 /// Takes those headers out that say who asks.
-pub(super) fn take_claims(headers: &mut Vec<Header>) -> Claims {
+pub(super) fn extract_claims(headers: &mut Vec<Header>) -> Claims {
     Claims(headers.extract_if(.., |(name, _)| CLAIMS.contains(&&**name)).collect())
 }
 
 /// Adds headers that were handed on to a message.
-pub(super) fn put_all(to: &mut HeaderMap, headers: &[Header]) {
+pub(super) fn append_all(to: &mut HeaderMap, headers: &[Header]) {
     for (name, value) in headers {
         let name = hyper::header::HeaderName::from_bytes(name.as_bytes());
         let value = hyper::header::HeaderValue::from_maybe_shared(value.clone());
@@ -95,7 +95,7 @@
 }
 
 /// Sets one header.
-pub(super) fn put(to: &mut HeaderMap, name: &'static str, value: &str) {
+pub(super) fn set(to: &mut HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = value.parse() {
         to.insert(name, value);
     }
--- a/crates/harefield/src/platform/mod.rs
+++ b/crates/harefield/src/platform/mod.rs
@@ -7,13 +7,13 @@
 mod callers;
 mod documents;
 mod headers;
-mod left_out;
 mod store;
+mod unreadable;
 mod upstreams;
 
 pub use callers::handle;
 pub use documents::EntryError;
-pub use documents::catalog_of;
-pub use documents::upstream_of;
+pub use documents::parse_catalog;
+pub use documents::parse_upstream;
 pub use store::HttpStore;
 pub use upstreams::SignedProtocol;
--- a/crates/harefield/src/platform/store.rs
+++ b/crates/harefield/src/platform/store.rs
@@ -13,15 +13,15 @@
 use serde::Deserialize;
 
 use super::documents::EntryError;
-use super::documents::catalog_of;
-use super::documents::upstream_of;
+use super::documents::parse_catalog;
+use super::documents::parse_upstream;
 use super::headers;
-use super::left_out::LeftOut;
+use super::unreadable::UnreadableEntries;
 use crate::adapters::http::Traffic;
-use crate::adapters::reading::Answers;
 use crate::adapters::reading::JsonReader;
 use crate::adapters::reading::READ_LIMIT;
-use crate::adapters::reading::Told;
+use crate::adapters::reading::ReplyFormat;
+use crate::adapters::reading::StoreReply;
 use crate::adapters::reading::deltas;
 use crate::adapters::reading::watch_limit;
 use crate::domain::feed::Change;
@@ -78,23 +78,23 @@
 
 /// The revisions that pages were read at.
 #[derive(Debug, Default)]
-struct Pages {
-    ends: Option<(Revision, Revision)>,
+struct PageRevisions {
+    range: Option<(Revision, Revision)>,
 }
 
-impl Pages {
+impl PageRevisions {
     /// Takes the next page's revision; pages of two eras are no listing.
-    fn note(&mut self, revision: Revision) -> Result<(), PlatformError> {
-        let (first, last) = self.ends.unwrap_or((revision, revision));
+    fn record(&mut self, revision: Revision) -> Result<(), PlatformError> {
+        let (first, last) = self.range.unwrap_or((revision, revision));
         if first.era != revision.era {
             return Err(PlatformError::Restored);
         }
-        self.ends = Some((first.min(revision), last.max(revision)));
+        self.range = Some((first.min(revision), last.max(revision)));
         Ok(())
     }
 
     fn listing(&self) -> Listing {
-        let (first, last) = self.ends.unwrap_or_default();
+        let (first, last) = self.range.unwrap_or_default();
         Listing { first, last, ..Listing::default() }
     }
 }
@@ -111,20 +111,24 @@
 #[derive(Clone, Debug)]
 pub struct HttpStore {
     reader: JsonReader,
-    left_out: LeftOut,
+    unreadable: UnreadableEntries,
 }
 
 impl HttpStore {
     /// Creates the client on one thread's executor; `traffic` counts its bytes, and
     /// `left_out` shows how many entries name no upstream.
     #[must_use]
-    pub fn new(executor: Rc<LocalExecutor<'static>>, traffic: Traffic, left_out: Gauge) -> Self {
-        let answers = Answers { gone: &[StatusCode::GONE, StatusCode::NOT_FOUND], era: Some(headers::ERA) };
-        Self { reader: JsonReader::new(executor, traffic, answers), left_out: LeftOut::new(left_out) }
+    pub fn new(executor: Rc<LocalExecutor<'static>>, traffic: Traffic, unreadable: Gauge) -> Self {
+        let answers =
+            ReplyFormat { gone: &[StatusCode::GONE, StatusCode::NOT_FOUND], era: Some(headers::ERA) };
+        Self {
+            reader: JsonReader::new(executor, traffic, answers),
+            unreadable: UnreadableEntries::new(unreadable),
+        }
     }
 
     async fn list_config(&self, copy: SocketAddr) -> Result<Listing, PlatformError> {
-        let mut pages = Pages::default();
+        let mut pages = PageRevisions::default();
         let operator = self.read_pages(copy, OPERATOR_PREFIX, &mut pages).await?;
         // Without it all lookups would be taken away.
         let config = operator.iter().find(|item| item.private_key == CONFIG_KEY);
@@ -133,10 +137,10 @@
         let upstreams = self.read_pages(copy, UPSTREAMS_PREFIX, &mut pages).await?;
         let mut listing = pages.listing();
         for item in operator.iter().chain(&upstreams) {
-            self.put(&mut listing, item);
+            self.add_item(&mut listing, item);
         }
         let listed: HashSet<&str> = upstreams.iter().map(|item| &*item.private_key).collect();
-        self.left_out.keep_only(|key| listed.contains(key));
+        self.unreadable.retain_listed(|key| listed.contains(key));
         Ok(listing)
     }
 
@@ -145,14 +149,14 @@
         &self,
         copy: SocketAddr,
         prefix: &str,
-        pages: &mut Pages,
+        pages: &mut PageRevisions,
     ) -> Result<Vec<Item>, PlatformError> {
         let (mut items, mut after) = (Vec::new(), String::new());
         loop {
             let path = format!("/-/kv-range?pathPrefix={prefix}{after}");
-            let Told { era, body } = self.reader.get::<Page>(copy, &path, READ_LIMIT).await?;
+            let StoreReply { era, body } = self.reader.get::<Page>(copy, &path, READ_LIMIT).await?;
             let page = body.ok_or_else(|| PlatformError::Malformed("a page is gone".to_owned()))?;
-            pages.note(Revision::new(era, page.store_revision))?;
+            pages.record(Revision::new(era, page.store_revision))?;
             let last = page.items.last().map(|item| item.private_key.clone());
             items.extend(page.items);
             match last.filter(|_| page.truncated) {
@@ -163,8 +167,8 @@
     }
 
     /// Puts an item into a listing, where it is the product's business.
-    fn put(&self, listing: &mut Listing, item: &Item) {
-        if let Some(Change { key, value: Some(value) }) = self.change_of(listing.first.era, item) {
+    fn add_item(&self, listing: &mut Listing, item: &Item) {
+        if let Some(Change { key, value: Some(value) }) = self.parse_change(listing.first.era, item) {
             listing.items.insert(key, value);
         }
     }
@@ -176,25 +180,25 @@
     /// An entry that cannot be read takes its upstream away, as its deletion would: those
     /// that list find the same as those that watched, and an upstream that lives writes its
     /// entry again within a second or two.
-    fn change_of(&self, era: Era, item: &Item) -> Option<Change> {
+    fn parse_change(&self, era: Era, item: &Item) -> Option<Change> {
         let name = &item.private_key;
         let id = name.strip_prefix(UPSTREAMS_PREFIX);
         let key: Key = match id {
-            Some(id) if is_id(id) => format!("upstreams/{id}").into(),
+            Some(id) if is_valid_id(id) => format!("upstreams/{id}").into(),
             None if name == CONFIG_KEY => CATALOG_KEY.into(),
-            _ => return evacuation_of(item),
+            _ => return parse_evacuation(item),
         };
         if item.tombstone {
-            self.left_out.forget(name);
+            self.unreadable.clear(name);
             return Some(Change { key, value: None });
         }
         match decode(item) {
             Ok(value) => {
-                self.left_out.forget(name);
+                self.unreadable.clear(name);
                 Some(Change { key, value: Some(value.into()) })
             }
             Err(error) => {
-                self.left_out.note(name, Revision::new(era, item.revision), &error);
+                self.unreadable.record(name, Revision::new(era, item.revision), &error);
                 id.is_some().then_some(Change { key, value: None })
             }
         }
@@ -202,14 +206,14 @@
 }
 
 /// Decodes an evacuation's item; none where it is not one.
-fn evacuation_of(item: &Item) -> Option<Change> {
+fn parse_evacuation(item: &Item) -> Option<Change> {
     let zone = item.private_key.strip_prefix(EVACUATIONS_PREFIX).filter(|zone| !zone.is_empty())?;
     let value = (!item.tombstone).then(|| EVACUATION.into());
     Some(Change { key: format!("evacuations/{zone}").into(), value })
 }
 
 /// Says whether a text may be an upstream's id: it is sent in a header, and is no path.
-fn is_id(text: &str) -> bool {
+fn is_valid_id(text: &str) -> bool {
     !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_graphic() && byte != b'/')
 }
 
@@ -231,21 +235,22 @@
         if space == Space::Hosts {
             return Err(no_hosts());
         }
-        let Revision { era: own, number } = after;
+        let Revision { era: known_era, number } = after;
         let path = format!("/-/kv-watch?pathPrefix=&after={number}&waitMs={}", wait.as_millis());
-        let Told { era, body } = self.reader.get::<Events>(copy, &path, watch_limit(wait)).await?;
+        let StoreReply { era, body } = self.reader.get::<Events>(copy, &path, watch_limit(wait)).await?;
         // Of another era, the events say nothing of what was written below the number.
-        if era > own {
+        if era > known_era {
             return Ok(Watched::Restored(era));
         }
-        let at = |number| Revision::new(era, number);
-        if era < own {
-            return Err(PlatformError::Behind(at(body.map_or(0, |events| events.store_revision))));
+        let revision_at = |number| Revision::new(era, number);
+        if era < known_era {
+            return Err(PlatformError::Behind(revision_at(body.map_or(0, |events| events.store_revision))));
         }
         let Some(Events { events, store_revision }) = body else { return Ok(Watched::Compacted) };
         let newer = events.iter().filter(|item| item.revision > number);
-        let changes = newer.filter_map(|item| Some((at(item.revision), self.change_of(era, item)?)));
-        Ok(Watched::Changes { deltas: deltas(after, changes), at: at(store_revision) })
+        let changes =
+            newer.filter_map(|item| Some((revision_at(item.revision), self.parse_change(era, item)?)));
+        Ok(Watched::Changes { deltas: deltas(after, changes), at: revision_at(store_revision) })
     }
 }
 
@@ -272,9 +277,9 @@
     let text = item.value.as_deref().ok_or(DecodeError::Empty)?;
     let bytes = STANDARD.decode(text)?;
     let json = if item.private_key == CONFIG_KEY {
-        serde_json::to_string(&catalog_of(&bytes)?)?
+        serde_json::to_string(&parse_catalog(&bytes)?)?
     } else {
-        serde_json::to_string(&upstream_of(&bytes)?)?
+        serde_json::to_string(&parse_upstream(&bytes)?)?
     };
     Ok(json)
 }
--- a/crates/harefield/src/platform/upstreams.rs
+++ b/crates/harefield/src/platform/upstreams.rs
@@ -12,8 +12,8 @@
 
 use super::headers;
 use super::headers::text;
+use crate::adapters::upstreams::ParsedReply;
 use crate::adapters::upstreams::Protocol;
-use crate::adapters::upstreams::Reading;
 use crate::adapters::upstreams::lost;
 use crate::domain::fanout::AttemptEnd;
 use crate::domain::outcome::Gap;
@@ -45,42 +45,42 @@
             *request.uri_mut() = target;
         }
         let left = millis(call.remaining).max(1);
-        headers::put_all(request.headers_mut(), &query.headers);
+        headers::append_all(request.headers_mut(), &query.headers);
         if call.asker.is_open() {
-            headers::put_all(request.headers_mut(), &query.claims.0);
+            headers::append_all(request.headers_mut(), &query.claims.0);
         }
         if let Some(account) = &call.asker.account {
-            headers::put(request.headers_mut(), headers::ACCOUNT, account);
+            headers::set(request.headers_mut(), headers::ACCOUNT, account);
         }
-        headers::put(request.headers_mut(), headers::TIME_LEFT, &left.to_string());
-        headers::put(request.headers_mut(), headers::EXPECTED, &call.place.upstream);
+        headers::set(request.headers_mut(), headers::TIME_LEFT, &left.to_string());
+        headers::set(request.headers_mut(), headers::EXPECTED_UPSTREAM, &call.place.upstream);
         request
     }
 
-    fn read(&self, call: &Call, reply: Response<Bytes>) -> Reading {
+    fn read(&self, call: &Call, reply: Response<Bytes>) -> ParsedReply {
         let report = self.report(reply.headers());
-        if !is_own(call, reply.headers()) {
-            return Reading { end: lost(Gap::ReplyCrossed, report), keep: false };
+        if !is_reply_to(call, reply.headers()) {
+            return ParsedReply { end: lost(Gap::ReplyCrossed, report), keep: false };
         }
-        if let Some(end) = refused(&reply, &report) {
-            return Reading { end, keep: true };
+        if let Some(end) = parse_refusal(&reply, &report) {
+            return ParsedReply { end, keep: true };
         }
         let status = reply.status();
         let answered = status.is_success();
         if is_encoded(reply.headers()) || (answered && text(reply.headers(), headers::SIGNATURE).is_none()) {
-            return Reading { end: lost(Gap::Failed, report), keep: false };
+            return ParsedReply { end: lost(Gap::Failed, report), keep: false };
         }
-        let reply = Reply::Bytes(Arc::new(reply_of(reply)));
+        let reply = Reply::Bytes(Arc::new(into_reply(reply)));
         let (end, verdict) = if answered {
             (AttemptEnd::Answered(reply), AttemptOutcome::Succeeded)
         } else {
-            (AttemptEnd::Failed(reply), verdict_of(status))
+            (AttemptEnd::Failed(reply), outcome_of(status))
         };
-        Reading { end: CallEnd { end, verdict, report }, keep: true }
+        ParsedReply { end: CallEnd { end, verdict, report }, keep: true }
     }
 
     fn report(&self, headers: &HeaderMap) -> Report {
-        Report { load: text(headers, headers::LOAD).and_then(load_of), announcement: None }
+        Report { load: text(headers, headers::LOAD).and_then(parse_load), announcement: None }
     }
 
     /// Closing the connection is the only word for it; see `keep`.
@@ -90,7 +90,7 @@
 }
 
 /// Reads an upstream's load: three whole numbers, or four; nothing else is one.
-fn load_of(text: &str) -> Option<Load> {
+fn parse_load(text: &str) -> Option<Load> {
     let numbers: Result<Vec<u32>, _> = text.split(',').map(|number| number.trim().parse()).collect();
     match numbers.ok()?[..] {
         [active, queued, _slots] => Some(Load { active, queued, slowness: None }),
@@ -101,7 +101,7 @@
 
 /// Says whether a reply is the one to this call: a late one to an earlier
 /// request carries that one's id.
-fn is_own(call: &Call, headers: &HeaderMap) -> bool {
+fn is_reply_to(call: &Call, headers: &HeaderMap) -> bool {
     let Query::Bytes(query) = &call.query else { return false };
     text(headers, headers::CALLER_ID).is_none_or(|id| *id == *query.id)
 }
@@ -111,7 +111,7 @@
 }
 
 /// Reads a refusal of what was not run; none where the reply is none.
-fn refused(reply: &Response<Bytes>, report: &Report) -> Option<CallEnd> {
+fn parse_refusal(reply: &Response<Bytes>, report: &Report) -> Option<CallEnd> {
     let status = reply.status();
     if !reply.headers().contains_key(headers::NOT_RUN) && status != StatusCode::MISDIRECTED_REQUEST {
         return None;
@@ -126,7 +126,7 @@
     Some(CallEnd { end, verdict, report: report.clone() })
 }
 
-fn verdict_of(status: StatusCode) -> AttemptOutcome {
+fn outcome_of(status: StatusCode) -> AttemptOutcome {
     match status {
         StatusCode::GATEWAY_TIMEOUT => AttemptOutcome::Abandoned,
         status if status.is_server_error() => AttemptOutcome::Failed,
@@ -134,9 +134,9 @@
     }
 }
 
-fn reply_of(reply: Response<Bytes>) -> ByteReply {
+fn into_reply(reply: Response<Bytes>) -> ByteReply {
     let signature = text(reply.headers(), headers::SIGNATURE).map(Arc::from);
-    let handed_on = headers::handed_on(reply.headers());
+    let forwardable = headers::forwardable(reply.headers());
     let status = reply.status().as_u16();
-    ByteReply { status, headers: handed_on, body: reply.into_body(), signature }
+    ByteReply { status, headers: forwardable, body: reply.into_body(), signature }
 }
--- a/crates/harefield/src/telemetry/duty.rs
+++ b/crates/harefield/src/telemetry/duty.rs
@@ -22,7 +22,7 @@
     while let Ok(batch) = receiver.recv().await {
         let dropped = telemetry.take_dropped();
         for (_, event) in &batch.events {
-            board.metrics().take(event);
+            board.metrics().record(event);
             tally(event, &mut tallies, &board);
             board.count_account(event);
         }
--- a/crates/harefield/tests/decisions/entries.rs
+++ b/crates/harefield/tests/decisions/entries.rs
@@ -5,8 +5,8 @@
 use serde_json::json;
 
 use crate::support::cases;
-use harefield::platform::catalog_of;
-use harefield::platform::upstream_of;
+use harefield::platform::parse_catalog;
+use harefield::platform::parse_upstream;
 
 const FIELDS: [&str; 8] =
     ["service", "address", "zone", "version", "slots", "state", "coldRemainingMs", "sequence"];
@@ -30,7 +30,7 @@
 }
 
 fn is_upstream(entry: &Value) -> bool {
-    upstream_of(entry.to_string().as_bytes()).is_ok()
+    parse_upstream(entry.to_string().as_bytes()).is_ok()
 }
 
 /// A value of some type, which few fields take.
@@ -55,7 +55,7 @@
     assert!(is_upstream(&more), "fields that are not known yet");
     let mut leaving = entry();
     leaving["state"] = json!("draining");
-    assert!(upstream_of(leaving.to_string().as_bytes()).is_ok_and(|upstream| upstream.leaving));
+    assert!(parse_upstream(leaving.to_string().as_bytes()).is_ok_and(|upstream| upstream.leaving));
 }
 
 #[test]
@@ -89,17 +89,17 @@
     /// Bytes that are nothing, or a part of something, are read without a panic.
     #[test]
     fn any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..200), cut in 0_usize..200, flip in any::<usize>()) {
-        prop_assert!(upstream_of(&bytes).is_err());
-        prop_assert!(catalog_of(&bytes).is_err());
+        prop_assert!(parse_upstream(&bytes).is_err());
+        prop_assert!(parse_catalog(&bytes).is_err());
         for whole in [entry().to_string(), config().to_string()] {
             let mut bytes = whole.into_bytes();
             let place = flip % bytes.len();
             bytes[place] ^= 1 << (flip % 7);
             let part = &bytes[..cut.min(bytes.len())];
-            drop(upstream_of(part));
-            drop(catalog_of(part));
-            drop(upstream_of(&bytes));
-            drop(catalog_of(&bytes));
+            drop(parse_upstream(part));
+            drop(parse_catalog(part));
+            drop(parse_upstream(&bytes));
+            drop(parse_catalog(&bytes));
         }
     }
 }
--- a/crates/harefield/tests/fleet/warming.rs
+++ b/crates/harefield/tests/fleet/warming.rs
@@ -9,7 +9,7 @@
 use async_io::Timer;
 
 use harefield::adapters::upstreams::HttpUpstreams;
-use harefield::adapters::upstreams::OwnProtocol;
+use harefield::adapters::upstreams::JsonProtocol;
 use harefield::adapters::upstreams::unsent;
 use harefield::domain::outcome::Gap;
 use harefield::domain::routing::AttemptOutcome;
@@ -20,7 +20,7 @@
 #[test]
 fn dead_left_alone() {
     let executor: Rc<LocalExecutor<'static>> = Rc::default();
-    let upstreams = HttpUpstreams::new(OwnProtocol, Rc::clone(&executor), Memory::default());
+    let upstreams = HttpUpstreams::new(JsonProtocol, Rc::clone(&executor), Memory::default());
     // A port that was just free refuses connections.
     let listener = std::net::TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
     let address = listener.local_addr().expect("it has an address");
--- a/crates/harefield/tests/processes/silent_connections.rs
+++ b/crates/harefield/tests/processes/silent_connections.rs
@@ -16,7 +16,7 @@
 use harefield::adapters::http::Traffic;
 use harefield::adapters::peers::HttpPeers;
 use harefield::adapters::upstreams::HttpUpstreams;
-use harefield::adapters::upstreams::OwnProtocol;
+use harefield::adapters::upstreams::JsonProtocol;
 use harefield::domain::accounts::Requester;
 use harefield::domain::fanout::ReplyIdentity;
 use harefield::domain::hlc::Stamp;
@@ -164,7 +164,7 @@
 fn silent_upstream_dialled_anew() {
     let upstream = Listener::start();
     let executor: Rc<LocalExecutor<'static>> = Rc::default();
-    let upstreams = HttpUpstreams::new(OwnProtocol, Rc::clone(&executor), Memory::default());
+    let upstreams = HttpUpstreams::new(JsonProtocol, Rc::clone(&executor), Memory::default());
     let test = async {
         let call = call(&upstream);
         for _ in 0..2 {
