--- a/crates/harefield/src/platform/callers.rs
+++ b/crates/harefield/src/platform/callers.rs
@@ -1,5 +1,5 @@
-//! The callers' address as the users' clients speak: opaque requests by host
-//! and path, merged or handed back as they came.
+//! The callers' address of the users' platform: routes opaque requests by host and path, and
+//! returns either one upstream's reply unchanged or the merged replies of all shards.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -34,7 +34,7 @@
 use crate::ports::Peers;
 use crate::ports::Upstreams;
 
-/// Answers one request of a client.
+/// Answers one client request.
 pub async fn handle<U: Upstreams, P: Peers, C: Clock>(
     worker: Rc<Worker<U, P, C>>,
     request: Request<Incoming>,
@@ -53,7 +53,7 @@
     reply
 }
 
-/// Reads a request and finds the lookup that its path leads to.
+/// Reads a request and resolves the lookup for its host and path.
 async fn read<U: Upstreams, P: Peers, C: Clock>(
     worker: &Worker<U, P, C>,
     request: Request<Incoming>,
@@ -93,7 +93,7 @@
     })
 }
 
-/// Returns the name that a client addressed, in lower case and without a port.
+/// Returns the host name that a client addressed, in lower case and without a port.
 fn host_of(head: &Parts) -> String {
     let host = text(&head.headers, "host").or_else(|| head.uri.host()).unwrap_or("");
     let name = host.rsplit_once(':').map_or(host, |(name, _port)| name);
@@ -117,7 +117,7 @@
     }
 }
 
-/// Hands an upstream's reply back as it came.
+/// Returns an upstream's reply to the client unchanged.
 fn pass_through(reply: &ByteReply) -> Response<Full<Bytes>> {
     let mut response = Response::new(http::bytes(reply.body.clone()));
     *response.status_mut() = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::BAD_GATEWAY);
--- a/crates/harefield/src/platform/documents.rs
+++ b/crates/harefield/src/platform/documents.rs
@@ -1,4 +1,4 @@
-//! The documents that the store holds, decoded into the product's resources.
+//! Decodes the documents in the platform's store into harefield's own resources.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -28,41 +28,41 @@
 use crate::domain::resources::Urgency;
 use crate::domain::time::millis;
 
-/// The one shard that each of the users' services is.
+/// The name of the only shard of each of the users' services.
 const SHARD: &str = "all";
 
-/// The version of the one snapshot that each index has: a changed set of
-/// services is another index.
+/// The version of the only snapshot of each index: a changed set of services makes a new index.
 const VERSION: u64 = 1;
 
-/// Routes of at most this rank are urgent; 0 is the highest rank.
+/// Routes with a priority up to this value are urgent; 0 is the highest priority.
 const URGENT_RANK: u32 = 1;
 
-/// Routes of at most this rank are ordinary, those beyond it bulk work.
+/// Routes with a priority up to this value are ordinary; those above it are bulk work.
 const ORDINARY_RANK: u32 = 2;
 
-/// Cold spells are kept in steps of so many milliseconds: an upstream writes its entry again
-/// each second or so while it warms up, and each change would be told to every daemon. The
-/// users' spells of 3 s are then told twice, as they begin and as they end.
+/// The step to which remaining cold times are rounded up, in milliseconds. An upstream rewrites its
+/// entry about once a second while it warms up, and each change would be sent to every daemon. With
+/// this step, a cold period of 3 s, as the users' upstreams have it, is sent twice: at its start
+/// and at its end.
 const COLD_STEP_MS: f64 = 5000.0;
 
-/// The longest cold spell, in steps: ten minutes.
+/// The longest cold period, in steps: ten minutes.
 const MAX_COLD_STEPS: f64 = 120.0;
 
-/// Weights come as fractions too; they are kept in these parts of one.
+/// Weights may be fractions; they are stored as integers in units of 1/1000.
 const WEIGHT_PARTS: f64 = 1000.0;
 
-/// The newest configuration in whole.
+/// The operator's complete configuration document.
 #[derive(Debug, Deserialize)]
 struct ConfigDocument {
-    /// Rises with each one published, by uneven steps.
+    /// Increases with each publication, though not necessarily by 1.
     version: u64,
     routes: Vec<Route>,
     #[serde(default)]
     services: Vec<ServiceLimits>,
     #[serde(default)]
     limits: ClientLimits,
-    /// The client accounts; keys are asked for where they are given, even if there are none.
+    /// The client accounts. If the field is present, keys are required, even if the list is empty.
     tenants: Option<Vec<Tenant>>,
 }
 
@@ -73,14 +73,14 @@
     name: Arc<str>,
     #[serde(default, deserialize_with = "digests")]
     api_keys: Vec<KeyDigest>,
-    /// Goes before the route's.
+    /// Takes precedence over the route's priority.
     priority: Option<u32>,
-    /// Not bound where it is 0.
+    /// The requests per second that the account may send; unlimited if 0.
     #[serde(default)]
     rate_per_s: f64,
     #[serde(default)]
     burst: f64,
-    /// The only regions in which its requests may be served; everywhere where empty.
+    /// The only regions that may serve the account's requests; any region if empty.
     #[serde(default)]
     home_regions: Vec<Arc<str>>,
 }
@@ -99,63 +99,63 @@
     }
 }
 
-/// Reads keys as their digests; the error repeats no key.
+/// Deserializes keys as digests. The error message never contains a key.
 fn digests<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<KeyDigest>, D::Error> {
     let keys = Vec::<String>::deserialize(deserializer);
     let keys = keys.map_err(|_error| serde::de::Error::custom("expected a list of keys"))?;
     Ok(keys.iter().map(|key| KeyDigest::of(key.as_bytes())).collect())
 }
 
-/// A kind of request.
+/// A route: which requests it matches, and the services that handle them.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Route {
     name: Arc<str>,
     host: String,
     path_prefix: Arc<str>,
-    /// The one service that runs it, unless one of the next two stands.
+    /// The only service of the route, unless one of the next two fields is set.
     service: Option<Arc<str>>,
-    /// Services that its requests are divided over.
+    /// The services among which the route's requests are divided, by weight.
     traffic_split: Option<Vec<SplitPart>>,
-    /// The shards: every one of these services is asked.
+    /// The services that are queried as shards: each request goes to all of them.
     fanout_services: Option<Vec<Arc<str>>>,
-    /// `safe` where a request may run more than once.
+    /// `safe` if a request may run more than once.
     kind: String,
     timeout_ms: u64,
     target_latency_ms: Option<u64>,
     #[serde(default)]
     priority: u32,
     attempts: Option<u32>,
-    /// How many records an answer holds.
+    /// The maximum number of records in a merged answer.
     result_limit: Option<usize>,
-    /// A name that misleads: the least share of the shards that makes an
-    /// answer, and no version.
+    /// The smallest share of the shards that makes an answer. The document's field name is
+    /// misleading: it is not a version.
     oldest_version: Option<f64>,
-    /// The only regions in which its requests may be served; everywhere where empty.
+    /// The only regions that may serve the route's requests; any region if empty.
     #[serde(default)]
     home_regions: Vec<Arc<str>>,
-    /// Whether its requests need no key.
+    /// Whether requests need no key.
     #[serde(default)]
     public: bool,
 }
 
-/// A part of a route's requests.
+/// One service of a traffic split, with its share of the requests.
 #[derive(Debug, Deserialize)]
 struct SplitPart {
     service: Arc<str>,
     weight: f64,
 }
 
-/// What holds for all upstreams of a service.
+/// Limits that apply to every upstream of a service.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct ServiceLimits {
     name: Arc<str>,
     connection_limit: Option<u32>,
-    /// How long an upstream is cold after a start, in seconds.
+    /// How long an upstream is cold after it has started, in seconds.
     #[serde(default)]
     cold_start_s: f64,
-    /// How many requests a second a cold one bears; not bound where it is 0.
+    /// How many requests per second a cold upstream can handle; unlimited if 0.
     #[serde(default)]
     cold_per_s: f64,
 }
@@ -167,7 +167,7 @@
     }
 }
 
-/// Bounds on what a client may send.
+/// Size limits for client requests, in bytes.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct ClientLimits {
@@ -175,10 +175,10 @@
     body_bytes: Option<usize>,
 }
 
-/// An upstream's own entry; its key holds its id.
+/// The entry that an upstream writes about itself; the entry's key contains the upstream's id.
 ///
-/// Every field is required, also those that nothing is done with: an entry without one, or
-/// with another type in it, is some other writer's.
+/// Every field is required, even those that aren't used: an entry that lacks one, or has another
+/// type in it, was written by some other program.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct UpstreamEntry {
@@ -189,46 +189,47 @@
     _software: String,
     slots: NonZeroU32,
     state: State,
-    /// For how much longer it is cold, in milliseconds.
+    /// How much longer the upstream is cold, in milliseconds.
     cold_remaining_ms: f64,
     #[serde(rename = "sequence")]
     _sequence: u64,
-    /// When its process started, in milliseconds since the epoch; not from upstreams whose
-    /// platform does not say so.
+    /// When the upstream's process started, in milliseconds since the Unix epoch. `None` if the
+    /// upstream's platform doesn't report it.
     #[serde(default, deserialize_with = "whole")]
     born: Option<u64>,
 }
 
-/// What an upstream says of its own state.
+/// The state that an upstream reports for itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum State {
     Ready,
-    /// It takes no new work.
+    /// The upstream accepts no new work.
     Draining,
 }
 
-/// Reads a whole number where the field stands; nothing else may stand there.
+/// Deserializes a field that may be absent but, if it is present, must be a whole number (so `null`
+/// is an error).
 fn whole<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<u64>, D::Error> {
     u64::deserialize(deserializer).map(Some)
 }
 
-/// Why an entry names no upstream.
+/// The reason why an entry doesn't describe an upstream.
 #[derive(Debug, thiserror::Error)]
 pub enum EntryError {
-    /// It is not of the form of one.
+    /// The document isn't valid JSON or doesn't have the fields of an entry.
     #[error("{0}")]
     Malformed(#[from] serde_json::Error),
-    /// Nobody can be reached at its address.
-    #[error("{0} is no address to connect to")]
+    /// The address can't be connected to.
+    #[error("the address {0} cannot be connected to")]
     Address(SocketAddr),
 }
 
-/// Decodes the configuration.
+/// Decodes the configuration document.
 ///
 /// # Errors
 ///
-/// Returns why the document is not one.
+/// Returns an error if the document isn't a valid configuration.
 pub fn parse_catalog(document: &[u8]) -> Result<Catalog, serde_json::Error> {
     let config: ConfigDocument = serde_json::from_slice(document)?;
     let mut catalog = Catalog {
@@ -254,7 +255,7 @@
 ///
 /// # Errors
 ///
-/// Returns why the document names none.
+/// Returns an error if the document doesn't describe an upstream.
 pub fn parse_upstream(document: &[u8]) -> Result<Upstream, EntryError> {
     let entry: UpstreamEntry = serde_json::from_slice(document)?;
     let address = entry.address;
@@ -274,7 +275,8 @@
     })
 }
 
-/// Returns how long an upstream is cold, in whole steps, and never less than it says.
+/// Rounds the remaining cold time up to whole steps, so that it is never shorter than reported
+/// unless it exceeds the maximum.
 fn round_cold_ms(remaining: f64) -> u64 {
     let steps = (remaining / COLD_STEP_MS).ceil().clamp(0.0, MAX_COLD_STEPS);
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "it was clamped")]
@@ -287,8 +289,8 @@
     Service { team: String::new(), shards, connections, cold: None }
 }
 
-/// Decodes a route, and adds the indexes that it asks; none where it names no
-/// service.
+/// Decodes a route and adds the indexes that it queries to the catalog. Returns `None` if the route
+/// names no service.
 fn lookup(route: Route, catalog: &mut Catalog) -> Option<Lookup> {
     let (index, split) = if let Some(services) = &route.fanout_services {
         (add_index(services, catalog)?, Vec::new())
@@ -338,8 +340,8 @@
     }
 }
 
-/// Adds the index over a set of services, and its services where no limits
-/// name them; routes over the same set share it.
+/// Adds an index over a set of services, and those of its services that have no limits of their
+/// own. Routes over the same set of services share an index.
 fn add_index(services: &[Arc<str>], catalog: &mut Catalog) -> Option<String> {
     let first = services.first()?;
     let name = match services {
--- a/crates/harefield/src/platform/headers.rs
+++ b/crates/harefield/src/platform/headers.rs
@@ -1,4 +1,4 @@
-//! Header names of the users' platform, and which headers are handed on.
+//! Header names of the users' platform, and the rules for which headers are forwarded.
 
 use std::sync::Arc;
 
@@ -8,44 +8,44 @@
 use crate::domain::query::Claims;
 use crate::domain::reply::Header;
 
-/// Names one attempt of a client; the product's caller's id.
+/// Identifies one attempt of a client; used as the request's caller id.
 pub(super) const CALLER_ID: &str = "attempt-id";
 
-/// How long the client waits, in milliseconds.
+/// How long the client still waits, in milliseconds.
 pub(super) const TIME_LEFT: &str = "deadline-remaining";
 
-/// The upstream that alone may run the request.
+/// The only upstream that may run the request.
 pub(super) const EXPECTED_UPSTREAM: &str = "expect-instance";
 
-/// The upstream's signature over its reply.
+/// The upstream's signature of its reply.
 pub(super) const SIGNATURE: &str = "server-seal";
 
-/// Present where an upstream did not run a request and never will.
+/// Present if an upstream didn't run a request and never will.
 pub(super) const NOT_RUN: &str = "not-executed";
 
-/// An upstream's load: requests running, requests waiting, slots, and from some how long
-/// work takes at this moment, in percent of the usual time.
+/// An upstream's load: running requests, waiting requests and slots. Some upstreams add a fourth
+/// number: how long work takes at the moment, in percent of the usual time.
 pub(super) const LOAD: &str = "server-load";
 
-/// The signatures of the shards' replies that an answer was merged from.
+/// The signatures of the shard replies that were merged into an answer.
 pub(super) const SIGNATURES: &str = "part-seals";
 
-/// How often the store came back from a copy.
+/// How many times the store has been restored from a copy.
 pub(super) const ERA: &str = "store-era";
 
-/// How many shards an answer lacks.
+/// The number of shards that are missing from an answer.
 pub(super) const MISSING: &str = "missing-parts";
 
 /// The key of a client account.
 pub(super) const KEY: &str = "authorization";
 
-/// The name of the client account that a request is of.
+/// The name of the client account that a request belongs to.
 pub(super) const ACCOUNT: &str = "tenant";
 
-/// Headers that say who asks.
+/// Headers that identify the requester.
 const CLAIMS: [&str; 2] = [KEY, ACCOUNT];
 
-/// Headers that belong to one connection or that are set anew on each.
+/// Headers that apply to a single connection or are set anew for each request.
 const HOP_BY_HOP: [&str; 13] = [
     "connection",
     "keep-alive",
@@ -62,12 +62,13 @@
     EXPECTED_UPSTREAM,
 ];
 
-/// Returns the text of a header.
+/// Returns a header's value, or `None` if it is absent or isn't visible ASCII.
 pub(super) fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// Returns the headers that are handed on: all but those of the connection.
+/// Returns the headers to forward: all except the hop-by-hop headers, including those listed in
+/// `connection`.
 pub(super) fn forwardable(headers: &HeaderMap) -> Vec<Header> {
     let named = text(headers, "connection").unwrap_or("");
     let named: Vec<String> = named.split(',').map(|name| name.trim().to_ascii_lowercase()).collect();
@@ -78,12 +79,12 @@
     kept.map(|(name, value)| (Arc::from(name.as_str()), Bytes::copy_from_slice(value.as_bytes()))).collect()
 }
 
-/// Takes those headers out that say who asks.
+/// Removes and returns the headers that identify the requester.
 pub(super) fn extract_claims(headers: &mut Vec<Header>) -> Claims {
     Claims(headers.extract_if(.., |(name, _)| CLAIMS.contains(&&**name)).collect())
 }
 
-/// Adds headers that were handed on to a message.
+/// Appends forwarded headers to a message; invalid ones are skipped.
 pub(super) fn append_all(to: &mut HeaderMap, headers: &[Header]) {
     for (name, value) in headers {
         let name = hyper::header::HeaderName::from_bytes(name.as_bytes());
@@ -94,7 +95,7 @@
     }
 }
 
-/// Sets one header.
+/// Sets one header; an invalid value is ignored.
 pub(super) fn set(to: &mut HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = value.parse() {
         to.insert(name, value);
--- a/crates/harefield/src/platform/mod.rs
+++ b/crates/harefield/src/platform/mod.rs
@@ -1,8 +1,8 @@
-//! The users' platform: its names, formats and calls, and nothing that decides.
+//! Adapters for the users' platform: its names, formats and protocols. This module makes no
+//! decisions.
 //!
-//! What comes in is decoded once into the product's own resources, requests
-//! and replies; `docs/PLATFORM.md` maps the names. Settings come through the
-//! template `deploy/settings.toml`.
+//! Input is decoded once into harefield's own resources, requests and replies; `docs/PLATFORM.md`
+//! maps the names. Settings are filled in from the template `deploy/settings.toml`.
 
 mod callers;
 mod documents;
--- a/crates/harefield/src/platform/store.rs
+++ b/crates/harefield/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store: the one client for it, which reads and watches.
+//! The only client of the platform's store: lists and watches its entries.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -34,32 +34,32 @@
 use crate::ports::Space;
 use crate::ports::Watched;
 
-/// The key of the configuration.
+/// The key of the configuration document.
 const CONFIG_KEY: &str = "op/config";
 
-/// The prefix of what the operator says: the configuration, and each evacuation.
+/// The prefix of all keys that the operator writes: the configuration and the evacuations.
 const OPERATOR_PREFIX: &str = "op/";
 
-/// The prefix of the evacuations; the availability zone follows.
+/// The prefix of the evacuations; the name of the availability zone follows.
 const EVACUATIONS_PREFIX: &str = "op/evacuate/";
 
 /// The prefix of the upstreams' entries.
 const UPSTREAMS_PREFIX: &str = "servers/";
 
-/// The product's key of what the configuration holds.
+/// The key under which harefield stores the decoded configuration.
 const CATALOG_KEY: &str = "catalogs/operator";
 
-/// The value of an evacuation: that it stands there is all that it says, whatever else may
-/// be written.
+/// The decoded value of an evacuation. Only the presence of the key matters; the stored value is
+/// ignored.
 const EVACUATION: &str = "{}";
 
-/// One value, or that it was taken away.
+/// An entry of the store, or the tombstone of a deleted one.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Item {
-    /// A name that misleads: the item's key, which everyone may read.
+    /// The entry's key. The name in the store's JSON is misleading: any client can read it.
     private_key: String,
-    /// The bytes, in base64.
+    /// The value, in base64.
     #[serde(default)]
     value: Option<String>,
     revision: u64,
@@ -67,7 +67,7 @@
     tombstone: bool,
 }
 
-/// A page of a prefix.
+/// One page of the listing of a prefix.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Page {
@@ -76,14 +76,15 @@
     store_revision: u64,
 }
 
-/// The revisions that pages were read at.
+/// The range of revisions at which the pages of a listing were read.
 #[derive(Debug, Default)]
 struct PageRevisions {
     range: Option<(Revision, Revision)>,
 }
 
 impl PageRevisions {
-    /// Takes the next page's revision; pages of two eras are no listing.
+    /// Records the revision of the next page. Fails if the pages are from two eras, as they make no
+    /// consistent listing.
     fn record(&mut self, revision: Revision) -> Result<(), PlatformError> {
         let (first, last) = self.range.unwrap_or((revision, revision));
         if first.era != revision.era {
@@ -99,7 +100,7 @@
     }
 }
 
-/// The answer to a watch.
+/// The reply to a watch.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Events {
@@ -107,7 +108,8 @@
     store_revision: u64,
 }
 
-/// Reads the store by HTTP. It lists no hosts: daemons find each other.
+/// Reads the platform's store over HTTP. The store lists no hosts: daemons find each other by
+/// gossip.
 #[derive(Clone, Debug)]
 pub struct HttpStore {
     reader: JsonReader,
@@ -115,8 +117,8 @@
 }
 
 impl HttpStore {
-    /// Creates the client on one thread's executor; `traffic` counts its bytes, and
-    /// `left_out` shows how many entries name no upstream.
+    /// Creates the client on one thread's executor. `traffic` counts the bytes it receives, and
+    /// `unreadable` shows the number of upstream entries that can't be decoded.
     #[must_use]
     pub fn new(executor: Rc<LocalExecutor<'static>>, traffic: Traffic, unreadable: Gauge) -> Self {
         let answers =
@@ -130,9 +132,10 @@
     async fn list_config(&self, copy: SocketAddr) -> Result<Listing, PlatformError> {
         let mut pages = PageRevisions::default();
         let operator = self.read_pages(copy, OPERATOR_PREFIX, &mut pages).await?;
-        // Without it all lookups would be taken away.
+        // A listing without the configuration would remove all lookups.
         let config = operator.iter().find(|item| item.private_key == CONFIG_KEY);
-        let config = config.ok_or_else(|| PlatformError::Malformed("nothing is published yet".to_owned()))?;
+        let config = config
+            .ok_or_else(|| PlatformError::Malformed("the store holds no configuration yet".to_owned()))?;
         decode(config).map_err(|error| PlatformError::Malformed(error.to_string()))?;
         let upstreams = self.read_pages(copy, UPSTREAMS_PREFIX, &mut pages).await?;
         let mut listing = pages.listing();
@@ -144,7 +147,7 @@
         Ok(listing)
     }
 
-    /// Reads all pages of a prefix; notes the revisions that they were read at.
+    /// Reads all pages of a prefix and records the revision of each.
     async fn read_pages(
         &self,
         copy: SocketAddr,
@@ -155,7 +158,9 @@
         loop {
             let path = format!("/-/kv-range?pathPrefix={prefix}{after}");
             let StoreReply { era, body } = self.reader.get::<Page>(copy, &path, READ_LIMIT).await?;
-            let page = body.ok_or_else(|| PlatformError::Malformed("a page is gone".to_owned()))?;
+            let page = body.ok_or_else(|| {
+                PlatformError::Malformed("a page of the listing no longer exists".to_owned())
+            })?;
             pages.record(Revision::new(era, page.store_revision))?;
             let last = page.items.last().map(|item| item.private_key.clone());
             items.extend(page.items);
@@ -166,20 +171,20 @@
         }
     }
 
-    /// Puts an item into a listing, where it is the product's business.
+    /// Adds an item to a listing if harefield uses it.
     fn add_item(&self, listing: &mut Listing, item: &Item) {
         if let Some(Change { key, value: Some(value) }) = self.parse_change(listing.first.era, item) {
             listing.items.insert(key, value);
         }
     }
 
-    /// Decodes an item into a change of the product's resources; none where it is none of
-    /// the product's business, or a configuration that cannot be read, which leaves the one
-    /// before in force.
+    /// Decodes an item into a change of one of harefield's resources. Returns `None` if the item
+    /// isn't used, or if it is a configuration that can't be decoded; the previous configuration
+    /// then stays in force.
     ///
-    /// An entry that cannot be read takes its upstream away, as its deletion would: those
-    /// that list find the same as those that watched, and an upstream that lives writes its
-    /// entry again within a second or two.
+    /// An upstream's entry that can't be decoded removes the upstream, as a deletion would. This
+    /// way daemons that list and daemons that watch arrive at the same state, and an upstream that
+    /// is alive writes its entry again within a second or two.
     fn parse_change(&self, era: Era, item: &Item) -> Option<Change> {
         let name = &item.private_key;
         let id = name.strip_prefix(UPSTREAMS_PREFIX);
@@ -205,14 +210,15 @@
     }
 }
 
-/// Decodes an evacuation's item; none where it is not one.
+/// Decodes the item of an evacuation; returns `None` for any other item.
 fn parse_evacuation(item: &Item) -> Option<Change> {
     let zone = item.private_key.strip_prefix(EVACUATIONS_PREFIX).filter(|zone| !zone.is_empty())?;
     let value = (!item.tombstone).then(|| EVACUATION.into());
     Some(Change { key: format!("evacuations/{zone}").into(), value })
 }
 
-/// Says whether a text may be an upstream's id: it is sent in a header, and is no path.
+/// Returns whether a text is valid as an upstream's id, which is sent in a header and must not
+/// contain a path separator.
 fn is_valid_id(text: &str) -> bool {
     !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_graphic() && byte != b'/')
 }
@@ -238,7 +244,7 @@
         let Revision { era: known_era, number } = after;
         let path = format!("/-/kv-watch?pathPrefix=&after={number}&waitMs={}", wait.as_millis());
         let StoreReply { era, body } = self.reader.get::<Events>(copy, &path, watch_limit(wait)).await?;
-        // Of another era, the events say nothing of what was written below the number.
+        // After a restore, the events don't cover what was written below the known number.
         if era > known_era {
             return Ok(Watched::Restored(era));
         }
@@ -254,15 +260,15 @@
     }
 }
 
-/// An answer made up here would pass for one of the store.
+/// Returns an error, since an empty listing would be taken for the store's own answer.
 fn no_hosts() -> PlatformError {
-    PlatformError::Malformed("the store lists no hosts".to_owned())
+    PlatformError::Malformed("the store does not list hosts".to_owned())
 }
 
-/// Why an item cannot be read.
+/// The reason why an item can't be decoded.
 #[derive(Debug, thiserror::Error)]
 enum DecodeError {
-    #[error("it has no value")]
+    #[error("the entry has no value")]
     Empty,
     #[error("{0}")]
     Base64(#[from] base64::DecodeError),
@@ -272,7 +278,7 @@
     Entry(#[from] EntryError),
 }
 
-/// Decodes an item's value into a resource's JSON.
+/// Decodes an item's value into the JSON of one of harefield's resources.
 fn decode(item: &Item) -> Result<String, DecodeError> {
     let text = item.value.as_deref().ok_or(DecodeError::Empty)?;
     let bytes = STANDARD.decode(text)?;
--- a/crates/harefield/src/platform/unreadable.rs
+++ b/crates/harefield/src/platform/unreadable.rs
@@ -1,4 +1,4 @@
-//! Entries of the store that name no upstream.
+//! Keeps track of store entries that can't be decoded.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -10,10 +10,11 @@
 
 use crate::domain::revision::Revision;
 
-/// How many entries are remembered, so that each is told of once: as many as a page holds.
+/// The maximum number of entries to remember, so that each is logged once per revision: the number
+/// of entries on one page.
 const MAX_REPORTED: usize = 500;
 
-/// Entries that were left out, by key, with the revision that was told of.
+/// Entries that can't be decoded, by key, with the last revision that was logged.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UnreadableEntries {
     reported: Rc<RefCell<BTreeMap<String, Revision>>>,
@@ -21,12 +22,12 @@
 }
 
 impl UnreadableEntries {
-    /// Creates an empty account that `gauge` shows the length of.
+    /// Creates an empty set; `gauge` shows its size.
     pub fn new(gauge: Gauge) -> Self {
         Self { reported: Rc::default(), gauge }
     }
 
-    /// Notes an entry that cannot be read; tells of it once for each revision.
+    /// Records an entry that can't be decoded, and logs it once per revision.
     pub fn record(&self, key: &str, revision: Revision, why: &impl Display) {
         let mut reported = self.reported.borrow_mut();
         if reported.get(key) == Some(&revision)
@@ -35,11 +36,11 @@
             return;
         }
         reported.insert(key.to_owned(), revision);
-        warn!("{key} at revision {revision} cannot be read and is left out: {why}");
+        warn!("ignoring entry {key} at revision {revision}, which cannot be decoded: {why}");
         self.update_gauge(&reported);
     }
 
-    /// Notes that an entry can be read, or is gone.
+    /// Removes an entry that can now be decoded or has been deleted.
     pub fn clear(&self, key: &str) {
         let mut reported = self.reported.borrow_mut();
         if reported.remove(key).is_some() {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Forgets entries that a whole listing does not hold.
+    /// Removes all entries that aren't in a complete listing.
     pub fn retain_listed(&self, listed: impl Fn(&str) -> bool) {
         let mut reported = self.reported.borrow_mut();
         reported.retain(|key, _| listed(key));
--- a/crates/harefield/src/platform/upstreams.rs
+++ b/crates/harefield/src/platform/upstreams.rs
@@ -1,4 +1,4 @@
-//! The protocol of the users' upstreams: opaque requests, signed replies.
+//! The protocol of the users' upstreams: opaque requests and signed replies.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,7 +28,7 @@
 use crate::ports::CallEnd;
 use crate::ports::Place;
 
-/// The protocol of the users' upstreams.
+/// The protocol of the users' upstreams, whose replies carry a signature.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SignedProtocol;
 
@@ -83,13 +83,15 @@
         Report { load: text(headers, headers::LOAD).and_then(parse_load), announcement: None }
     }
 
-    /// Closing the connection is the only word for it; see `keep`.
+    /// The protocol has no cancel message: a request can only be cancelled by closing its
+    /// connection.
     fn cancel(&self, _place: &Place, _request: &str) -> Option<Request<Full<Bytes>>> {
         None
     }
 }
 
-/// Reads an upstream's load: three whole numbers, or four; nothing else is one.
+/// Parses an upstream's load, which is a list of three or four whole numbers. Returns `None` for
+/// anything else.
 fn parse_load(text: &str) -> Option<Load> {
     let numbers: Result<Vec<u32>, _> = text.split(',').map(|number| number.trim().parse()).collect();
     match numbers.ok()?[..] {
@@ -99,8 +101,8 @@
     }
 }
 
-/// Says whether a reply is the one to this call: a late one to an earlier
-/// request carries that one's id.
+/// Returns whether a reply belongs to this call. A late reply to an earlier request carries that
+/// request's id.
 fn is_reply_to(call: &Call, headers: &HeaderMap) -> bool {
     let Query::Bytes(query) = &call.query else { return false };
     text(headers, headers::CALLER_ID).is_none_or(|id| *id == *query.id)
@@ -110,7 +112,7 @@
     headers.contains_key(hyper::header::CONTENT_ENCODING)
 }
 
-/// Reads a refusal of what was not run; none where the reply is none.
+/// Parses a refusal of a request that wasn't run; returns `None` if the reply isn't a refusal.
 fn parse_refusal(reply: &Response<Bytes>, report: &Report) -> Option<CallEnd> {
     let status = reply.status();
     if !reply.headers().contains_key(headers::NOT_RUN) && status != StatusCode::MISDIRECTED_REQUEST {
