--- a/crates/harefield/src/platform/mod.rs
+++ b/crates/harefield/src/platform/mod.rs
@@ -7,8 +7,8 @@
 mod callers;
 mod documents;
 mod headers;
+mod left_out;
 mod store;
-mod unreadable;
 mod upstreams;
 
 pub use callers::handle;
--- a/crates/harefield/src/platform/store.rs
+++ b/crates/harefield/src/platform/store.rs
@@ -16,7 +16,7 @@
 use super::documents::parse_catalog;
 use super::documents::parse_upstream;
 use super::headers;
-use super::unreadable::UnreadableEntries;
+use super::left_out::UnreadableEntries;
 use crate::adapters::http::Traffic;
 use crate::adapters::reading::JsonReader;
 use crate::adapters::reading::READ_LIMIT;
