--- a/crates/harefield/src/adapters/callers.rs
+++ b/crates/harefield/src/adapters/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' address: lookups by HTTP with JSON.
+//! The callers' address: lookups over HTTP with JSON bodies.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -35,21 +35,21 @@
 use crate::ports::Peers;
 use crate::ports::Upstreams;
 
-/// The path under which lookups stand.
+/// The path prefix of lookups; the lookup's name follows.
 const LOOKUPS: &str = "/v1/lookups/";
 
-/// Bounds on one request.
+/// Limits on one request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestLimits {
-    /// The most bytes of its head.
+    /// The maximum size of its head, in bytes.
     pub head: usize,
-    /// The most bytes of its body.
+    /// The maximum size of its body, in bytes.
     pub body: usize,
-    /// How long its body may take.
+    /// The time within which the body must arrive.
     pub time: Duration,
 }
 
-/// The body of a lookup.
+/// The JSON body of a lookup request.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 struct Body {
@@ -59,7 +59,7 @@
     deadline_ms: Option<u64>,
 }
 
-/// A request that is refused before it is a lookup.
+/// A request that is rejected before its lookup starts.
 struct Rejection {
     code: Code,
     detail: String,
@@ -135,7 +135,7 @@
     Ok((body, lookup, credential))
 }
 
-/// Returns how many bytes a request's head takes, about.
+/// Returns the approximate size of a request's head, in bytes.
 #[must_use]
 pub fn head_bytes(head: &Parts) -> usize {
     let headers = head.headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4);
@@ -146,7 +146,8 @@
 ///
 /// # Errors
 ///
-/// Returns what the body breaks.
+/// Returns the code of the limit that the body exceeds, `NoRoom` if the daemon has no memory for
+/// it, or `MalformedBody` if the connection is lost before its end.
 pub async fn read_body(incoming: Incoming, limits: RequestLimits, memory: &Memory) -> Result<Bytes, Code> {
     if incoming.is_end_stream() {
         return Ok(Bytes::new());
@@ -167,7 +168,7 @@
     }
 }
 
-/// A request that was never taken ran nowhere.
+/// Returns the answer to a rejected request: it was not run anywhere.
 fn not_run(rejection: &Rejection) -> Answer {
     let mut answer = Answer::not_run("", rejection.code, None);
     if !rejection.detail.is_empty() {
--- a/crates/harefield/src/adapters/clock.rs
+++ b/crates/harefield/src/adapters/clock.rs
@@ -1,13 +1,13 @@
-//! The machine's clock.
+//! The system clock.
 //!
-//! It counts the time in which the host was suspended, which the steady clock leaves out:
-//! leases, deadlines and proofs of freshness that rest on it would be as fresh after the
-//! suspension as before. Timers of the system wait by the steady clock, so that a long wait
-//! looks at this clock from time to time.
+//! It includes the time during which the host was suspended, which the monotonic clock leaves out:
+//! otherwise leases, deadlines and proofs of freshness would look as fresh after a suspension as
+//! before it. System timers wait by the monotonic clock, so long waits check this clock from time
+//! to time.
 //!
-//! What goes by the plain steady clock: limits on one call or connection, pauses after a
-//! connection failed, the budget of log lines, and the limit of a planned stop. They bound
-//! waiting, and each is followed by a look at what is decided by this clock.
+//! The plain monotonic clock is used for limits on a single call or connection, pauses after a
+//! failed connection, the budget of log lines, and the limit of a planned stop. These only bound
+//! waiting, and after each of them decisions are made by this clock.
 
 use std::sync::OnceLock;
 use std::time::Duration;
@@ -22,14 +22,14 @@
 use crate::domain::time::micros;
 use crate::ports::Clock;
 
-/// How often a wait looks whether the host was suspended meanwhile: whatever waits for
-/// longer is at most this late after it, beside what it awaited by then.
+/// How often a wait checks whether the host was suspended meanwhile. A wait whose end passed during
+/// a suspension ends at most this late after it.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The first reading, on the steady clock and since the host started.
+/// The first reading: on the monotonic clock, and since the host booted.
 static FIRST: OnceLock<(Instant, Duration)> = OnceLock::new();
 
-/// The machine's clock.
+/// The system clock, which includes time in suspension.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemClock;
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// Returns the time since the host started, suspended or not.
+/// Returns the time since the host booted, including suspension.
 fn since_boot() -> Duration {
     let read = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(read.tv_sec).unwrap_or_default();
--- a/crates/harefield/src/adapters/http/body.rs
+++ b/crates/harefield/src/adapters/http/body.rs
@@ -1,4 +1,4 @@
-//! Reading and making bodies.
+//! Reads and creates HTTP bodies.
 
 use bytes::BytesMut;
 use http_body_util::BodyExt;
@@ -13,16 +13,16 @@
 use crate::memory::LEAST_COUNTED;
 use crate::memory::Memory;
 
-/// Why a body could not be read.
+/// The reason why a body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// It exceeds the limit.
+    /// The body exceeds the limit.
     #[error("the body exceeds the limit")]
     TooLarge,
-    /// There is no room for it in the daemon's memory.
+    /// The daemon's memory limit leaves no room for the body.
     #[error("there is no room for the body")]
     NoRoom,
-    /// The connection was lost before its end.
+    /// The connection was lost before the end of the body.
     #[error("the body was cut short")]
     CutShort,
 }
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 ///
-/// Returns why the body could not be read whole.
+/// Returns the reason why the body could not be read completely.
 pub async fn read<B>(body: B, limit: usize) -> Result<Bytes, BodyError>
 where
     B: Body<Data = Bytes, Error = hyper::Error>,
@@ -43,12 +43,12 @@
     }
 }
 
-/// Reads a whole body of at most `limit` bytes, counted in the daemon's memory for as long
-/// as any part of it is held.
+/// Reads a whole body of at most `limit` bytes, and accounts for its memory for as long as any part
+/// of it is in use.
 ///
 /// # Errors
 ///
-/// Returns why the body could not be read whole.
+/// Returns the reason why the body could not be read completely.
 pub async fn read_counted<B>(
     mut body: B,
     limit: usize,
@@ -75,7 +75,7 @@
     })
 }
 
-/// Counts one more chunk, once all together are worth it.
+/// Accounts for one more chunk, once the total is large enough to be counted.
 async fn count(
     memory: &Memory,
     held_for: Use,
@@ -103,7 +103,7 @@
     whole.freeze()
 }
 
-/// Counts the body of a reply that was made here, until it is written.
+/// Accounts for the body of a reply that was created here, until it has been written.
 pub async fn counted(reply: Response<Full<Bytes>>, memory: &Memory) -> Response<Full<Bytes>> {
     let size = reply.body().size_hint().exact().and_then(|size| usize::try_from(size).ok());
     let Some(size) = size.filter(|size| *size >= LEAST_COUNTED) else { return reply };
@@ -113,7 +113,7 @@
     Response::from_parts(head, bytes(counted.bind(whole.to_bytes())))
 }
 
-/// Makes a body of bytes.
+/// Creates a body from bytes.
 pub fn bytes(bytes: impl Into<Bytes>) -> Full<Bytes> {
     Full::new(bytes.into())
 }
--- a/crates/harefield/src/adapters/http/client.rs
+++ b/crates/harefield/src/adapters/http/client.rs
@@ -1,4 +1,4 @@
-//! A connection-level client, which sends each request once.
+//! An HTTP client for single connections, which sends each request only once.
 
 use std::net::SocketAddr;
 use std::net::TcpStream;
@@ -18,17 +18,17 @@
 use super::body;
 use super::stall_guard::StallGuardedStream;
 
-/// How long an upstream, the platform or another daemon may take nothing of what is sent:
-/// what is sent to one that reads is taken within some round trips.
+/// How long an upstream, the platform or another daemon may accept none of the data sent to it. A
+/// peer that reads accepts it within a few round trips.
 const STALL_LIMIT: Duration = Duration::from_secs(5);
 
-/// Why a request got no reply.
+/// The reason why a request got no reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ClientError {
     /// No byte of the request was written.
     #[error("nothing was sent")]
     NotSent,
-    /// The request was written, and no whole reply came.
+    /// The request was written, but no complete reply was received.
     #[error("the reply was lost")]
     Lost,
 }
@@ -52,11 +52,11 @@
         self.sender.is_closed()
     }
 
-    /// Sends a request and awaits the head of its reply.
+    /// Sends a request and waits for the head of its reply.
     ///
     /// # Errors
     ///
-    /// Returns the request where no byte of it was written.
+    /// Returns the request if no byte of it was written, or `None` if it may have been sent.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -70,7 +70,7 @@
 ///
 /// # Errors
 ///
-/// Returns `NotSent` where it could not be opened.
+/// Returns `NotSent` if it could not be opened.
 pub async fn connect(
     executor: &LocalExecutor<'_>,
     address: SocketAddr,
@@ -91,7 +91,8 @@
     Ok(Connection { sender })
 }
 
-/// Opens a connection, sends one request and reads its whole reply.
+/// Opens a connection, sends one request and reads its complete reply. `limit` applies to opening
+/// the connection and again to the exchange.
 ///
 /// # Errors
 ///
--- a/crates/harefield/src/adapters/http/mod.rs
+++ b/crates/harefield/src/adapters/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP by hyper over async-io, on one thread's executor.
+//! HTTP with hyper over async-io, on one thread's executor.
 
 mod body;
 mod client;
--- a/crates/harefield/src/adapters/http/pool.rs
+++ b/crates/harefield/src/adapters/http/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections kept for reuse, by address.
+//! Keeps idle connections for reuse, by address.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -18,22 +18,22 @@
 use super::client::Connection;
 use super::client::connect;
 
-/// The most idle connections kept to one address.
+/// The maximum number of idle connections to keep per address.
 const MAX_IDLE: usize = 64;
 
 /// Idle connections by address.
 #[derive(Debug, Default)]
 pub struct Pool {
     idle: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
-    /// Addresses that a spare connection is being opened to.
+    /// Addresses to which a spare connection is being opened.
     opening: RefCell<HashSet<SocketAddr>>,
 }
 
 impl Pool {
     /// Sends a request on an idle connection or a new one.
     ///
-    /// An idle connection found dead before a byte was written is replaced;
-    /// a request that was written is never sent again.
+    /// An idle connection that is found dead before a byte was written is replaced; a request that
+    /// was written is never sent again.
     ///
     /// # Errors
     ///
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Opens a spare connection where none is idle or being opened.
+    /// Opens a spare connection if none is idle or being opened.
     pub async fn keep_spare(&self, executor: &LocalExecutor<'_>, address: SocketAddr, limit: Duration) {
         let has_idle = self.idle.borrow().get(&address).is_some_and(|idle| !idle.is_empty());
         if has_idle || !self.opening.borrow_mut().insert(address) {
@@ -72,11 +72,11 @@
         self.opening.borrow_mut().remove(&address);
         match opened {
             Ok(connection) => self.release(address, connection),
-            Err(error) => debug!("no spare connection to {address}: {error:?}"),
+            Err(error) => debug!("cannot open a spare connection to {address}: {error:?}"),
         }
     }
 
-    /// Keeps a connection whose reply was read whole.
+    /// Returns a connection to the pool after its reply has been read completely.
     pub fn release(&self, address: SocketAddr, connection: Connection) {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(address).or_default();
@@ -88,7 +88,7 @@
     /// Closes the idle connections to an address.
     pub fn close_idle(&self, address: SocketAddr) {
         if let Some(idle) = self.idle.borrow_mut().remove(&address) {
-            debug!("{} idle connections to {address} are closed", idle.len());
+            debug!("closed {} idle connections to {address}", idle.len());
         }
     }
 
--- a/crates/harefield/src/adapters/http/reply.rs
+++ b/crates/harefield/src/adapters/http/reply.rs
@@ -1,4 +1,4 @@
-//! Making replies.
+//! Creates HTTP replies.
 
 use http_body_util::Full;
 use hyper::Response;
@@ -9,50 +9,51 @@
 use super::body::bytes;
 use crate::domain::code::Code;
 
-/// A numbered refusal outside a lookup.
+/// The JSON body of a refusal outside a lookup.
 #[derive(Serialize)]
 struct Refusal<'a> {
     code: Code,
     message: &'a str,
 }
 
-/// Makes a JSON reply.
+/// Creates a JSON reply.
 pub fn json<T: Serialize>(status: u16, value: &T) -> Response<Full<Bytes>> {
     let body = serde_json::to_vec(value).unwrap_or_default();
     reply_with(status, "application/json", body)
 }
 
-/// Makes a `MessagePack` reply.
+/// Creates a `MessagePack` reply with named fields.
 pub fn msgpack<T: Serialize>(value: &T) -> Response<Full<Bytes>> {
     let body = rmp_serde::to_vec_named(value).unwrap_or_default();
     reply_with(200, "application/msgpack", body)
 }
 
-/// Makes a `MessagePack` reply whose fields go by their places.
+/// Creates a `MessagePack` reply whose fields are identified by position.
 pub fn msgpack_compact<T: Serialize>(value: &T) -> Response<Full<Bytes>> {
     let body = rmp_serde::to_vec(value).unwrap_or_default();
     reply_with(200, "application/msgpack", body)
 }
 
-/// Makes a reply that is plain text.
+/// Creates a plain text reply.
 #[must_use]
 pub fn text(text: &str) -> Response<Full<Bytes>> {
     reply_with(200, "text/plain; charset=utf-8", text.as_bytes().to_vec())
 }
 
-/// Makes a reply that is a page.
+/// Creates an HTML reply.
 #[must_use]
 pub fn html(page: &str) -> Response<Full<Bytes>> {
     reply_with(200, "text/html; charset=utf-8", page.as_bytes().to_vec())
 }
 
-/// Makes a reply that is a drawing.
+/// Creates an SVG reply.
 #[must_use]
 pub fn svg(drawing: &str) -> Response<Full<Bytes>> {
     reply_with(200, "image/svg+xml", drawing.as_bytes().to_vec())
 }
 
-/// Makes a numbered refusal.
+/// Creates a refusal with a result code; `detail` is appended to the code's text unless it is
+/// empty.
 #[must_use]
 pub fn refusal(code: Code, detail: &str) -> Response<Full<Bytes>> {
     let message =
--- a/crates/harefield/src/adapters/http/server.rs
+++ b/crates/harefield/src/adapters/http/server.rs
@@ -1,4 +1,4 @@
-//! Serving the connections of one listener on one thread's executor.
+//! Serves the connections of one listener on one thread's executor.
 
 use std::net::TcpStream;
 use std::pin::pin;
@@ -24,39 +24,39 @@
 use super::stall_guard::StallGuardedStream;
 use crate::memory::Memory;
 
-/// Bounds on what one connection may take.
+/// Limits on one connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
-    /// The most bytes of a request's head.
+    /// The maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// How long a head may take, idle time between requests included.
+    /// How long receiving a head may take, including idle time between requests.
     pub head_time: Duration,
 }
 
-/// Tells connections that a planned stop has begun; closed when it has.
+/// Signals a planned stop to connections: the channel is closed when it begins.
 pub type Stop = async_channel::Receiver<()>;
 
-/// Bytes that the system holds of what is written to one connection: some round trips' worth
-/// between regions. Without a bound it takes megabytes for a peer that does not read.
+/// The size of the kernel's send buffer per connection, in bytes: enough for a few round trips
+/// between regions. Without this bound the kernel buffers megabytes for a peer that doesn't read.
 const SEND_BUFFER: usize = 128 << 10;
 
-/// Sets a connection's options; one that refuses them is served all the same.
-fn prepare(stream: &TcpStream) {
+/// Sets a connection's socket options. A connection is served even if they can't be set.
+fn set_options(stream: &TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
-        debug!("a connection sends small messages late: {error}");
+        debug!("cannot disable Nagle's algorithm for a connection: {error}");
     }
     if let Err(error) = set_socket_send_buffer_size(stream, SEND_BUFFER) {
-        debug!("what the system holds of a connection is not bound: {error}");
+        debug!("cannot limit the send buffer of a connection: {error}");
     }
 }
 
 /// Serves one connection until its caller, a limit or a planned stop ends it.
 ///
-/// A planned stop lets the request in progress end, then closes the
-/// connection; an idle one is closed after `linger`.
+/// When a planned stop begins, the connection is still served for `linger`. Then an idle connection
+/// is closed, and one with a request in progress is closed after its reply.
 ///
-/// A connection whose peer takes nothing for too long, or that the account of `memory` ends,
-/// is closed with what it holds.
+/// A connection is also closed, with everything it holds, if its peer accepts no data for too long,
+/// or if memory accounting evicts it.
 pub async fn serve<F, R>(
     stream: Async<TcpStream>,
     limits: ServerLimits,
@@ -67,7 +67,7 @@
     F: Fn(Request<Incoming>) -> R,
     R: Future<Output = Response<Full<Bytes>>>,
 {
-    prepare(stream.get_ref());
+    set_options(stream.get_ref());
     let writer = Rc::new(memory.writer());
     let stream = StallGuardedStream::new(stream, memory.stall()).with_writer(Rc::clone(&writer));
     let answer = |request| async {
--- a/crates/harefield/src/adapters/http/stall_guard.rs
+++ b/crates/harefield/src/adapters/http/stall_guard.rs
@@ -1,4 +1,4 @@
-//! A connection's stream, which ends where its peer takes nothing for too long, or room is
+//! A connection's stream that is closed if its peer stops reading for too long, or if its memory is
 //! needed.
 
 use std::io::Error;
@@ -22,34 +22,34 @@
 
 use crate::memory::Writer;
 
-/// A peer that takes fewer bytes in the time of a stall takes nothing: the system hands a few
-/// on from time to time though nobody reads them.
+/// A peer that accepts fewer bytes than this within the stall limit counts as stalled: the kernel
+/// accepts a few bytes from time to time even if the peer never reads.
 const MIN_PROGRESS: usize = 16 << 10;
 
-/// A stream whose writes must go on.
+/// A stream whose writes must make progress.
 ///
-/// It writes several buffers at once: else bodies are copied behind their heads, into a
-/// buffer that the connection then keeps at the size of its largest message.
+/// It supports vectored writes. Without them hyper copies bodies behind their heads into a buffer
+/// that the connection then keeps at the size of its largest message.
 #[derive(Debug)]
 pub struct StallGuardedStream<S> {
     stream: FuturesIo<S>,
-    /// How long its peer may take next to nothing.
+    /// How long the peer may accept almost nothing.
     stall: Duration,
-    /// Runs while the peer takes next to nothing.
+    /// Runs while the peer accepts almost nothing.
     timer: Option<Timer>,
-    /// The bytes that were taken since then.
+    /// The bytes that were accepted since the last reset.
     written_bytes: usize,
     writer: Option<Rc<Writer>>,
 }
 
 impl<S> StallGuardedStream<S> {
-    /// Wraps a stream that is ended where its peer takes nothing for `stall`.
+    /// Wraps a stream that is closed if its peer accepts nothing for `stall`.
     #[must_use]
     pub fn new(stream: S, stall: Duration) -> Self {
         Self { stream: FuturesIo::new(stream), stall, timer: None, written_bytes: 0, writer: None }
     }
 
-    /// Lets the account of memory end it as well.
+    /// Also allows memory accounting to close the stream.
     #[must_use]
     pub fn with_writer(self, writer: Rc<Writer>) -> Self {
         Self { writer: Some(writer), ..self }
@@ -57,13 +57,13 @@
 
     fn check_evicted(&self, context: &Context<'_>) -> Result<()> {
         if self.writer.as_ref().is_some_and(|writer| writer.is_ended(context.waker())) {
-            info!("a connection whose peer does not read is ended to make room");
-            return Err(Error::new(ErrorKind::ConnectionAborted, "ended to make room"));
+            info!("closing a connection whose peer does not read, to free memory");
+            return Err(Error::new(ErrorKind::ConnectionAborted, "closed to free memory"));
         }
         Ok(())
     }
 
-    /// Takes the result of a write; ends the stream where too little is taken for too long.
+    /// Records the result of a write, and fails if too little has been accepted for too long.
     fn check_progress(
         &mut self,
         context: &mut Context<'_>,
@@ -91,11 +91,11 @@
         if let Some(writer) = &self.writer {
             writer.note_stalled();
         }
-        info!("a connection is ended: its peer took {} bytes in {stall:?}", self.written_bytes);
-        Poll::Ready(Err(Error::new(ErrorKind::TimedOut, "the peer takes nothing")))
+        info!("closing a connection whose peer accepted only {} bytes in {stall:?}", self.written_bytes);
+        Poll::Ready(Err(Error::new(ErrorKind::TimedOut, "the peer stopped reading")))
     }
 
-    /// Forgets what was taken: all is written, or enough of it was.
+    /// Resets the progress count and the timer, as everything or enough has been written.
     fn reset(&mut self) {
         self.timer = None;
         self.written_bytes = 0;
--- a/crates/harefield/src/adapters/http/token.rs
+++ b/crates/harefield/src/adapters/http/token.rs
@@ -1,4 +1,4 @@
-//! Tokens shown by peers and operators, and keys shown by callers.
+//! Reads the tokens that peers and operators send, and the keys that callers send.
 
 use hyper::HeaderMap;
 use hyper::header::AUTHORIZATION;
@@ -6,12 +6,12 @@
 
 use crate::domain::key::Credential;
 
-/// What a key follows, in any case.
+/// The authentication scheme that precedes a key; case is ignored.
 const BEARER_SCHEME: &str = "bearer ";
 
-/// Says whether a request shows the token that is asked for, if any.
+/// Returns whether a request contains the required token, or whether none is required.
 ///
-/// The comparison takes the same time whatever is shown.
+/// The comparison takes constant time, whatever the request contains.
 #[must_use]
 pub fn has_token(headers: &HeaderMap, token: Option<&str>) -> bool {
     let Some(token) = token else { return true };
@@ -20,7 +20,7 @@
     shown.as_bytes().ct_eq(token.as_bytes()).into()
 }
 
-/// Reads the key that a request shows.
+/// Reads the key that a request contains. More than one `authorization` header is malformed.
 #[must_use]
 pub fn credential(headers: &HeaderMap) -> Credential {
     let mut shown = headers.get_all(AUTHORIZATION).iter();
--- a/crates/harefield/src/adapters/logs.rs
+++ b/crates/harefield/src/adapters/logs.rs
@@ -1,8 +1,8 @@
-//! Logs as JSON lines on standard output, by fern.
+//! Writes logs as JSON lines to standard output, using fern.
 //!
-//! Whoever logs puts a line into a bounded ring; a thread of its own writes
-//! them out. A full ring, or more lines than may be written, drops and counts
-//! them: a request never waits for its log.
+//! Log calls put their lines into a bounded ring, and a separate thread writes them out. If the
+//! ring is full or the rate limit is exceeded, lines are dropped and counted: a request never waits
+//! for its log.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -19,23 +19,23 @@
 
 use crate::domain::ids::HostId;
 
-/// The target of lines that hold one event as JSON.
+/// The log target of lines that contain one event as JSON.
 pub const EVENTS: &str = "event";
 
-/// How many lines the ring holds: some ten seconds of what is written for long.
+/// The capacity of the ring in lines: about ten seconds of logging at the sustained rate.
 const RING_LENGTH: usize = 4096;
 
-/// How many lines a second are written for long: some 100 kB, far more than a
-/// daemon of today says, and far less than it would take to be slowed by.
+/// The sustained rate limit: about 100 kB per second, far more than a daemon logs, and far less
+/// than would slow it down.
 const LINES_PER_SECOND: f64 = 400.0;
 
-/// How many lines may come at once on top of that.
+/// The number of lines that may be written at once on top of the sustained rate.
 const BURST: f64 = 2_000.0;
 
-/// The most bytes written at once; a pipe takes that many whole or not at all.
+/// The maximum number of bytes to write at once; a pipe takes that many atomically.
 const MAX_WRITE: usize = 4096;
 
-/// The pause between writes, so that lines go out together.
+/// The pause between writes, so that lines are written in batches.
 const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Serialize)]
@@ -51,7 +51,7 @@
     event: Option<&'a RawValue>,
 }
 
-/// Says how many lines were not written.
+/// A log line that reports how many lines were dropped.
 #[derive(Serialize)]
 struct Dropped {
     level: &'static str,
@@ -60,11 +60,11 @@
     lines: u64,
 }
 
-/// Starts logging to standard output, one JSON object a line.
+/// Starts logging to standard output, one JSON object per line.
 ///
 /// # Errors
 ///
-/// Returns an error where logging was started before.
+/// Returns an error if logging has already been started.
 pub fn start(level: log::LevelFilter, host: HostId) -> Result<(), log::SetLoggerError> {
     let (sender, lines) = async_channel::bounded::<String>(RING_LENGTH);
     let dropped = Arc::new(AtomicU64::new(0));
@@ -78,7 +78,7 @@
     let writer = Writer { lines, dropped, tokens: BURST, refilled: Instant::now() };
     let started = std::thread::Builder::new().name("log".to_owned()).spawn(move || writer.run());
     if let Err(error) = started {
-        eprintln!("no thread for the log, nothing is logged: {error}");
+        eprintln!("cannot start the log thread, nothing will be logged: {error}");
     }
     Ok(())
 }
@@ -93,7 +93,7 @@
     serde_json::to_string(&Line { time, level, host, target, message, event }).unwrap_or_default()
 }
 
-/// Writes lines out, within what may be written.
+/// Writes log lines to standard output within the rate limit.
 struct Writer {
     lines: Receiver<String>,
     dropped: Arc<AtomicU64>,
@@ -106,14 +106,14 @@
         while let Ok(line) = self.lines.recv_blocking() {
             self.refill();
             if self.write_all(line).is_err() {
-                // Nobody reads any more; the ring fills up and is counted.
+                // Standard output is closed. The ring fills up, and lines are counted as dropped.
                 return;
             }
             std::thread::sleep(WRITE_INTERVAL);
         }
     }
 
-    /// Writes a line and all others that wait, in pieces of whole lines.
+    /// Writes a line and all others that are waiting, in chunks of whole lines.
     fn write_all(&mut self, first: String) -> std::io::Result<()> {
         let mut text = String::with_capacity(MAX_WRITE);
         let mut next = Some(first);
--- a/crates/harefield/src/adapters/metrics.rs
+++ b/crates/harefield/src/adapters/metrics.rs
@@ -21,23 +21,23 @@
 use crate::domain::outcome::Outcome;
 use crate::memory::Meters;
 
-/// The first bound of the latency histograms, in seconds.
+/// The upper bound of the first latency bucket, in seconds.
 const FIRST_BUCKET: f64 = 0.002;
 
-/// Each bound is this many times the one before.
+/// The ratio of each bucket's bound to the previous one.
 const BUCKET_FACTOR: f64 = 1.6;
 
-/// How many bounds there are; the last is some 9 s, beyond the users' deadlines.
+/// The number of buckets. The last bound is about 9 s, beyond the users' deadlines.
 const BUCKETS: u16 = 19;
 
-/// How many lookups have times of their own; the rest share one, so that a
-/// configuration with many routes does not grow what is kept and served.
+/// The maximum number of lookups with a histogram of their own. The others share one, so that a
+/// configuration with many routes doesn't increase the memory and the size of the output.
 const MAX_LOOKUPS: usize = 40;
 
-/// The name under which further lookups are counted.
+/// The label of the histogram that the remaining lookups share.
 const OTHER_LOOKUPS: &str = "others";
 
-/// The name of requests that every shard contributed to.
+/// The label of requests to which every shard contributed.
 const WHOLE: &str = "whole";
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -53,7 +53,7 @@
 type Kinds = Family<Kind, Counter>;
 type Times = Family<Lookup, Histogram, fn() -> Histogram>;
 
-/// What a daemon counts and measures.
+/// The metrics of a daemon.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -98,7 +98,7 @@
 }
 
 impl Metrics {
-    /// Creates metrics that count from nothing.
+    /// Creates metrics with all counters at zero.
     #[must_use]
     pub fn new() -> Self {
         let mut registry = Registry::with_prefix("harefield");
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Takes one event of the time line.
+    /// Updates the metrics from one event of the time line.
     pub fn record(&self, event: &Event) {
         match event {
             Event::Answered { lookup, outcome, code, missing, micros, .. } => {
@@ -219,17 +219,18 @@
         Lookup { lookup: lookup.to_owned() }
     }
 
-    /// Takes for how long a newer revision may have been confirmed; infinite until
-    /// something vouches for the one in force.
+    /// Sets how long a newer revision may have been confirmed without having been received. `None`,
+    /// shown as infinity, means that nothing has yet proven that the active revision is current.
     pub fn set_age(&self, age: Option<Duration>) {
         self.age.set(age.map_or(f64::INFINITY, |age| age.as_secs_f64()));
     }
 
-    /// Returns what the account of memory shows.
+    /// Returns the metrics that memory accounting updates.
     #[must_use]
     pub fn meters(&self) -> Meters {
         let kind = |kind: &str| Kind { kind: kind.to_owned() };
-        // A family's metric is returned under a lock, which the next one would wait for.
+        // A family's metric is returned under a lock, which the next call would wait for, so the
+        // metric is cloned and the lock released.
         let gauge = |held_for: Use| {
             let metric = self.held.get_or_create(&kind(held_for.name())).clone();
             (held_for, metric)
@@ -239,18 +240,18 @@
         Meters { held: Use::ALL.map(gauge).into(), stalled, evicted }
     }
 
-    /// Returns the gauge of entries of the platform that name no upstream.
+    /// Returns the gauge of platform entries that don't describe an upstream.
     #[must_use]
     pub fn left_out(&self) -> Gauge {
         self.left_out.clone()
     }
 
-    /// Returns all that was counted, in the text format that scrapers read.
+    /// Returns all metrics in the Prometheus text format.
     #[must_use]
     pub fn text(&self) -> String {
         let mut text = String::new();
         if let Err(error) = encode(&mut text, &self.registry) {
-            log::warn!("the metrics cannot be written: {error}");
+            log::warn!("cannot encode the metrics: {error}");
         }
         text
     }
--- a/crates/harefield/src/adapters/mod.rs
+++ b/crates/harefield/src/adapters/mod.rs
@@ -1,5 +1,4 @@
-//! The surroundings: HTTP, the platform, peers, the clock, settings, logs and
-//! metrics.
+//! Adapters to the outside: HTTP, the platform, peers, the clock, settings, logs and metrics.
 
 pub mod callers;
 pub mod clock;
--- a/crates/harefield/src/adapters/opaque.rs
+++ b/crates/harefield/src/adapters/opaque.rs
@@ -1,5 +1,5 @@
-//! Answers to opaque requests as they travel between daemons: records are merged
-//! before they leave, and fields go by their places.
+//! The format in which daemons send each other answers to opaque requests. Records are merged
+//! before they are sent, and fields are identified by position.
 
 use std::sync::Arc;
 
@@ -25,9 +25,9 @@
     outcome: Outcome,
     code: Code,
     snapshot: Option<SnapshotName>,
-    /// When to come back, in milliseconds.
+    /// The time after which the caller should retry, in milliseconds.
     retry_after: Option<u64>,
-    /// How many records are kept where replies are merged.
+    /// The maximum number of records to keep; `None` if replies aren't merged.
     merge: Option<usize>,
     missing: Vec<Missing>,
     parts: Vec<(ShardId, ByteReply)>,
@@ -35,8 +35,7 @@
 }
 
 impl OpaqueAnswer {
-    /// Takes what there is of an answer; where replies are merged, the first part
-    /// carries the records of all.
+    /// Converts an answer. If replies are merged, the first part contains the records of all.
     pub fn new(answer: &Answer) -> Self {
         let bytes = |part: &Part| Some((Arc::clone(&part.shard), (**part.reply.bytes()?).clone()));
         let mut parts: Vec<(ShardId, ByteReply)> = answer.results.iter().filter_map(bytes).collect();
@@ -55,7 +54,7 @@
         }
     }
 
-    /// Makes the answer that it was taken from, but for merged records.
+    /// Converts back to the original answer, except that merged records stay merged.
     pub fn into_answer(self, request: &str) -> Answer {
         let mut answer = Answer::bare(request, self.outcome, self.code);
         answer.snapshot = self.snapshot;
@@ -73,7 +72,7 @@
     }
 }
 
-/// Merges the records of all parts into the first, which alone carries any then.
+/// Merges the records of all parts into the first one; the others become empty.
 fn merge(parts: &mut [(ShardId, ByteReply)], limit: usize) {
     let mut records = Bytes::from(greatest(parts.iter().map(|(_, reply)| &*reply.body), limit));
     for (_, reply) in parts {
--- a/crates/harefield/src/adapters/operators/fleet.rs
+++ b/crates/harefield/src/adapters/operators/fleet.rs
@@ -1,4 +1,4 @@
-//! Gathering from every daemon that can be reached.
+//! Collects data from all reachable daemons.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,10 +17,10 @@
 /// How long another daemon may take to answer.
 const ANSWER_LIMIT: Duration = Duration::from_secs(2);
 
-/// The most bytes of another daemon's answer.
+/// The maximum size of another daemon's reply, in bytes.
 const MAX_REPLY_BYTES: usize = 64 << 20;
 
-/// Events of the fleet, merged by hybrid logical time.
+/// Events of the whole fleet, ordered by hybrid logical time.
 #[derive(Debug, Serialize)]
 pub(super) struct FleetEvents {
     /// The operators' addresses that did not answer.
@@ -29,23 +29,23 @@
     pub records: Vec<Record>,
 }
 
-/// The accounts of all daemons.
+/// The status of all daemons.
 #[derive(Debug, Serialize)]
 pub(super) struct FleetStatus {
     /// The operators' addresses that did not answer.
     pub silent: Vec<SocketAddr>,
-    /// What the others said.
+    /// The status of this daemon, followed by those of the others that answered.
     pub daemons: Vec<Status>,
 }
 
-/// What was gathered from the other daemons.
+/// The replies of the other daemons.
 struct FleetReplies<T> {
     silent: Vec<SocketAddr>,
     answers: Vec<T>,
 }
 
 impl Operators {
-    /// Gathers the selected events of the fleet.
+    /// Collects the selected events of the whole fleet.
     pub(super) async fn fleet_events(&self, filter: &Filter) -> FleetEvents {
         let query = serde_urlencoded::to_string(filter).unwrap_or_default();
         let others: FleetReplies<Vec<Record>> = self.query_peers(&format!("/v1/timeline?{query}")).await;
@@ -55,7 +55,7 @@
         FleetEvents { silent: others.silent, records }
     }
 
-    /// Gathers every daemon's account of itself.
+    /// Collects the status of every daemon.
     pub(super) async fn fleet_status(&self) -> FleetStatus {
         let others: FleetReplies<Status> = self.query_peers("/v1/status").await;
         let mut daemons = vec![self.board.status().clone()];
@@ -63,7 +63,7 @@
         FleetStatus { silent: others.silent, daemons }
     }
 
-    /// Asks every other known daemon, at once.
+    /// Queries all other known daemons at the same time.
     async fn query_peers<T: DeserializeOwned + 'static>(&self, path: &str) -> FleetReplies<T> {
         let addresses = self.peer_addresses();
         let queries = addresses.iter().map(|address| {
--- a/crates/harefield/src/adapters/operators/mod.rs
+++ b/crates/harefield/src/adapters/operators/mod.rs
@@ -1,7 +1,7 @@
-//! The operators' address: status, resources, time line, checks and a page.
+//! The operators' address: status, resources, time line, checks and a web page.
 //!
-//! What is asked of the whole fleet is gathered here from the other daemons'
-//! operators' addresses, so that a browser needs to reach one daemon only.
+//! Queries for the whole fleet are sent from here to the operators' addresses of the other daemons,
+//! so that a browser only needs to reach one daemon.
 
 mod fleet;
 mod resources;
@@ -33,13 +33,13 @@
 use crate::telemetry::Filter;
 use crate::telemetry::waterfall;
 
-/// The page, self-contained.
+/// The operators' web page, which loads no other files.
 const PAGE: &str = include_str!("page.html");
 
-/// The most bytes of a resource set to check.
+/// The maximum size of a resource set to check, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// A resource set as a file or a request holds it.
+/// A set of resources, as in a file or in the body of a request.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ResourceFile {
@@ -52,7 +52,7 @@
     ///
     /// # Errors
     ///
-    /// Returns every fault of the set.
+    /// Returns all errors in the set.
     pub fn check(&self) -> Result<ResourceSet, Vec<ResourceError>> {
         let items: Items =
             self.items.iter().map(|(key, value)| (Arc::clone(key), value.get().into())).collect();
@@ -67,7 +67,7 @@
     faults: Vec<ResourceError>,
 }
 
-/// Answers operators.
+/// The server of the operators' address.
 #[derive(Clone, Debug)]
 pub struct Operators {
     board: Arc<Board>,
@@ -76,8 +76,8 @@
 }
 
 impl Operators {
-    /// Creates the adapter on one thread's executor; `token` is asked of
-    /// operators and shown to other daemons.
+    /// Creates the server on one thread's executor. `token` is required of operators and sent to
+    /// other daemons.
     #[must_use]
     pub fn new(board: Arc<Board>, token: Option<String>, executor: Rc<LocalExecutor<'static>>) -> Self {
         Self { board, token, executor }
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Says whether new connections of callers are welcome; asked by balancers,
-    /// which show no token.
+    /// Reports whether callers may open new connections. Load balancers poll this and send no
+    /// token.
     fn ready(&self) -> Response<Full<Bytes>> {
         let status = self.board.status();
         if status.stopping {
--- a/crates/harefield/src/adapters/operators/resources.rs
+++ b/crates/harefield/src/adapters/operators/resources.rs
@@ -1,4 +1,4 @@
-//! Resources as published, with what this daemon observes of them.
+//! Published resources, together with the conditions that this daemon observes.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -26,13 +26,13 @@
 use crate::telemetry::Status;
 use crate::telemetry::UpstreamStatus;
 
-/// The longest wait of a watch.
+/// The maximum wait of a watch.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// How often a waiting watch looks for a newer revision.
+/// How often a waiting watch checks for a newer revision.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What is asked of a listing.
+/// The query parameters of a listing.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 struct Selection {
@@ -41,7 +41,7 @@
     wait_ms: u64,
 }
 
-/// Resources with what is observed of them.
+/// Resources with their observed conditions.
 #[derive(Debug, Serialize)]
 struct Listing {
     revision: Option<Revision>,
@@ -60,7 +60,8 @@
 }
 
 impl Operators {
-    /// Answers `KIND` or `KIND/NAME`, once the revision is after the one given.
+    /// Answers requests for `KIND` or `KIND/NAME`; with `after`, waits up to `wait-ms` for a newer
+    /// revision.
     pub(super) async fn resources(&self, path: &str, query: &str) -> Response<Full<Bytes>> {
         let selection: Selection = match serde_urlencoded::from_str(query) {
             Ok(selection) => selection,
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Returns the resources of a kind; none where there is no such kind.
+    /// Returns the resources of a kind, or `None` if there is no such kind.
     fn items(&self, kind: &str) -> Option<Vec<Item>> {
         let set = self.board.set();
         let status = self.board.status().clone();
@@ -117,7 +118,7 @@
         Some(items)
     }
 
-    /// Returns the accounts with how many keys each has, and no key.
+    /// Returns the accounts with the number of their keys, but without the keys themselves.
     fn accounts(&self, set: &ResourceSet) -> Vec<Item> {
         let item = |(name, account): (&Arc<str>, &Arc<Account>)| Item {
             key: format!("accounts/{name}"),
@@ -148,8 +149,8 @@
     resources.iter().map(item).collect()
 }
 
-/// Adds what is wrong with the newest published revision; a resource that is
-/// only there stands without its spec.
+/// Adds the errors in the newest published revision. A resource that exists only there is listed
+/// without its spec.
 fn add_faults(kind: &str, status: &Status, items: &mut Vec<Item>) {
     let prefix = format!("{kind}/");
     for fault in status.config.faults.iter().filter(|fault| fault.key.starts_with(&prefix)) {
@@ -178,7 +179,7 @@
     observed.map_or_else(|| json!({ "dialled": false }), |upstream| json!(upstream))
 }
 
-/// Returns the shards that have no replica which takes new work.
+/// Returns the shards without a replica that accepts new work.
 fn unserved_shards(shards: &BTreeMap<Arc<str>, Vec<UpstreamId>>, observed: &Observed<'_>) -> Vec<String> {
     let accepts_work = |name: &UpstreamId| observed.get(name).is_none_or(|upstream| !upstream.leaving);
     let without = shards.iter().filter(|(_, replicas)| !replicas.iter().any(accepts_work));
--- a/crates/harefield/src/adapters/peer_server.rs
+++ b/crates/harefield/src/adapters/peer_server.rs
@@ -1,4 +1,5 @@
-//! The peers' address: requests handed on, exchanges and pulls.
+//! The peers' address: forwarded requests, delegated groups of shards, permits, gossip exchanges
+//! and pulls.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -45,19 +46,19 @@
 use crate::ports::Pull;
 use crate::ports::Upstreams;
 
-/// The most bytes of a message from a peer.
+/// The maximum size of a message from a peer, in bytes.
 const MAX_MESSAGE_BYTES: usize = 8 << 20;
 
 /// What the peers' address needs besides a worker.
 #[derive(Clone, Debug)]
 pub struct PeerServer {
-    /// The control duty's ring.
+    /// The channel to the control duty.
     pub control: Sender<ToControl>,
-    /// The token that peers show.
+    /// The token that peers must send; `None` if none is required.
     pub token: Option<String>,
-    /// Counts what control receives and answers.
+    /// Counts the bytes of control messages and their replies.
     pub traffic: Traffic,
-    /// Counts what is held of messages.
+    /// Accounts for the memory that messages use.
     pub memory: Memory,
 }
 
@@ -94,8 +95,10 @@
         GROUP_PATH => group(worker, body).await,
         PERMITS_PATH => permits(worker, body),
         EXCHANGE_PATH => {
-            query_control(server, body, |said: Exchange, reply| ToControl::Exchange(Box::new(said), reply))
-                .await
+            query_control(server, body, |exchange: Exchange, reply| {
+                ToControl::Exchange(Box::new(exchange), reply)
+            })
+            .await
         }
         PULL_PATH => query_control(server, body, |pull: Pull, reply| ToControl::Pull(pull, reply)).await,
         _ => http::refusal(Code::UnknownPath, ""),
@@ -118,7 +121,8 @@
     } else {
         WireAnswer::Json(ByteBuf::from(serde_json::to_vec(&answer).unwrap_or_default()))
     };
-    // A newer edition may have come into force while the request ran: that is safe to say.
+    // A newer edition may have come into force while the request ran; reporting the newer one is
+    // safe.
     http::msgpack_compact(&ForwardReply { stamp: worker.stamp(), edition: worker.edition(), answer })
 }
 
@@ -164,7 +168,7 @@
     }
 }
 
-/// Hands a message to the control duty and answers with its reply.
+/// Sends a message to the control duty and returns its reply.
 async fn query_control<M, R>(
     server: &PeerServer,
     body: &Bytes,
@@ -184,10 +188,10 @@
     }
     match receiver.recv().await {
         Ok(reply) => {
-            let made = http::msgpack(&reply);
-            let size = hyper::body::Body::size_hint(made.body()).exact().unwrap_or(0);
+            let response = http::msgpack(&reply);
+            let size = hyper::body::Body::size_hint(response.body()).exact().unwrap_or(0);
             server.traffic.count(body.len(), usize::try_from(size).unwrap_or(usize::MAX));
-            made
+            response
         }
         Err(_closed) => http::refusal(Code::Stopping, ""),
     }
--- a/crates/harefield/src/adapters/peers.rs
+++ b/crates/harefield/src/adapters/peers.rs
@@ -1,4 +1,4 @@
-//! Other daemons by HTTP with `MessagePack`.
+//! The client for other daemons: HTTP with `MessagePack` bodies.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -39,36 +39,36 @@
 use crate::ports::PermitReply;
 use crate::ports::Pull;
 
-/// The path of requests handed on.
+/// The path of forwarded requests.
 pub const FORWARD_PATH: &str = "/v1/forward";
 
-/// The path of groups of shards.
+/// The path of delegated groups of shards.
 pub const GROUP_PATH: &str = "/v1/group";
 
-/// The path of exchanges.
+/// The path of gossip exchanges.
 pub const EXCHANGE_PATH: &str = "/v1/exchange";
 
 /// The path of pulls.
 pub const PULL_PATH: &str = "/v1/pull";
 
-/// The path of permits under accounts' limits.
+/// The path of requests for permits under accounts' limits.
 pub const PERMITS_PATH: &str = "/v1/permits";
 
-/// The most bytes of a peer's reply.
+/// The maximum size of a peer's reply, in bytes.
 const MAX_REPLY_BYTES: usize = 64 << 20;
 
-/// How long after a group leaves a spare connection to its daemon is opened, where none
-/// is left: the group itself goes first.
+/// How long after sending a group to open a spare connection to its daemon if none is idle; the
+/// group itself is sent first.
 const SPARE_PAUSE: Duration = Duration::from_millis(1);
 
-/// A call that ends unanswered after this long may have been on a silent connection;
-/// answers take less, but for those that wait past an objective.
+/// A call that gets no answer for this long may have used a silent connection. Answers take less,
+/// except those that wait beyond an objective.
 const SUSPECT_AFTER: Duration = Duration::from_millis(250);
 
 /// How long opening a connection to a daemon may take.
 const CONNECT_LIMIT: Duration = Duration::from_millis(500);
 
-/// A member's answer as it travels.
+/// A cell member's answer to a forwarded request, as it is sent between daemons.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct ForwardReply {
     pub stamp: Stamp,
@@ -76,15 +76,15 @@
     pub answer: WireAnswer,
 }
 
-/// An answer between two daemons: JSON where it holds JSON replies as they were
-/// sent, else what there is of opaque ones.
+/// An answer as it is sent between daemons: JSON if it contains JSON replies, which are kept as
+/// sent, or the parts of an answer to an opaque request.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum WireAnswer {
     Json(ByteBuf),
     Opaque(Box<OpaqueAnswer>),
 }
 
-/// Speaks to other daemons by HTTP.
+/// The HTTP client for other daemons.
 #[derive(Clone, Debug)]
 pub struct HttpPeers {
     executor: Rc<LocalExecutor<'static>>,
@@ -94,8 +94,8 @@
     memory: Memory,
 }
 
-/// A call under way. Where it ends unanswered after a while, the idle connections to
-/// its daemon go too: they may be as silent as its own, and new ones may work.
+/// A call in progress. If it ends unanswered after `SUSPECT_AFTER`, the idle connections to its
+/// daemon are closed too: they may be as silent as the one it used, and new ones may work.
 struct PendingCall<'a> {
     pool: &'a Pool,
     address: SocketAddr,
@@ -112,8 +112,8 @@
 }
 
 impl HttpPeers {
-    /// Creates the adapter on one thread's executor; `token` is shown to peers,
-    /// `traffic` counts what control sends, and `memory` what is held of messages.
+    /// Creates the client on one thread's executor. `token` is sent to peers, `traffic` counts the
+    /// bytes of control messages, and `memory` accounts for replies.
     #[must_use]
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
@@ -210,7 +210,8 @@
     }
 
     async fn group(&self, host: &HostId, message: &Group, limit: Duration) -> Result<GroupReply, PeerError> {
-        // Fields go by their places: these messages cross between regions.
+        // Fields are identified by position to save bytes, as these messages are sent between
+        // regions.
         let body = rmp_serde::to_vec(message).map_err(|_error| PeerError::Unreachable)?;
         let this = self.clone();
         let address: SocketAddr = host.parse().map_err(|_error| PeerError::Unreachable)?;
--- a/crates/harefield/src/adapters/platform.rs
+++ b/crates/harefield/src/adapters/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's service by HTTP.
+//! The client of the platform in harefield's own protocol, over HTTP.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -40,13 +40,13 @@
     value: Box<RawValue>,
 }
 
-/// What a watch answers.
+/// The reply to a watch.
 #[derive(Debug, Deserialize)]
 struct Changes {
     changes: Vec<Row>,
 }
 
-/// One change; removed where it has no value.
+/// One change; a removal if it has no value.
 #[derive(Debug, Deserialize)]
 struct Row {
     revision: u64,
@@ -60,14 +60,14 @@
     }
 }
 
-/// Reads the platform by HTTP.
+/// Reads the platform over HTTP.
 #[derive(Clone, Debug)]
 pub struct HttpPlatform {
     reader: JsonReader,
 }
 
 impl HttpPlatform {
-    /// Creates the adapter on one thread's executor; `traffic` counts its bytes.
+    /// Creates the client on one thread's executor; `traffic` counts the bytes it receives.
     #[must_use]
     pub fn new(executor: Rc<LocalExecutor<'static>>, traffic: Traffic) -> Self {
         Self {
@@ -83,7 +83,9 @@
         loop {
             let path = format!("/v1/{}/list?from={from}", space.name());
             let page = self.reader.get::<Page>(copy, &path, READ_LIMIT).await?.body;
-            let page = page.ok_or_else(|| PlatformError::Malformed("a page is gone".to_owned()))?;
+            let page = page.ok_or_else(|| {
+                PlatformError::Malformed("a page of the listing no longer exists".to_owned())
+            })?;
             if from.is_empty() {
                 listing.first = Revision::first(page.revision);
             }
--- a/crates/harefield/src/adapters/reading.rs
+++ b/crates/harefield/src/adapters/reading.rs
@@ -1,5 +1,5 @@
-//! What the clients of a platform share: they read JSON from one of its copies,
-//! and put what changed in order.
+//! Code shared by the clients of both kinds of platform: reading JSON from one copy of the
+//! platform, and grouping changes by revision.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,25 +22,25 @@
 use crate::domain::revision::Revision;
 use crate::ports::PlatformError;
 
-/// The most bytes of one reply: a page holds about a megabyte of values, in the
-/// users' store as a text that is a third longer.
+/// The maximum size of a reply, in bytes. A page contains about a megabyte of values, which the
+/// users' store sends as base64 text, a third longer.
 const MAX_REPLY_BYTES: usize = 8 << 20;
 
-/// How long a read may take, beyond the wait of a watch; the users' store answers
-/// in 4 ms as a rule, and in some 240 ms where it is slow.
+/// The time limit of a read, not counting the wait of a watch. The users' store usually answers in
+/// 4 ms, and in about 240 ms when it is slow.
 pub const READ_LIMIT: Duration = Duration::from_secs(2);
 
-/// How much longer than its wait a watch may take before it is given up, where that is
-/// more than a read may take: one whose answer is lost then costs no more than that.
+/// How much longer than its wait a watch may take before it is abandoned, if that is more than
+/// `READ_LIMIT`. It bounds the cost of a lost answer.
 const WATCH_SLACK: Duration = Duration::from_secs(1);
 
-/// Returns how long a watch may take that waits for some time.
+/// Returns the time limit of a watch that waits for `wait`.
 #[must_use]
 pub fn watch_limit(wait: Duration) -> Duration {
     READ_LIMIT.max(wait + WATCH_SLACK)
 }
 
-/// Reads JSON by HTTP from a copy of the platform.
+/// Reads JSON over HTTP from a copy of the platform.
 #[derive(Clone, Debug)]
 pub struct JsonReader {
     executor: Rc<LocalExecutor<'static>>,
@@ -48,44 +48,44 @@
     format: ReplyFormat,
 }
 
-/// An answer, and the era that it is of.
+/// A reply of the platform, with its era.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreReply<R> {
-    /// The era.
+    /// The era of the platform's data that the reply is from.
     pub era: Era,
-    /// What stands there; none where it is gone.
+    /// The content; `None` if it no longer exists.
     pub body: Option<R>,
 }
 
-/// What a platform's answers look like.
+/// How to interpret a platform's replies.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplyFormat {
-    /// The statuses that say that there is nothing to read.
+    /// The statuses that mean that there is nothing to read.
     pub gone: &'static [StatusCode],
-    /// The header that names the era, where there is one.
+    /// The header that contains the era; `None` if the platform has only one era.
     pub era: Option<&'static str>,
 }
 
 impl JsonReader {
-    /// Creates a reader on one thread's executor; `traffic` counts its bytes.
+    /// Creates a reader on one thread's executor; `traffic` counts the bytes it receives.
     #[must_use]
     pub fn new(executor: Rc<LocalExecutor<'static>>, traffic: Traffic, format: ReplyFormat) -> Self {
         Self { executor, traffic, format }
     }
 
-    /// Reads the era of an answer; the first of a platform that names none.
+    /// Returns the era of a reply; the first era if the platform doesn't name one.
     fn era_of(&self, headers: &HeaderMap) -> Result<Era, PlatformError> {
         let Some(value) = self.format.era.and_then(|name| headers.get(name)) else { return Ok(0) };
         let era = value.to_str().ok().and_then(|text| text.trim().parse().ok());
-        era.ok_or_else(|| PlatformError::Malformed(format!("{value:?} is no era")))
+        era.ok_or_else(|| PlatformError::Malformed(format!("{value:?} is not an era")))
     }
 
-    /// Reads what stands under a path.
+    /// Reads the JSON document at a path.
     ///
     /// # Errors
     ///
-    /// Returns `Unreachable` where the copy does not answer within `limit`, `TurnedAway` where
-    /// it answers with an error, and `Malformed` where its answer cannot be read.
+    /// Returns `Unreachable` if the copy doesn't answer within `limit`, `TurnedAway` if it answers
+    /// with an error, and `Malformed` if its answer can't be parsed.
     pub async fn get<R: DeserializeOwned>(
         &self,
         copy: SocketAddr,
@@ -109,8 +109,7 @@
     }
 }
 
-/// Groups changes that came after a revision into one delta a revision, each on
-/// top of the one before.
+/// Groups changes after a revision into one delta per revision, each based on the previous one.
 #[must_use]
 pub fn deltas(after: Revision, changes: impl IntoIterator<Item = (Revision, Change)>) -> Vec<Delta> {
     let mut grouped: BTreeMap<Revision, Vec<Change>> = BTreeMap::new();
--- a/crates/harefield/src/adapters/settings/load.rs
+++ b/crates/harefield/src/adapters/settings/load.rs
@@ -1,4 +1,4 @@
-//! Reading the settings file: every fault at once, each with its place.
+//! Loads the settings file and reports all errors in it at once, each with its position.
 
 use std::path::Path;
 use std::time::Duration;
@@ -11,11 +11,11 @@
 use crate::domain::cell::CellSize;
 use crate::domain::code::Code;
 
-/// The part of the host's memory that is held for others: the daemon's own state, its
-/// connections and what its allocator keeps take the rest.
+/// The divisor of the host's memory that gives the default limit for data held on behalf of others.
+/// The rest is for the daemon's own state, its connections and the allocator's overhead.
 const HELD_DIVISOR: u32 = 4;
 
-/// Every fault of a settings file, with its place.
+/// All errors in a settings file, each with its position.
 #[derive(Debug, thiserror::Error)]
 #[error("{code}: {}", code.text())]
 pub struct SettingsError {
@@ -39,11 +39,11 @@
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Loads and checks a settings file.
     ///
     /// # Errors
     ///
-    /// Returns every fault of the file at once, each with its place.
+    /// Returns all errors in the file at once, each with its position.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let name = path.display().to_string();
         match std::fs::read_to_string(path) {
@@ -62,11 +62,11 @@
         }
     }
 
-    /// Reads and checks the text of a settings file.
+    /// Parses and checks the text of a settings file.
     ///
     /// # Errors
     ///
-    /// Returns every fault of the text at once, each with its place.
+    /// Returns all errors in the text at once, each with its position.
     pub fn parse(name: &str, text: &str) -> Result<Self, SettingsError> {
         let mut labels = Vec::new();
         let settings = parse_lenient(text, &mut labels);
@@ -84,7 +84,7 @@
         let limits = &self.limits;
         let checks = [
             (self.host.zone.is_empty(), "host.zone is required"),
-            (self.platform.addresses.is_empty(), "platform.addresses needs at least one address"),
+            (self.platform.addresses.is_empty(), "platform.addresses must contain at least one address"),
             (self.platform.apply_ms < 500, "platform.apply-ms must be at least 500"),
             (
                 !(1..=60_000).contains(&self.platform.heartbeat_ms),
@@ -97,14 +97,17 @@
             (limits.running < 2, "limits.running must be at least 2"),
             (limits.waiting < 2, "limits.waiting must be at least 2"),
             (limits.stall_ms < 100, "limits.stall-ms must be at least 100"),
-            (self.held_limit() == 0, "host.memory-mb or limits.held-mb must leave something to hold"),
+            (
+                self.held_limit() == 0,
+                "limits.held-mb must be at least 1, or unset with a host.memory-mb of at least 4",
+            ),
             (limits.head_bytes < 1024, "limits.head-bytes must be at least 1024"),
             (limits.body_bytes == 0, "limits.body-bytes must be at least 1"),
             (self.routing.cell_size == 0, "routing.cell-size must be at least 1"),
             (self.routing.connections == 0, "routing.connections must be at least 1"),
             (
                 !(self.host.cores > 0.0 && self.host.cores <= 1024.0),
-                "host.cores must be over 0 and up to 1024",
+                "host.cores must be greater than 0 and at most 1024",
             ),
             (!(0.0..=1.0).contains(&self.routing.extra_load), "routing.extra-load must be from 0 to 1"),
             (
@@ -116,14 +119,14 @@
             (!(0.0..=1e9).contains(&self.accounts.slack), "accounts.slack must be from 0 to 1000000000"),
             (
                 self.accounts.strict && self.accounts.revoke_ms < self.platform.apply_ms,
-                "accounts.revoke-ms must be at least platform.apply-ms where accounts.strict is set",
+                "accounts.revoke-ms must be at least platform.apply-ms if accounts.strict is set",
             ),
             (self.events.keep == 0, "events.keep must be at least 1"),
         ];
         checks.iter().filter(|(bad, _)| *bad).map(|(_, text)| (*text).to_owned()).collect()
     }
 
-    /// Returns how large cells may be.
+    /// Returns the bounds on the size of cells.
     #[must_use]
     pub fn cell(&self) -> CellSize {
         CellSize { most: self.routing.cell_size, wanted: self.routing.connections.max(self.limits.workers) }
@@ -143,7 +146,7 @@
     }
 }
 
-/// Parses a text, noting each fault and blanking its line, until the rest parses.
+/// Parses a text. Each error is recorded and its line blanked, until the rest can be parsed.
 fn parse_lenient(text: &str, labels: &mut Vec<LabeledSpan>) -> Settings {
     const MAX_FAULTS: usize = 50;
     let mut rest = text.to_owned();
@@ -161,7 +164,7 @@
     Settings::default()
 }
 
-/// Blanks the lines that a span touches; returns whether anything changed.
+/// Blanks the lines that a span touches, and returns whether this changed anything.
 fn blank_lines(text: &mut String, span: std::ops::Range<usize>) -> bool {
     let start = text[..span.start].rfind('\n').map_or(0, |at| at + 1);
     let end = text[span.end..].find('\n').map_or(text.len(), |at| span.end + at);
@@ -171,11 +174,12 @@
     changed
 }
 
-/// Reads the token in a file's first line.
+/// Reads the token from the first line of a file. Returns `None` if there is no path or the line is
+/// empty.
 ///
 /// # Errors
 ///
-/// Returns why the file cannot be read.
+/// Returns an error if the file can't be read.
 pub fn read_token(path: Option<&Path>) -> std::io::Result<Option<String>> {
     let Some(path) = path else { return Ok(None) };
     let text = std::fs::read_to_string(path)?;
--- a/crates/harefield/src/adapters/settings/mod.rs
+++ b/crates/harefield/src/adapters/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The settings file, in TOML; `docs/settings/` has a page for each section.
+//! The settings file, in TOML. `docs/settings/` has a page for each section.
 
 mod load;
 mod sections;
--- a/crates/harefield/src/adapters/settings/sections.rs
+++ b/crates/harefield/src/adapters/settings/sections.rs
@@ -18,32 +18,32 @@
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Settings {
-    /// Where the host stands.
+    /// The host's location and resources.
     pub host: Host,
-    /// The addresses that are listened on.
+    /// The addresses to listen on.
     pub listen: Listen,
-    /// The platform's copies.
+    /// The platform to connect to.
     pub platform: PlatformSettings,
     /// The other daemons.
     pub peers: PeerSettings,
-    /// Bounds on what is taken in.
+    /// Limits on requests and memory.
     pub limits: Limits,
     /// How replicas are chosen and extra load is spent.
     pub routing: Routing,
-    /// Client accounts' keys and limits.
+    /// Keys and limits of client accounts.
     pub accounts: AccountSettings,
-    /// How a planned stop goes.
+    /// How a planned stop proceeds.
     pub stop: StopSettings,
-    /// What the time line keeps.
+    /// What the time line records.
     pub events: EventSettings,
     /// What is logged.
     pub log: LogSettings,
-    /// The file that the settings came from.
+    /// The path of the file that the settings were loaded from.
     #[serde(skip)]
     pub source: Option<PathBuf>,
 }
 
-/// Where the host stands.
+/// The host's location and resources.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Host {
@@ -51,12 +51,11 @@
     pub zone: String,
     /// The region.
     pub region: String,
-    /// The region of each availability zone; empty where all is near.
+    /// The region of each availability zone; empty if all zones are in one region.
     pub regions: BTreeMap<Arc<str>, Arc<str>>,
     /// The share of the host's processor that the daemon may use, in cores.
     pub cores: f64,
-    /// The memory that the daemon may use, in megabytes; as of a small host where it is not
-    /// given.
+    /// The memory that the daemon may use, in megabytes. The default is that of a small host.
     pub memory_mb: u32,
 }
 
@@ -73,7 +72,7 @@
 }
 
 impl Host {
-    /// Returns what the daemon can carry, in thousandths of a core.
+    /// Returns the daemon's capacity in thousandths of a core.
     #[must_use]
     pub fn capacity(&self) -> u32 {
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "it saturates")]
@@ -82,57 +81,57 @@
     }
 }
 
-/// The addresses that are listened on; a port of 0 takes a free one.
+/// The addresses to listen on; port 0 selects a free port.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Listen {
-    /// For callers.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// For other daemons.
+    /// The address for other daemons.
     pub peers: SocketAddr,
-    /// The address that other daemons reach that one at, which is also the daemon's
-    /// name; the same where none is given.
+    /// The address at which other daemons reach `peers`, which is also the daemon's name. Defaults
+    /// to `peers`.
     pub known_as: Option<SocketAddr>,
-    /// For operators.
+    /// The address for operators.
     pub operators: SocketAddr,
 }
 
 impl Default for Listen {
     fn default() -> Self {
-        let at = |port| SocketAddr::from(([127, 0, 0, 1], port));
-        Self { callers: at(7100), peers: at(7200), known_as: None, operators: at(7300) }
+        let local = |port| SocketAddr::from(([127, 0, 0, 1], port));
+        Self { callers: local(7100), peers: local(7200), known_as: None, operators: local(7300) }
     }
 }
 
-/// A kind of platform, with the protocols that go with it.
+/// The kind of platform, which also determines the protocols of callers and upstreams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PlatformKind {
-    /// The product's own protocols, `docs/PROTOCOLS.md`.
+    /// Harefield's own protocols; see `docs/PROTOCOLS.md`.
     #[default]
     Own,
-    /// The users' machines, `docs/PLATFORM.md`.
+    /// The users' platform; see `docs/PLATFORM.md`.
     Store,
 }
 
-/// The platform's copies.
+/// The platform to connect to.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// The addresses of its copies; at least one.
+    /// The addresses of the platform's copies; at least one.
     pub addresses: Vec<SocketAddr>,
-    /// Which platform it is, and with it what callers and upstreams speak.
+    /// The kind of platform, and thus the protocols of callers and upstreams.
     pub kind: PlatformKind,
-    /// How long one watch waits at most, in milliseconds.
+    /// The maximum wait of one watch, in milliseconds.
     pub watch_ms: u64,
-    /// Within which time a confirmed change is to be in force, in milliseconds.
+    /// The time within which a confirmed change must be in force, in milliseconds.
     pub apply_ms: u64,
-    /// Within which time nothing more is sent to an availability zone that is evacuated, in
-    /// milliseconds, where that is sooner.
+    /// The time within which nothing more is sent to an evacuated availability zone, in
+    /// milliseconds, if that is shorter than `apply_ms`.
     pub evacuate_ms: Option<u64>,
-    /// How many daemons of an availability zone hold the watch.
+    /// How many daemons of an availability zone watch the platform directly.
     pub readers: usize,
-    /// How often upstreams write their entries, in milliseconds, where they write themselves.
+    /// How often upstreams write their entries, in milliseconds, if they write them themselves.
     pub heartbeat_ms: u64,
 }
 
@@ -151,7 +150,7 @@
 }
 
 impl PlatformSettings {
-    /// Returns within which time whatever is confirmed is to be in force.
+    /// Returns the time within which any confirmed change must be in force.
     #[must_use]
     pub fn apply_limit(&self) -> Duration {
         let soonest = self.evacuate_ms.map_or(self.apply_ms, |evacuate| evacuate.min(self.apply_ms));
@@ -163,18 +162,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct PeerSettings {
-    /// Daemons to ask at the start, besides those that the platform lists.
+    /// Daemons to contact at startup, in addition to those that the platform lists.
     pub seeds: Vec<SocketAddr>,
-    /// How often peers are spoken to, in milliseconds.
+    /// The interval between gossip exchanges, in milliseconds.
     pub exchange_ms: u64,
     /// How long a starting daemon waits for peers and the platform, in milliseconds.
     pub join_ms: u64,
-    /// Whether the whole fleet starts for the first time: nobody waits for it yet.
+    /// Whether the whole fleet is starting for the first time, so that no callers wait for it yet.
     pub first_start: bool,
-    /// A file whose first line is the token that peers show each other.
+    /// A file whose first line is the token that peers send each other.
     pub token_file: Option<PathBuf>,
-    /// How many daemons are taken to share the fleet's bounds before more are
-    /// known.
+    /// How many daemons are assumed to share the fleet's limits until more are known.
     pub daemons: u32,
 }
 
@@ -191,30 +189,30 @@
     }
 }
 
-/// Bounds on what is taken in.
+/// Limits on requests and memory.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Limits {
-    /// Worker threads.
+    /// The number of worker threads.
     pub workers: usize,
-    /// Open connections of callers.
+    /// The maximum number of open connections of callers.
     pub connections: usize,
-    /// Bytes of a request's head.
+    /// The maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// Bytes of a request's body.
+    /// The maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// How long a head may take, in milliseconds.
+    /// How long receiving a head may take, in milliseconds.
     pub head_ms: u64,
-    /// How long a body may take, in milliseconds.
+    /// How long receiving a body may take, in milliseconds.
     pub body_ms: u64,
-    /// Requests that run at once, for each index and worker.
+    /// The maximum number of requests that run at once, per index and worker.
     pub running: usize,
-    /// Requests of one urgency that wait, for each index and worker.
+    /// The maximum number of waiting requests of one urgency, per index and worker.
     pub waiting: usize,
-    /// Megabytes held for callers, upstreams and other daemons; a quarter of the host's memory
-    /// where it is not given.
+    /// The memory for data held for callers, upstreams and other daemons, in megabytes. Defaults to
+    /// a quarter of the host's memory.
     pub held_mb: Option<u32>,
-    /// How long a peer may take nothing of what is written to it, in milliseconds.
+    /// How long a peer may accept none of the data written to it, in milliseconds.
     pub stall_ms: u64,
 }
 
@@ -241,32 +239,31 @@
 pub struct Routing {
     /// How a replica is chosen.
     pub policy: Policy,
-    /// Extra requests allowed for each needed one.
+    /// The number of extra requests allowed per needed request.
     pub extra_load: f64,
-    /// What the fleet may send to one service on top of that within ten
-    /// seconds, in requests; where set, budgets are kept for each service.
+    /// The number of extra requests that the fleet may send to one service within ten seconds on
+    /// top of `extra_load`. If set, budgets are kept per service.
     pub extra_slack: Option<f64>,
-    /// What is kept of a lookup's objective for the answer's way back, in
-    /// milliseconds.
+    /// The part of a lookup's objective that is reserved for returning the answer, in milliseconds.
     pub margin_ms: u64,
     /// Whether slow requests are hedged.
     pub hedge: bool,
-    /// A hedge is due after this many times the slow pace.
+    /// A hedge is sent after this multiple of the time that slow requests take.
     pub hedge_factor: f64,
-    /// A fixed delay before hedges, in milliseconds, free of the budget; a
-    /// baseline for measurements.
+    /// A fixed delay before hedges, in milliseconds, exempt from the budget. It serves as a
+    /// baseline in measurements.
     pub fixed_ms: Option<u64>,
-    /// The most daemons that dial the upstreams of an index.
+    /// The maximum number of daemons that connect to the upstreams of an index.
     pub cell_size: usize,
-    /// How many connections to each upstream a daemon that dials it should have
-    /// room for; with the upstreams' own limits that bounds the cell.
+    /// How many connections a daemon should be able to open to each upstream of its cell. Together
+    /// with the upstreams' own limits this bounds the size of a cell.
     pub connections: usize,
-    /// The fleet may send this many times what a cold upstream bears a second.
+    /// The factor by which the fleet may exceed the request rate that a cold upstream can handle.
     pub cold_overage: f64,
-    /// What the fleet may send to a cold upstream within a second on top of that, in requests.
+    /// How many requests the fleet may send to a cold upstream within a second on top of that.
     pub cold_slack: f64,
-    /// How long a reply that is no longer wanted is awaited to keep its
-    /// connection, in milliseconds.
+    /// How long to wait for a reply that is no longer wanted, to keep its connection, in
+    /// milliseconds.
     pub drain_ms: u64,
 }
 
@@ -290,28 +287,28 @@
 }
 
 impl Routing {
-    /// Returns how far above what cold upstreams bear the fleet may go.
+    /// Returns how far the fleet may exceed the rate that cold upstreams can handle.
     #[must_use]
     pub fn cold(&self) -> ColdBounds {
         ColdBounds { overage: self.cold_overage, slack: self.cold_slack }
     }
 }
 
-/// Client accounts' keys and limits.
+/// Keys and limits of client accounts.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct AccountSettings {
-    /// Whether lookups that are not public ask for a key also where no account is published.
+    /// Whether lookups that aren't public require a key even if no account is published.
     pub required: bool,
-    /// Whether keys open nothing at a daemon that cannot make sure that they still do.
+    /// Whether a daemon that can't confirm that keys are still valid rejects all of them.
     pub strict: bool,
-    /// Within which time a key that is taken away opens nothing there, in milliseconds.
+    /// The time within which a revoked key is rejected if `strict` is set, in milliseconds.
     pub revoke_ms: u64,
-    /// The window within which limits are counted, in milliseconds.
+    /// The window over which limits are counted, in milliseconds.
     pub window_ms: u64,
-    /// The share of a limit by which the fleet may go above it within a window.
+    /// The fraction of a limit by which the fleet may exceed it within a window.
     pub overage: f64,
-    /// The requests by which it may go above that.
+    /// The number of requests by which the fleet may exceed a limit on top of that.
     pub slack: f64,
 }
 
@@ -330,27 +327,27 @@
 }
 
 impl AccountSettings {
-    /// Returns how far the fleet may go above limits.
+    /// Returns how far the fleet may exceed accounts' limits.
     #[must_use]
     pub fn overage(&self) -> Overage {
         Overage { window: Duration::from_millis(self.window_ms), share: self.overage, slack: self.slack }
     }
 
-    /// Returns how old what a daemon holds may be for keys to open anything; none where that
-    /// is not asked for.
+    /// Returns how old the proof that a daemon's configuration is current may be for keys to be
+    /// accepted. Returns `None` if `strict` isn't set.
     #[must_use]
     pub fn max_proof_age(&self) -> Option<Duration> {
         self.strict.then(|| Duration::from_millis(self.revoke_ms))
     }
 }
 
-/// How a planned stop goes.
+/// How a planned stop proceeds.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct StopSettings {
-    /// How long new connections and idle ones are still served, in milliseconds.
+    /// How long new and idle connections are still served, in milliseconds.
     pub linger_ms: u64,
-    /// The longest wait for requests in progress, in milliseconds.
+    /// The maximum wait for requests in progress, in milliseconds.
     pub limit_ms: u64,
 }
 
@@ -360,15 +357,15 @@
     }
 }
 
-/// What the time line keeps.
+/// What the time line records.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct EventSettings {
-    /// Events kept in memory.
+    /// The number of events to keep in memory.
     pub keep: usize,
-    /// Of this many requests, one is recorded in detail; 0 for none.
+    /// One in this many requests is recorded in detail; 0 for none.
     pub detail_every: u64,
-    /// A file whose first line is the token that operators show.
+    /// A file whose first line is the token that operators must send.
     pub token_file: Option<PathBuf>,
 }
 
@@ -382,7 +379,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct LogSettings {
-    /// `error`, `warn`, `info`, `debug` or `trace`.
+    /// The lowest level that is logged: `error`, `warn`, `info`, `debug` or `trace`.
     pub level: log::LevelFilter,
 }
 
--- a/crates/harefield/src/adapters/upstreams/mod.rs
+++ b/crates/harefield/src/adapters/upstreams/mod.rs
@@ -1,5 +1,5 @@
-//! The upstreams by HTTP: one pool of connections a searcher, owned by one
-//! worker; what is value_text on them is a [`Protocol`].
+//! The client for upstreams over HTTP. Each worker has its own connections, in one pool per
+//! upstream; a [`Protocol`] defines the messages.
 
 mod pool;
 mod protocol;
@@ -39,43 +39,43 @@
 
 pub use self::protocol::JsonProtocol;
 
-/// A request without a reply for this long may be on a silent connection: replies take a
-/// tenth of it, and some tenths from upstreams that are slow or pause.
+/// A request that has no reply after this long may be on a silent connection. Replies usually take
+/// a tenth of it, and a few tenths from upstreams that are slow or paused.
 const SUSPECT_AFTER: Duration = Duration::from_secs(1);
 
-/// How long a look whether an upstream has ended may take; within the time in which a
-/// connection is given up, since one that is not answered says nothing.
+/// The time limit for checking whether an upstream has ended. It is shorter than the time after
+/// which opening a connection is abandoned, as an attempt that gets no response proves nothing.
 const CONNECT_CHECK_LIMIT: Duration = Duration::from_millis(400);
 
-/// The most bytes of one shard's reply.
+/// The maximum size of one shard's reply, in bytes.
 const MAX_REPLY_BYTES: usize = 4 << 20;
 
-/// What a reply amounts to.
+/// A reply, as the protocol interprets it.
 #[derive(Debug)]
 pub struct ParsedReply {
     /// How the call ended.
     pub end: CallEnd,
-    /// Whether the connection may carry another request.
+    /// Whether the connection can carry another request.
     pub keep: bool,
 }
 
-/// What is said to upstreams: requests made, replies read.
+/// The protocol of upstreams: creates requests and interprets replies.
 pub trait Protocol: Clone + Debug + 'static {
-    /// Makes the request of a call.
+    /// Creates the request for a call.
     fn request(&self, call: &Call) -> Request<Full<Bytes>>;
 
-    /// Reads a whole reply.
+    /// Interprets a complete reply.
     fn read(&self, call: &Call, reply: Response<Bytes>) -> ParsedReply;
 
-    /// Reads what the head of a reply says of the upstream.
+    /// Returns what the head of a reply says about the upstream.
     fn report(&self, headers: &HeaderMap) -> Report;
 
-    /// Makes the request by which an upstream is told that a reply is no
-    /// longer wanted; none where the protocol has no word for it.
+    /// Creates the request that cancels a call whose reply is no longer wanted; `None` if the
+    /// protocol has no such message.
     fn cancel(&self, place: &Place, request: &str) -> Option<Request<Full<Bytes>>>;
 }
 
-/// Asks upstreams by HTTP.
+/// The HTTP client for upstreams.
 #[derive(Clone, Debug)]
 pub struct HttpUpstreams<W> {
     protocol: W,
@@ -86,20 +86,20 @@
 }
 
 impl<W: Protocol> HttpUpstreams<W> {
-    /// Creates the adapter of one worker, without connections; `memory` counts replies.
+    /// Creates the client of one worker, without connections; `memory` accounts for replies.
     #[must_use]
     pub fn new(protocol: W, executor: Rc<LocalExecutor<'static>>, memory: Memory) -> Self {
         Self { protocol, executor, pools: Rc::default(), opened: Rc::default(), memory }
     }
 
-    /// Returns how many connections were opened.
+    /// Returns how many connections have been opened.
     #[must_use]
     pub fn opened(&self) -> u64 {
         self.opened.get()
     }
 
-    /// Sends on an idle connection first; one found dead before a byte was
-    /// written is replaced by a new one.
+    /// Sends a call, preferably on an idle connection. An idle connection that is found dead before
+    /// a byte was written is replaced.
     async fn send_call(&self, call: &Call, permit: impl Fn() -> bool) -> CallEnd {
         let mut request = self.protocol.request(call);
         loop {
@@ -147,8 +147,8 @@
 }
 
 fn closes(headers: &HeaderMap) -> bool {
-    let value_text = headers.get(hyper::header::CONNECTION).and_then(|value| value.to_str().ok());
-    value_text.is_some_and(|value| value.eq_ignore_ascii_case("close"))
+    let connection = headers.get(hyper::header::CONNECTION).and_then(|value| value.to_str().ok());
+    connection.is_some_and(|value| value.eq_ignore_ascii_case("close"))
 }
 
 impl<W: Protocol> Upstreams for HttpUpstreams<W> {
@@ -174,7 +174,7 @@
                     slot.release(connection);
                     false
                 }
-                // Where no connection may be opened, that says nothing of the upstream.
+                // If the connection limit is reached, nothing is known about the upstream.
                 Err(why) => why == Gap::Unreachable,
             }
         };
@@ -223,7 +223,7 @@
     }
 
     fn keep_only(&self, keep: impl Fn(&UpstreamId) -> bool) {
-        // A connection that carries a request finds no pool, and is closed then.
+        // A connection that carries a request is closed afterwards, as its pool is gone.
         self.pools.borrow_mut().retain(|name, _| keep(name));
     }
 
@@ -232,18 +232,18 @@
     }
 }
 
-/// Makes the end of a call of which nothing was written.
+/// Creates the outcome of a call of which nothing was written.
 #[must_use]
 pub fn unsent(why: Gap) -> CallEnd {
     let verdict = match why {
-        // No connection was free here, which says nothing of the upstream.
+        // There was no free connection or no permit here, which says nothing about the upstream.
         Gap::Overloaded | Gap::Unconfirmed => AttemptOutcome::Declined,
         _ => AttemptOutcome::Failed,
     };
     CallEnd { end: AttemptEnd::NotSent { why }, verdict, report: Report::default() }
 }
 
-/// Makes the end of a call that was written and brought no usable reply.
+/// Creates the outcome of a call that was written but brought no usable reply.
 #[must_use]
 pub fn lost(why: Gap, report: Report) -> CallEnd {
     let verdict = if why == Gap::SnapshotWrong { AttemptOutcome::Declined } else { AttemptOutcome::Lost };
--- a/crates/harefield/src/adapters/upstreams/pool.rs
+++ b/crates/harefield/src/adapters/upstreams/pool.rs
@@ -1,4 +1,4 @@
-//! The connections to each upstream, within its share.
+//! The connections to each upstream, within this worker's share of the upstream's connections.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -20,11 +20,11 @@
 /// How long opening a connection may take.
 const CONNECT_LIMIT: Duration = Duration::from_millis(500);
 
-/// The first pause after a connection could not be opened ahead of need; it
-/// doubles with each further failure.
+/// The first pause after a connection could not be opened ahead of need; it doubles with each
+/// further failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
 
-/// The longest such pause.
+/// The maximum pause after such failures.
 const MAX_BACKOFF: Duration = Duration::from_secs(8);
 
 type Pools = Rc<RefCell<HashMap<UpstreamId, Pool>>>;
@@ -37,11 +37,11 @@
     pub idle: Vec<Connection>,
     /// How many connections are open or being opened.
     pub open: u32,
-    /// How many are being opened ahead of need.
+    /// How many connections are being opened ahead of need.
     pub preconnecting: usize,
-    /// Until when no connection is opened ahead of need, after that failed.
+    /// When to open connections ahead of need again, after a failure to do so.
     pub backoff_until: Option<Instant>,
-    /// How many openings ahead of need failed in a row.
+    /// How many attempts to open a connection ahead of need failed in a row.
     pub failures: u32,
 }
 
@@ -50,7 +50,7 @@
         Self { address, idle: Vec::new(), open: 0, preconnecting: 0, backoff_until: None, failures: 0 }
     }
 
-    /// Takes how opening a connection ahead of need went.
+    /// Records whether a connection could be opened ahead of need.
     pub(super) fn end_preconnect(&mut self, opened: bool) {
         self.preconnecting = self.preconnecting.saturating_sub(1);
         if opened {
@@ -63,8 +63,8 @@
     }
 }
 
-/// A place that a connection takes up at its upstream, given up when dropped
-/// unless the connection was given back for reuse.
+/// One connection's slot in its upstream's pool. It is freed when dropped, unless the connection
+/// was returned to the pool.
 #[derive(Debug)]
 pub(super) struct ConnectionSlot {
     pools: Pools,
@@ -73,7 +73,7 @@
 }
 
 impl ConnectionSlot {
-    /// Keeps the connection for the next request.
+    /// Returns the connection to the pool for the next request.
     pub(super) fn release(mut self, connection: Connection) {
         self.released = update(&self.pools, &self.place, |pool| pool.idle.push(connection));
     }
@@ -87,8 +87,7 @@
     }
 }
 
-/// Changes the pool of a place, unless it has moved to another address;
-/// returns whether it did.
+/// Updates the pool of an upstream unless its address has changed; returns whether it did.
 fn update(pools: &Pools, place: &Place, update: impl FnOnce(&mut Pool)) -> bool {
     let mut pools = pools.borrow_mut();
     match pools.get_mut(&place.upstream).filter(|pool| pool.address == place.address) {
@@ -121,8 +120,8 @@
         None
     }
 
-    /// Closes the idle connections of a place: they may be as silent as one that has
-    /// brought no reply for long, and new ones may work.
+    /// Closes the idle connections to an upstream: they may be as silent as one that has had no
+    /// reply for long, and new ones may work.
     pub(super) fn close_idle(&self, place: &Place) {
         update(&self.pools, place, |pool| {
             let idle = u32::try_from(pool.idle.len()).unwrap_or(u32::MAX);
@@ -131,7 +130,7 @@
         });
     }
 
-    /// Reserves a place for one more connection within the share.
+    /// Reserves a slot for one more connection if the share allows it.
     fn reserve(&self, place: &Place, share: u32) -> Option<ConnectionSlot> {
         let mut pools = self.pools.borrow_mut();
         let pool = pools.entry(Arc::clone(&place.upstream)).or_insert_with(|| Pool::new(place.address));
@@ -143,13 +142,13 @@
         available.then(|| self.slot(place))
     }
 
-    /// Changes the pool of a place, unless it has moved to another address.
+    /// Updates the pool of an upstream unless its address has changed.
     pub(super) fn update_pool(&self, place: &Place, with: impl FnOnce(&mut Pool)) {
         update(&self.pools, place, with);
     }
 
-    /// Returns how many connections are idle or being opened ahead of need;
-    /// idle ones that the upstream closed are forgotten.
+    /// Returns how many connections are idle or being opened ahead of need. Idle connections that
+    /// the upstream closed are removed first.
     pub(super) fn ready(&self, place: &Place) -> usize {
         let mut pools = self.pools.borrow_mut();
         let Some(pool) = pools.get_mut(&place.upstream) else { return 0 };
@@ -160,8 +159,8 @@
         pool.idle.len() + pool.preconnecting
     }
 
-    /// Notes that a connection is opened ahead of need; returns whether one may be:
-    /// where the share has room, and none failed a moment ago.
+    /// Registers a connection that is about to be opened ahead of need. Returns false if the share
+    /// is used up, or if the pause after a failure isn't over.
     pub(super) fn begin_preconnect(&self, place: &Place, share: u32) -> bool {
         let mut pools = self.pools.borrow_mut();
         let pool = pools.entry(Arc::clone(&place.upstream)).or_insert_with(|| Pool::new(place.address));
--- a/crates/harefield/src/adapters/upstreams/protocol.rs
+++ b/crates/harefield/src/adapters/upstreams/protocol.rs
@@ -1,5 +1,5 @@
-//! The product's own protocol to upstreams: JSON, and headers to and from;
-//! `docs/PROTOCOLS.md` has it.
+//! Harefield's own protocol to upstreams: JSON bodies, with metadata in headers; see
+//! `docs/PROTOCOLS.md`.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
 use crate::ports::CallEnd;
 use crate::ports::Place;
 
-/// The product's own protocol.
+/// Harefield's own protocol to upstreams.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct JsonProtocol;
 
@@ -131,7 +131,7 @@
     }
 }
 
-/// Reads a refusal; one that does not say that it had not begun may have run.
+/// Interprets a refusal. Unless the upstream says that the request had not begun, it may have run.
 fn refused(headers: &HeaderMap, report: Report) -> CallEnd {
     let begun = text(headers, "harefield-begun") != Some("false");
     let wait = text(headers, "harefield-retry-ms").and_then(|ms| ms.parse().ok()).map(Duration::from_millis);
