--- a/crates/harefield/tests/decisions/entries.rs
+++ b/crates/harefield/tests/decisions/entries.rs
@@ -1,4 +1,4 @@
-//! Documents of the users' store, of whoever wrote them.
+//! Decoding of documents in the users' store, which any program may have written.
 
 use proptest::prelude::*;
 use serde_json::Value;
@@ -33,8 +33,8 @@
     parse_upstream(entry.to_string().as_bytes()).is_ok()
 }
 
-/// A value of some type, which few fields take.
-fn other() -> impl Strategy<Value = Value> {
+/// A value of a type that few fields accept.
+fn wrong_value() -> impl Strategy<Value = Value> {
     prop_oneof![
         Just(Value::Null),
         any::<bool>().prop_map(Value::from),
@@ -45,14 +45,14 @@
 }
 
 #[test]
-fn good_entries_hold() {
+fn valid_entries() {
     assert!(is_upstream(&entry()));
     let mut without_start = entry();
     without_start.as_object_mut().map(|fields| fields.remove("born"));
-    assert!(is_upstream(&without_start), "not every platform says it");
-    let mut more = entry();
-    more["note"] = json!("new");
-    assert!(is_upstream(&more), "fields that are not known yet");
+    assert!(is_upstream(&without_start), "not every platform reports the start");
+    let mut extended = entry();
+    extended["note"] = json!("new");
+    assert!(is_upstream(&extended), "unknown fields are ignored");
     let mut leaving = entry();
     leaving["state"] = json!("draining");
     assert!(parse_upstream(leaving.to_string().as_bytes()).is_ok_and(|upstream| upstream.leaving));
@@ -61,9 +61,9 @@
 #[test]
 fn every_field_is_required() {
     for field in FIELDS {
-        let mut lacking = entry();
-        lacking.as_object_mut().map(|fields| fields.remove(field));
-        assert!(!is_upstream(&lacking), "without {field}");
+        let mut incomplete = entry();
+        incomplete.as_object_mut().map(|fields| fields.remove(field));
+        assert!(!is_upstream(&incomplete), "without {field}");
     }
 }
 
@@ -71,33 +71,33 @@
     #![proptest_config(cases(500))]
 
     #[test]
-    fn another_type_is_none(field in prop::sample::select(&FIELDS[..]), value in other()) {
-        let mut spoiled = entry();
-        // A start that is slow by less than nothing is a number all the same.
+    fn wrong_type_rejected(field in prop::sample::select(&FIELDS[..]), value in wrong_value()) {
+        let mut invalid = entry();
+        // A negative number is accepted as the remaining cold time.
         prop_assume!(field != "coldRemainingMs" || !value.is_number());
-        spoiled[field] = value;
-        prop_assert!(!is_upstream(&spoiled), "{}", spoiled);
+        invalid[field] = value;
+        prop_assert!(!is_upstream(&invalid), "{}", invalid);
     }
 
     #[test]
-    fn start_is_whole(value in prop_oneof![other(), Just(json!(1.5)), Just(json!("now"))]) {
-        let mut spoiled = entry();
-        spoiled["born"] = value;
-        prop_assert!(!is_upstream(&spoiled), "{}", spoiled);
+    fn start_must_be_whole(value in prop_oneof![wrong_value(), Just(json!(1.5)), Just(json!("now"))]) {
+        let mut invalid = entry();
+        invalid["born"] = value;
+        prop_assert!(!is_upstream(&invalid), "{}", invalid);
     }
 
-    /// Bytes that are nothing, or a part of something, are read without a panic.
+    /// Arbitrary bytes, and documents that are truncated or have a flipped bit, don't cause a panic.
     #[test]
     fn any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..200), cut in 0_usize..200, flip in any::<usize>()) {
         prop_assert!(parse_upstream(&bytes).is_err());
         prop_assert!(parse_catalog(&bytes).is_err());
         for whole in [entry().to_string(), config().to_string()] {
             let mut bytes = whole.into_bytes();
-            let place = flip % bytes.len();
-            bytes[place] ^= 1 << (flip % 7);
-            let part = &bytes[..cut.min(bytes.len())];
-            drop(parse_upstream(part));
-            drop(parse_catalog(part));
+            let index = flip % bytes.len();
+            bytes[index] ^= 1 << (flip % 7);
+            let prefix = &bytes[..cut.min(bytes.len())];
+            drop(parse_upstream(prefix));
+            drop(parse_catalog(prefix));
             drop(parse_upstream(&bytes));
             drop(parse_catalog(&bytes));
         }
--- a/crates/harefield/tests/decisions/settings.rs
+++ b/crates/harefield/tests/decisions/settings.rs
@@ -1,10 +1,10 @@
-//! The settings file.
+//! Errors and defaults of the settings file.
 
 use miette::Diagnostic;
 
 use harefield::adapters::settings::Settings;
 
-const LEAST: &str = "
+const MINIMAL: &str = "
 [host]
 zone = \"a\"
 
@@ -12,24 +12,24 @@
 addresses = [\"127.0.0.1:1\"]
 ";
 
-/// Returns the places and messages of a text's faults.
-fn faults(text: &str) -> Vec<(usize, String)> {
-    let error = Settings::parse("daemon.toml", text).expect_err("the text has faults");
-    let labels = error.labels().expect("faults have places");
+/// Returns the positions and messages of all errors in a text.
+fn errors(text: &str) -> Vec<(usize, String)> {
+    let error = Settings::parse("daemon.toml", text).expect_err("the text has errors");
+    let labels = error.labels().expect("errors have positions");
     labels.map(|label| (label.offset(), label.label().unwrap_or("").to_owned())).collect()
 }
 
 #[test]
-fn least_settings() {
-    let settings = Settings::parse("daemon.toml", LEAST).expect("the rest has defaults");
+fn minimal_settings() {
+    let settings = Settings::parse("daemon.toml", MINIMAL).expect("the rest has defaults");
     assert_eq!(settings.limits.workers, 1);
     assert_eq!(settings.host.zone, "a");
 }
 
 #[test]
-fn all_faults_at_once() {
-    let text = format!("{LEAST}\n[limits]\nworkers = \"many\"\nbogus = 1\nconnections = 0\n");
-    let found = faults(&text);
+fn all_errors_at_once() {
+    let text = format!("{MINIMAL}\n[limits]\nworkers = \"many\"\nbogus = 1\nconnections = 0\n");
+    let found = errors(&text);
     assert_eq!(found.len(), 3, "{found:?}");
     assert!(found.iter().any(|(at, _)| text[*at..].starts_with("\"many\"")));
     assert!(found.iter().any(|(at, _)| text[*at..].starts_with("bogus")));
@@ -38,7 +38,7 @@
 
 #[test]
 fn required_fields() {
-    let found = faults("");
+    let found = errors("");
     let texts: Vec<&str> = found.iter().map(|(_, text)| text.as_str()).collect();
     assert!(texts.iter().any(|text| text.contains("host.zone")), "{texts:?}");
     assert!(texts.iter().any(|text| text.contains("platform.addresses")), "{texts:?}");
@@ -47,14 +47,14 @@
 #[test]
 fn heartbeat_bounds() {
     for heartbeat in [0, 60_001] {
-        let found = faults(&format!("{LEAST}heartbeat-ms = {heartbeat}\n"));
+        let found = errors(&format!("{MINIMAL}heartbeat-ms = {heartbeat}\n"));
         assert!(found.iter().any(|(_, text)| text.contains("platform.heartbeat-ms")), "{found:?}");
     }
 }
 
 #[test]
 fn not_toml() {
-    assert!(!faults("[host\nzone = ").is_empty());
+    assert!(!errors("[host\nzone = ").is_empty());
 }
 
 #[test]
