--- a/crates/harefield/src/adapters/callers.rs
+++ b/crates/harefield/src/adapters/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' address: lookups by HTTP with JSON.
+//! The callers' address: lookups over HTTP with JSON bodies.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -19,8 +19,6 @@
 use serde_json::error::Category;
 use serde_json::value::RawValue;
 
-use super::http;
-use super::http::BodyError;
 use crate::domain::accounts::Requester;
 use crate::domain::buffers::Purpose;
 use crate::domain::code::Code;
@@ -34,22 +32,24 @@
 use crate::ports::Clock;
 use crate::ports::Peers;
 use crate::ports::Upstreams;
+use super::http::BodyError;
+use super::http;
 
-/// The path under which lookups stand.
+/// The path prefix of lookups; the lookup's name follows.
 const LOOKUPS: &str = "/v1/lookups/";
 
-/// Bounds on one request.
+/// Limits on one request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestLimits {
-    /// The most bytes of its head.
+    /// The maximum size of its head, in bytes.
     pub head: usize,
-    /// The most bytes of its body.
+    /// The maximum size of its body, in bytes.
     pub body: usize,
-    /// How long its body may take.
+    /// The time within which the body must arrive.
     pub time: Duration,
 }
 
-/// The body of a lookup.
+/// The JSON body of a lookup request.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 struct Body {
@@ -59,13 +59,13 @@
     deadline_ms: Option<u64>,
 }
 
-/// A request that is refused before it is a lookup.
-struct Refused {
+/// A request that is rejected before its lookup starts.
+struct Rejection {
     code: Code,
     detail: String,
 }
 
-impl From<Code> for Refused {
+impl From<Code> for Rejection {
     fn from(code: Code) -> Self {
         Self { code, detail: String::new() }
     }
@@ -79,7 +79,7 @@
 ) -> Response<Full<Bytes>> {
     let mut reply = match read(request, limits, worker.memory()).await {
         Ok((body, lookup, credential)) => render(&look_up(&worker, body, lookup, credential).await),
-        Err(refused) => render(&refuse(&refused)),
+        Err(rejection) => render(&not_run(&rejection)),
     };
     if worker.is_stopping() {
         reply.headers_mut().insert("connection", HeaderValue::from_static("close"));
@@ -113,7 +113,7 @@
     request: Request<Incoming>,
     limits: RequestLimits,
     memory: &Memory,
-) -> Result<(Body, String, Credential), Refused> {
+) -> Result<(Body, String, Credential), Rejection> {
     let (head, incoming) = request.into_parts();
     if head_bytes(&head) > limits.head {
         return Err(Code::HeadTooLarge.into());
@@ -125,17 +125,17 @@
     }
     let credential = http::credential(&head.headers);
     let bytes = read_body(incoming, limits, memory).await?;
-    let body: Body = serde_json::from_slice(&bytes).map_err(|error| Refused {
+    let body: Body = serde_json::from_slice(&bytes).map_err(|error| Rejection {
         code: if error.classify() == Category::Data { Code::BadField } else { Code::MalformedBody },
         detail: error.to_string(),
     })?;
     if body.deadline_ms == Some(0) {
-        return Err(Refused { code: Code::BadField, detail: "deadline-ms must be at least 1".to_owned() });
+        return Err(Rejection { code: Code::BadField, detail: "deadline-ms must be at least 1".to_owned() });
     }
     Ok((body, lookup, credential))
 }
 
-/// Returns how many bytes a request's head takes, about.
+/// Returns the approximate size of a request's head, in bytes.
 #[must_use]
 pub fn head_bytes(head: &Parts) -> usize {
     let headers = head.headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4);
@@ -146,7 +146,8 @@
 ///
 /// # Errors
 ///
-/// Returns what the body breaks.
+/// Returns the code of the limit that the body exceeds, `NoRoom` if the daemon has no memory for
+/// it, or `MalformedBody` if the connection is lost before its end.
 pub async fn read_body(incoming: Incoming, limits: RequestLimits, memory: &Memory) -> Result<Bytes, Code> {
     if incoming.is_end_stream() {
         return Ok(Bytes::new());
@@ -167,11 +168,11 @@
     }
 }
 
-/// A request that was never taken ran nowhere.
-fn refuse(refused: &Refused) -> Answer {
-    let mut answer = Answer::not_run("", refused.code, None);
-    if !refused.detail.is_empty() {
-        answer.message = format!("{}: {}", answer.message, refused.detail);
+/// Returns the answer to a rejected request: it was not run anywhere.
+fn not_run(rejection: &Rejection) -> Answer {
+    let mut answer = Answer::not_run("", rejection.code, None);
+    if !rejection.detail.is_empty() {
+        answer.message = format!("{}: {}", answer.message, rejection.detail);
     }
     answer
 }
--- a/crates/harefield/src/adapters/logs.rs
+++ b/crates/harefield/src/adapters/logs.rs
@@ -1,8 +1,8 @@
-//! Logs as JSON lines on standard output, by fern.
+//! Writes logs as JSON lines to standard output, using fern.
 //!
-//! Whoever logs puts a line into a bounded ring; a thread of its own writes
-//! them out. A full ring, or more lines than may be written, drops and counts
-//! them: a request never waits for its log.
+//! Log calls put their lines into a bounded ring, and a separate thread writes them out. If the
+//! ring is full or the rate limit is exceeded, lines are dropped and counted: a request never waits
+//! for its log.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -19,24 +19,24 @@
 
 use crate::domain::ids::HostId;
 
-/// The target of lines that hold one event as JSON.
+/// The log target of lines that contain one event as JSON.
 pub const EVENTS: &str = "event";
 
-/// How many lines the ring holds: some ten seconds of what is written for long.
+/// The capacity of the ring in lines: about ten seconds of logging at the sustained rate.
 const RING_LENGTH: usize = 4096;
 
-/// How many lines a second are written for long: some 100 kB, far more than a
-/// daemon of today says, and far less than it would take to be slowed by.
+/// The sustained rate limit: about 100 kB per second, far more than a daemon logs, and far less
+/// than would slow it down.
 const LINES_PER_SECOND: f64 = 400.0;
 
-/// How many lines may come at once on top of that.
+/// The number of lines that may be written at once on top of the sustained rate.
 const BURST: f64 = 2_000.0;
 
-/// The most bytes written at once; a pipe takes that many whole or not at all.
-const PIECE: usize = 4096;
+/// The maximum number of bytes to write at once; a pipe takes that many atomically.
+const MAX_WRITE: usize = 4096;
 
-/// The pause between writes, so that lines go out together.
-const WRITE_EVERY: Duration = Duration::from_millis(100);
+/// The pause between writes, so that lines are written in batches.
+const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Serialize)]
 struct Line<'a> {
@@ -51,7 +51,7 @@
     event: Option<&'a RawValue>,
 }
 
-/// Says how many lines were not written.
+/// A log line that reports how many lines were dropped.
 #[derive(Serialize)]
 struct Dropped {
     level: &'static str,
@@ -60,11 +60,11 @@
     lines: u64,
 }
 
-/// Starts logging to standard output, one JSON object a line.
+/// Starts logging to standard output, one JSON object per line.
 ///
 /// # Errors
 ///
-/// Returns an error where logging was started before.
+/// Returns an error if logging has already been started.
 pub fn start(level: log::LevelFilter, host: HostId) -> Result<(), log::SetLoggerError> {
     let (sender, lines) = async_channel::bounded::<String>(RING_LENGTH);
     let dropped = Arc::new(AtomicU64::new(0));
@@ -75,10 +75,10 @@
         }
     });
     fern::Dispatch::new().level(level).chain(ring).apply()?;
-    let writer = Writer { lines, dropped, tokens: BURST, filled: Instant::now() };
+    let writer = Writer { lines, dropped, tokens: BURST, refilled: Instant::now() };
     let started = std::thread::Builder::new().name("log".to_owned()).spawn(move || writer.run());
     if let Err(error) = started {
-        eprintln!("no thread for the log, nothing is logged: {error}");
+        eprintln!("cannot start the log thread, nothing will be logged: {error}");
     }
     Ok(())
 }
@@ -93,35 +93,35 @@
     serde_json::to_string(&Line { time, level, host, target, message, event }).unwrap_or_default()
 }
 
-/// Writes lines out, within what may be written.
+/// Writes log lines to standard output within the rate limit.
 struct Writer {
     lines: Receiver<String>,
     dropped: Arc<AtomicU64>,
     tokens: f64,
-    filled: Instant,
+    refilled: Instant,
 }
 
 impl Writer {
     fn run(mut self) {
         while let Ok(line) = self.lines.recv_blocking() {
-            self.fill();
+            self.refill();
             if self.write_all(line).is_err() {
-                // Nobody reads any more; the ring fills up and is counted.
+                // Standard output is closed. The ring fills up, and lines are counted as dropped.
                 return;
             }
-            std::thread::sleep(WRITE_EVERY);
+            std::thread::sleep(WRITE_INTERVAL);
         }
     }
 
-    /// Writes a line and all others that wait, in pieces of whole lines.
+    /// Writes a line and all others that are waiting, in chunks of whole lines.
     fn write_all(&mut self, first: String) -> std::io::Result<()> {
-        let mut text = String::with_capacity(PIECE);
+        let mut text = String::with_capacity(MAX_WRITE);
         let mut next = Some(first);
         while let Some(line) = next {
-            if !text.is_empty() && text.len() + line.len() >= PIECE {
-                write_piece(&mut text)?;
+            if !text.is_empty() && text.len() + line.len() >= MAX_WRITE {
+                write_chunk(&mut text)?;
             }
-            self.take(&line, &mut text);
+            self.append(&line, &mut text);
             next = self.lines.try_recv().ok();
         }
         let dropped = self.dropped.swap(0, Ordering::Relaxed);
@@ -130,17 +130,17 @@
             text.push_str(&serde_json::to_string(&line).unwrap_or_default());
             text.push('\n');
         }
-        write_piece(&mut text)
+        write_chunk(&mut text)
     }
 
-    fn fill(&mut self) {
+    fn refill(&mut self) {
         let now = Instant::now();
-        let earned = now.saturating_duration_since(self.filled).as_secs_f64() * LINES_PER_SECOND;
+        let earned = now.saturating_duration_since(self.refilled).as_secs_f64() * LINES_PER_SECOND;
         self.tokens = (self.tokens + earned).min(BURST);
-        self.filled = now;
+        self.refilled = now;
     }
 
-    fn take(&mut self, line: &str, text: &mut String) {
+    fn append(&mut self, line: &str, text: &mut String) {
         if self.tokens < 1.0 {
             self.dropped.fetch_add(1, Ordering::Relaxed);
             return;
@@ -151,7 +151,7 @@
     }
 }
 
-fn write_piece(text: &mut String) -> std::io::Result<()> {
+fn write_chunk(text: &mut String) -> std::io::Result<()> {
     let written = std::io::stdout().lock().write_all(text.as_bytes());
     text.clear();
     written
--- a/crates/harefield/src/adapters/operators/mod.rs
+++ b/crates/harefield/src/adapters/operators/mod.rs
@@ -1,7 +1,7 @@
-//! The operators' address: status, resources, time line, checks and a page.
+//! The operators' address: status, resources, time line, checks and a web page.
 //!
-//! What is asked of the whole fleet is gathered here from the other daemons'
-//! operators' addresses, so that a browser needs to reach one daemon only.
+//! Queries for the whole fleet are sent from here to the operators' addresses of the other daemons,
+//! so that a browser only needs to reach one daemon.
 
 mod fleet;
 mod resources;
@@ -33,26 +33,26 @@
 use crate::telemetry::Filter;
 use crate::telemetry::waterfall;
 
-/// The page, self-contained.
+/// The operators' web page, which loads no other files.
 const PAGE: &str = include_str!("page.html");
 
-/// The most bytes of a resource set to check.
-const MOST_BODY: usize = 64 << 20;
+/// The maximum size of a resource set to check, in bytes.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// A resource set as a file or a request holds it.
+/// A set of resources, as in a file or in the body of a request.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct SetFile {
+pub struct ResourceFile {
     /// The values by key.
     pub items: BTreeMap<Key, Box<RawValue>>,
 }
 
-impl SetFile {
+impl ResourceFile {
     /// Checks the set.
     ///
     /// # Errors
     ///
-    /// Returns every fault of the set.
+    /// Returns all errors in the set.
     pub fn check(&self) -> Result<ResourceSet, Vec<ResourceError>> {
         let items: Items =
             self.items.iter().map(|(key, value)| (Arc::clone(key), value.get().into())).collect();
@@ -62,12 +62,12 @@
 
 /// The result of a check.
 #[derive(Debug, Serialize)]
-struct Checked {
+struct CheckResult {
     accepted: bool,
     faults: Vec<ResourceError>,
 }
 
-/// Answers operators.
+/// The server of the operators' address.
 #[derive(Clone, Debug)]
 pub struct Operators {
     board: Arc<Board>,
@@ -76,8 +76,8 @@
 }
 
 impl Operators {
-    /// Creates the adapter on one thread's executor; `token` is asked of
-    /// operators and shown to other daemons.
+    /// Creates the server on one thread's executor. `token` is required of operators and sent to
+    /// other daemons.
     #[must_use]
     pub fn new(board: Arc<Board>, token: Option<String>, executor: Rc<LocalExecutor<'static>>) -> Self {
         Self { board, token, executor }
@@ -95,12 +95,12 @@
             }
             _ => {}
         }
-        if !http::shows_token(&head.headers, self.token.as_deref()) {
+        if !http::has_token(&head.headers, self.token.as_deref()) {
             return http::refusal(Code::TokenRequired, "");
         }
         let query = head.uri.query().unwrap_or("");
         match (&method, path.as_str()) {
-            (&Method::POST, "/v1/check") => match http::read(incoming, MOST_BODY).await {
+            (&Method::POST, "/v1/check") => match http::read(incoming, MAX_BODY_BYTES).await {
                 Ok(body) => check(&body),
                 Err(_error) => http::refusal(Code::BodyTooLarge, ""),
             },
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Says whether new connections of callers are welcome; asked by balancers,
-    /// which show no token.
+    /// Reports whether callers may open new connections. Load balancers poll this and send no
+    /// token.
     fn ready(&self) -> Response<Full<Bytes>> {
         let status = self.board.status();
         if status.stopping {
@@ -146,24 +146,24 @@
 
     async fn fleet_timeline(&self, query: &str) -> Response<Full<Bytes>> {
         match serde_urlencoded::from_str::<Filter>(query) {
-            Ok(filter) => http::json(200, &self.gather(&filter).await),
+            Ok(filter) => http::json(200, &self.fleet_events(&filter).await),
             Err(error) => http::refusal(Code::BadField, &error.to_string()),
         }
     }
 
     async fn fleet_waterfall(&self, query: &str) -> Response<Full<Bytes>> {
         match serde_urlencoded::from_str::<Filter>(query) {
-            Ok(filter) => http::svg(&waterfall(&self.gather(&filter).await.records)),
+            Ok(filter) => http::svg(&waterfall(&self.fleet_events(&filter).await.records)),
             Err(error) => http::refusal(Code::BadField, &error.to_string()),
         }
     }
 }
 
 fn check(body: &Bytes) -> Response<Full<Bytes>> {
-    let file: SetFile = match serde_json::from_slice(body) {
+    let file: ResourceFile = match serde_json::from_slice(body) {
         Ok(file) => file,
         Err(error) => return http::refusal(Code::MalformedBody, &error.to_string()),
     };
     let faults = file.check().err().unwrap_or_default();
-    http::json(200, &Checked { accepted: faults.is_empty(), faults })
+    http::json(200, &CheckResult { accepted: faults.is_empty(), faults })
 }
--- a/crates/harefield/src/adapters/peer_server.rs
+++ b/crates/harefield/src/adapters/peer_server.rs
@@ -1,4 +1,5 @@
-//! The peers' address: requests handed on, exchanges and pulls.
+//! The peers' address: forwarded requests, delegated groups of shards, permits, gossip exchanges
+//! and pulls.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -15,17 +16,6 @@
 use serde::de::DeserializeOwned;
 use serde_bytes::ByteBuf;
 
-use super::http;
-use super::http::BodyError;
-use super::http::Traffic;
-use super::opaque::OpaqueAnswer;
-use super::peers::EXCHANGE_PATH;
-use super::peers::FORWARD_PATH;
-use super::peers::ForwardReply;
-use super::peers::GROUP_PATH;
-use super::peers::PERMITS_PATH;
-use super::peers::PULL_PATH;
-use super::peers::Travelling;
 use crate::domain::buffers::Purpose;
 use crate::domain::code::Code;
 use crate::domain::key::Credential;
@@ -44,20 +34,31 @@
 use crate::ports::PermitRequest;
 use crate::ports::Pull;
 use crate::ports::Upstreams;
+use super::http::BodyError;
+use super::http::Traffic;
+use super::http;
+use super::opaque::OpaqueAnswer;
+use super::peers::EXCHANGE_PATH;
+use super::peers::FORWARD_PATH;
+use super::peers::ForwardReply;
+use super::peers::GROUP_PATH;
+use super::peers::PERMITS_PATH;
+use super::peers::PULL_PATH;
+use super::peers::WireAnswer;
 
-/// The most bytes of a message from a peer.
-const MOST_MESSAGE: usize = 8 << 20;
+/// The maximum size of a message from a peer, in bytes.
+const MAX_MESSAGE_BYTES: usize = 8 << 20;
 
 /// What the peers' address needs besides a worker.
 #[derive(Clone, Debug)]
 pub struct PeerServer {
-    /// The control duty's ring.
+    /// The channel to the control duty.
     pub control: Sender<ToControl>,
-    /// The token that peers show.
+    /// The token that peers must send; `None` if none is required.
     pub token: Option<String>,
-    /// Counts what control receives and answers.
+    /// Counts the bytes of control messages and their replies.
     pub traffic: Traffic,
-    /// Counts what is held of messages.
+    /// Accounts for the memory that messages use.
     pub memory: Memory,
 }
 
@@ -68,13 +69,13 @@
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
     let (head, incoming) = request.into_parts();
-    if !http::shows_token(&head.headers, server.token.as_deref()) {
+    if !http::has_token(&head.headers, server.token.as_deref()) {
         return http::refusal(Code::TokenRequired, "");
     }
     if head.method != Method::POST {
         return http::refusal(Code::WrongMethod, "");
     }
-    let body = match http::read_counted(incoming, MOST_MESSAGE, &server.memory, Purpose::Messages).await {
+    let body = match http::read_counted(incoming, MAX_MESSAGE_BYTES, &server.memory, Purpose::Messages).await {
         Ok(body) => body,
         Err(BodyError::NoRoom) => return http::refusal(Code::NoRoom, ""),
         Err(_error) => return http::refusal(Code::BodyTooLarge, ""),
@@ -94,10 +95,12 @@
         GROUP_PATH => group(worker, body).await,
         PERMITS_PATH => permits(worker, body),
         EXCHANGE_PATH => {
-            ask_control(server, body, |said: Exchange, reply| ToControl::Exchange(Box::new(said), reply))
-                .await
+            query_control(server, body, |exchange: Exchange, reply| {
+                ToControl::Exchange(Box::new(exchange), reply)
+            })
+            .await
         }
-        PULL_PATH => ask_control(server, body, |pull: Pull, reply| ToControl::Pull(pull, reply)).await,
+        PULL_PATH => query_control(server, body, |pull: Pull, reply| ToControl::Pull(pull, reply)).await,
         _ => http::refusal(Code::UnknownPath, ""),
     }
 }
@@ -112,17 +115,18 @@
     };
     let opaque = message.opaque.is_some();
     worker.merge_reports(&message.suspects);
-    let answer = worker.lookup(handed_request(message)).await;
+    let answer = worker.lookup(forwarded_request(message)).await;
     let answer = if opaque {
-        Travelling::Opaque(Box::new(OpaqueAnswer::new(&answer)))
+        WireAnswer::Opaque(Box::new(OpaqueAnswer::new(&answer)))
     } else {
-        Travelling::Json(ByteBuf::from(serde_json::to_vec(&answer).unwrap_or_default()))
+        WireAnswer::Json(ByteBuf::from(serde_json::to_vec(&answer).unwrap_or_default()))
     };
-    // A newer edition may have come into force while the request ran: that is safe to say.
-    http::packed_short(&ForwardReply { stamp: worker.stamp(), edition: worker.edition(), answer })
+    // A newer edition may have come into force while the request ran; reporting the newer one is
+    // safe.
+    http::msgpack_compact(&ForwardReply { stamp: worker.stamp(), edition: worker.edition(), answer })
 }
 
-fn handed_request(message: Forward) -> LookupRequest {
+fn forwarded_request(message: Forward) -> LookupRequest {
     let terms = ForwardTerms {
         gather: message.gather.map(Duration::from_micros),
         edition: message.edition,
@@ -149,7 +153,7 @@
     body: &Bytes,
 ) -> Response<Full<Bytes>> {
     match rmp_serde::from_slice::<Group>(body) {
-        Ok(message) => http::packed_short(&worker.group(message).await),
+        Ok(message) => http::msgpack_compact(&worker.group(message).await),
         Err(error) => http::refusal(Code::MalformedBody, &error.to_string()),
     }
 }
@@ -159,13 +163,13 @@
     body: &Bytes,
 ) -> Response<Full<Bytes>> {
     match rmp_serde::from_slice::<PermitRequest>(body) {
-        Ok(message) => http::packed_short(&worker.grant(&message)),
+        Ok(message) => http::msgpack_compact(&worker.grant(&message)),
         Err(error) => http::refusal(Code::MalformedBody, &error.to_string()),
     }
 }
 
-/// Hands a message to the control duty and answers with its reply.
-async fn ask_control<M, R>(
+/// Sends a message to the control duty and returns its reply.
+async fn query_control<M, R>(
     server: &PeerServer,
     body: &Bytes,
     wrap: impl FnOnce(M, Sender<R>) -> ToControl,
@@ -184,10 +188,10 @@
     }
     match receiver.recv().await {
         Ok(reply) => {
-            let made = http::packed(&reply);
-            let size = hyper::body::Body::size_hint(made.body()).exact().unwrap_or(0);
+            let response = http::msgpack(&reply);
+            let size = hyper::body::Body::size_hint(response.body()).exact().unwrap_or(0);
             server.traffic.count(body.len(), usize::try_from(size).unwrap_or(usize::MAX));
-            made
+            response
         }
         Err(_closed) => http::refusal(Code::Stopping, ""),
     }
--- a/crates/harefield/src/adapters/peers.rs
+++ b/crates/harefield/src/adapters/peers.rs
@@ -1,4 +1,4 @@
-//! Other daemons by HTTP with `MessagePack`.
+//! The client for other daemons: HTTP with `MessagePack` bodies.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,11 +17,6 @@
 use serde::de::DeserializeOwned;
 use serde_bytes::ByteBuf;
 
-use super::http;
-use super::http::ClientError;
-use super::http::Pool;
-use super::http::Traffic;
-use super::opaque::OpaqueAnswer;
 use crate::domain::buffers::Purpose;
 use crate::domain::feed::News;
 use crate::domain::hlc::Stamp;
@@ -38,53 +33,58 @@
 use crate::ports::PermitReply;
 use crate::ports::PermitRequest;
 use crate::ports::Pull;
+use super::http::ClientError;
+use super::http::Pool;
+use super::http::Traffic;
+use super::http;
+use super::opaque::OpaqueAnswer;
 
-/// The path of requests handed on.
+/// The path of forwarded requests.
 pub const FORWARD_PATH: &str = "/v1/forward";
 
-/// The path of groups of shards.
+/// The path of delegated groups of shards.
 pub const GROUP_PATH: &str = "/v1/group";
 
-/// The path of exchanges.
+/// The path of gossip exchanges.
 pub const EXCHANGE_PATH: &str = "/v1/exchange";
 
 /// The path of pulls.
 pub const PULL_PATH: &str = "/v1/pull";
 
-/// The path of permits under accounts' limits.
+/// The path of requests for permits under accounts' limits.
 pub const PERMITS_PATH: &str = "/v1/permits";
 
-/// The most bytes of a peer's reply.
-const MOST_REPLY: usize = 64 << 20;
+/// The maximum size of a peer's reply, in bytes.
+const MAX_REPLY_BYTES: usize = 64 << 20;
 
-/// How long after a group leaves a spare connection to its daemon is opened, where none
-/// is left: the group itself goes first.
+/// How long after sending a group to open a spare connection to its daemon if none is idle; the
+/// group itself is sent first.
 const SPARE_PAUSE: Duration = Duration::from_millis(1);
 
-/// A call that ends unanswered after this long may have been on a silent connection;
-/// answers take less, but for those that wait past an objective.
+/// A call that gets no answer for this long may have used a silent connection. Answers take less,
+/// except those that wait beyond an objective.
 const SUSPECT_AFTER: Duration = Duration::from_millis(250);
 
 /// How long opening a connection to a daemon may take.
 const CONNECT_LIMIT: Duration = Duration::from_millis(500);
 
-/// A member's answer as it travels.
+/// A cell member's answer to a forwarded request, as it is sent between daemons.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct ForwardReply {
     pub stamp: Stamp,
     pub edition: Edition,
-    pub answer: Travelling,
+    pub answer: WireAnswer,
 }
 
-/// An answer between two daemons: JSON where it holds JSON replies as they were
-/// sent, else what there is of opaque ones.
+/// An answer as it is sent between daemons: JSON if it contains JSON replies, which are kept as
+/// sent, or the parts of an answer to an opaque request.
 #[derive(Debug, Serialize, Deserialize)]
-pub(super) enum Travelling {
+pub(super) enum WireAnswer {
     Json(ByteBuf),
     Opaque(Box<OpaqueAnswer>),
 }
 
-/// Speaks to other daemons by HTTP.
+/// The HTTP client for other daemons.
 #[derive(Clone, Debug)]
 pub struct HttpPeers {
     executor: Rc<LocalExecutor<'static>>,
@@ -94,26 +94,26 @@
     memory: Memory,
 }
 
-/// A call under way. Where it ends unanswered after a while, the idle connections to
-/// its daemon go too: they may be as silent as its own, and new ones may work.
-struct Unanswered<'a> {
+/// A call in progress. If it ends unanswered after `SUSPECT_AFTER`, the idle connections to its
+/// daemon are closed too: they may be as silent as the one it used, and new ones may work.
+struct PendingCall<'a> {
     pool: &'a Pool,
     address: SocketAddr,
     since: Instant,
-    settled: bool,
+    resolved: bool,
 }
 
-impl Drop for Unanswered<'_> {
+impl Drop for PendingCall<'_> {
     fn drop(&mut self) {
-        if !self.settled && self.since.elapsed() >= SUSPECT_AFTER {
-            self.pool.forget(self.address);
+        if !self.resolved && self.since.elapsed() >= SUSPECT_AFTER {
+            self.pool.close_idle(self.address);
         }
     }
 }
 
 impl HttpPeers {
-    /// Creates the adapter on one thread's executor; `token` is shown to peers,
-    /// `traffic` counts what control sends, and `memory` what is held of messages.
+    /// Creates the client on one thread's executor. `token` is sent to peers, `traffic` counts the
+    /// bytes of control messages, and `memory` accounts for replies.
     #[must_use]
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
@@ -136,13 +136,13 @@
             Err(PeerError::Silent)
         };
         let address: SocketAddr = host.parse().map_err(|_error| PeerError::Unreachable)?;
-        let mut unanswered = Unanswered { pool: &self.pool, address, since: Instant::now(), settled: false };
-        let reply = self.converse(address, self.request(host, path, body)?, limit).or(expired).await;
-        unanswered.settled = !matches!(reply, Err(PeerError::Silent));
+        let mut pending = PendingCall { pool: &self.pool, address, since: Instant::now(), resolved: false };
+        let reply = self.round_trip(address, self.request(host, path, body)?, limit).or(expired).await;
+        pending.resolved = !matches!(reply, Err(PeerError::Silent));
         reply
     }
 
-    async fn converse<R: DeserializeOwned>(
+    async fn round_trip<R: DeserializeOwned>(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
@@ -155,9 +155,9 @@
             ClientError::Lost => PeerError::Silent,
         })?;
         let status = reply.status();
-        let whole = http::read_counted(reply.into_body(), MOST_REPLY, &self.memory, Purpose::Messages).await;
+        let whole = http::read_counted(reply.into_body(), MAX_REPLY_BYTES, &self.memory, Purpose::Messages).await;
         let whole = whole.map_err(|_error| PeerError::Silent)?;
-        self.pool.give_back(address, connection);
+        self.pool.release(address, connection);
         match status {
             StatusCode::OK => {}
             StatusCode::SERVICE_UNAVAILABLE => return Err(PeerError::Unreachable),
@@ -203,8 +203,8 @@
     ) -> Result<ForwardAnswer, PeerError> {
         let (reply, _size): (ForwardReply, _) = self.call(host, FORWARD_PATH, pack(message)?, limit).await?;
         let answer = match reply.answer {
-            Travelling::Json(json) => serde_json::from_slice(&json).map_err(|_error| PeerError::Silent)?,
-            Travelling::Opaque(answer) => answer.into_answer(&message.request),
+            WireAnswer::Json(json) => serde_json::from_slice(&json).map_err(|_error| PeerError::Silent)?,
+            WireAnswer::Opaque(answer) => answer.into_answer(&message.request),
         };
         Ok(ForwardAnswer { answer, stamp: reply.stamp, edition: reply.edition })
     }
@@ -215,7 +215,8 @@
         message: &Group,
         limit: Duration,
     ) -> Result<GroupReply, PeerError> {
-        // Fields go by their places: these messages cross between regions.
+        // Fields are identified by position to save bytes, as these messages are sent between
+        // regions.
         let body = rmp_serde::to_vec(message).map_err(|_error| PeerError::Unreachable)?;
         let this = self.clone();
         let address: SocketAddr = host.parse().map_err(|_error| PeerError::Unreachable)?;
--- a/crates/harefield/src/adapters/upstreams/mod.rs
+++ b/crates/harefield/src/adapters/upstreams/mod.rs
@@ -1,5 +1,5 @@
-//! The upstreams by HTTP: one pool of connections a searcher, owned by one
-//! worker; what is said on them is a [`Protocol`].
+//! The client for upstreams over HTTP. Each worker has its own connections, in one pool per
+//! upstream; a [`Protocol`] defines the messages.
 
 mod pool;
 mod protocol;
@@ -21,10 +21,6 @@
 use hyper::body::Incoming;
 use hyper::header::HeaderMap;
 
-use self::pool::Pool;
-use self::pool::Seat;
-use super::http;
-use super::http::Connection;
 use crate::domain::buffers::Purpose;
 use crate::domain::fanout::AttemptEnd;
 use crate::domain::ids::UpstreamId;
@@ -36,46 +32,50 @@
 use crate::ports::CallOutcome;
 use crate::ports::Endpoint;
 use crate::ports::Upstreams;
+use self::pool::ConnectionSlot;
+use self::pool::Pool;
+use super::http::Connection;
+use super::http;
 
-pub use self::protocol::OwnProtocol;
+pub use self::protocol::JsonProtocol;
 
-/// A request without a reply for this long may be on a silent connection: replies take a
-/// tenth of it, and some tenths from upstreams that are slow or pause.
+/// A request that has no reply after this long may be on a silent connection. Replies usually take
+/// a tenth of it, and a few tenths from upstreams that are slow or paused.
 const SUSPECT_AFTER: Duration = Duration::from_secs(1);
 
-/// How long a look whether an upstream has ended may take; within the time in which a
-/// connection is given up, since one that is not answered says nothing.
-const LOOK_LIMIT: Duration = Duration::from_millis(400);
+/// The time limit for checking whether an upstream has ended. It is shorter than the time after
+/// which opening a connection is abandoned, as an attempt that gets no response proves nothing.
+const CONNECT_CHECK_LIMIT: Duration = Duration::from_millis(400);
 
-/// The most bytes of one shard's reply.
-const MOST_REPLY: usize = 4 << 20;
+/// The maximum size of one shard's reply, in bytes.
+const MAX_REPLY_BYTES: usize = 4 << 20;
 
-/// What a reply amounts to.
+/// A reply, as the protocol interprets it.
 #[derive(Debug)]
-pub struct Reading {
+pub struct ParsedReply {
     /// How the call ended.
     pub end: CallOutcome,
-    /// Whether the connection may carry another request.
+    /// Whether the connection can carry another request.
     pub keep: bool,
 }
 
-/// What is said to upstreams: requests made, replies read.
+/// The protocol of upstreams: creates requests and interprets replies.
 pub trait Protocol: Clone + Debug + 'static {
-    /// Makes the request of a call.
+    /// Creates the request for a call.
     fn request(&self, call: &Call) -> Request<Full<Bytes>>;
 
-    /// Reads a whole reply.
-    fn read(&self, call: &Call, reply: Response<Bytes>) -> Reading;
+    /// Interprets a complete reply.
+    fn read(&self, call: &Call, reply: Response<Bytes>) -> ParsedReply;
 
-    /// Reads what the head of a reply says of the upstream.
+    /// Returns what the head of a reply says about the upstream.
     fn report(&self, headers: &HeaderMap) -> Report;
 
-    /// Makes the request by which an upstream is told that a reply is no
-    /// longer wanted; none where the protocol has no word for it.
+    /// Creates the request that cancels a call whose reply is no longer wanted; `None` if the
+    /// protocol has no such message.
     fn cancel(&self, place: &Endpoint, request: &str) -> Option<Request<Full<Bytes>>>;
 }
 
-/// Asks upstreams by HTTP.
+/// The HTTP client for upstreams.
 #[derive(Clone, Debug)]
 pub struct HttpUpstreams<W> {
     protocol: W,
@@ -86,21 +86,21 @@
 }
 
 impl<W: Protocol> HttpUpstreams<W> {
-    /// Creates the adapter of one worker, without connections; `memory` counts replies.
+    /// Creates the client of one worker, without connections; `memory` accounts for replies.
     #[must_use]
     pub fn new(protocol: W, executor: Rc<LocalExecutor<'static>>, memory: Memory) -> Self {
         Self { protocol, executor, pools: Rc::default(), opened: Rc::default(), memory }
     }
 
-    /// Returns how many connections were opened.
+    /// Returns how many connections have been opened.
     #[must_use]
     pub fn opened(&self) -> u64 {
         self.opened.get()
     }
 
-    /// Sends on an idle connection first; one found dead before a byte was
-    /// written is replaced by a new one.
-    async fn converse(&self, call: &Call, permit: impl Fn() -> bool) -> CallOutcome {
+    /// Sends a call, preferably on an idle connection. An idle connection that is found dead before
+    /// a byte was written is replaced.
+    async fn send_call(&self, call: &Call, permit: impl Fn() -> bool) -> CallOutcome {
         let mut request = self.protocol.request(call);
         loop {
             let idle = self.take_idle(&call.endpoint);
@@ -109,16 +109,16 @@
                 Some(held) => Ok(held),
                 None => self.open(&call.endpoint, call.connection_limit).await,
             };
-            let (seat, mut connection) = match opened {
+            let (slot, mut connection) = match opened {
                 Ok(held) => held,
                 Err(why) => return unsent(why),
             };
             if !permit() {
-                seat.give_back(connection);
+                slot.release(connection);
                 return unsent(Gap::Unconfirmed);
             }
             match connection.send(request).await {
-                Ok(reply) => return self.finish(call, seat, connection, reply).await,
+                Ok(reply) => return self.finish(call, slot, connection, reply).await,
                 Err(Some(unwritten)) if reused => request = unwritten,
                 Err(Some(_unwritten)) => return unsent(Gap::Unreachable),
                 Err(None) => return lost(Gap::ReplyLost, Report::default()),
@@ -129,26 +129,26 @@
     async fn finish(
         &self,
         call: &Call,
-        seat: Seat,
+        slot: ConnectionSlot,
         connection: Connection,
         reply: Response<Incoming>,
     ) -> CallOutcome {
         let (head, body) = reply.into_parts();
-        let Ok(whole) = http::read_counted(body, MOST_REPLY, &self.memory, Purpose::Replies).await else {
+        let Ok(whole) = http::read_counted(body, MAX_REPLY_BYTES, &self.memory, Purpose::Replies).await else {
             return lost(Gap::ReplyLost, self.protocol.report(&head.headers));
         };
         let closes = closes(&head.headers);
         let reading = self.protocol.read(call, Response::from_parts(head, whole));
         if reading.keep && !closes {
-            seat.give_back(connection);
+            slot.release(connection);
         }
         reading.end
     }
 }
 
 fn closes(headers: &HeaderMap) -> bool {
-    let said = headers.get(hyper::header::CONNECTION).and_then(|value| value.to_str().ok());
-    said.is_some_and(|value| value.eq_ignore_ascii_case("close"))
+    let connection = headers.get(hyper::header::CONNECTION).and_then(|value| value.to_str().ok());
+    connection.is_some_and(|value| value.eq_ignore_ascii_case("close"))
 }
 
 impl<W: Protocol> Upstreams for HttpUpstreams<W> {
@@ -163,26 +163,26 @@
             self.close_idle(&call.endpoint);
             std::future::pending().await
         };
-        let ended = async { Some(self.converse(&call, permit).await) }.or(suspect).or(expired).await;
+        let ended = async { Some(self.send_call(&call, permit).await) }.or(suspect).or(expired).await;
         ended.unwrap_or_else(|| lost(Gap::ReplyLost, Report::default()))
     }
 
     async fn has_ended(&self, place: &Endpoint, share: u32) -> bool {
-        let looked = async {
+        let checked = async {
             match self.open(place, share).await {
-                Ok((seat, connection)) => {
-                    seat.give_back(connection);
+                Ok((slot, connection)) => {
+                    slot.release(connection);
                     false
                 }
-                // Where no connection may be opened, that says nothing of the upstream.
+                // If the connection limit is reached, nothing is known about the upstream.
                 Err(why) => why == Gap::Unreachable,
             }
         };
         let expired = async {
-            Timer::after(LOOK_LIMIT).await;
+            Timer::after(CONNECT_CHECK_LIMIT).await;
             false
         };
-        looked.or(expired).await
+        checked.or(expired).await
     }
 
     fn cancel(&self, upstream: &UpstreamId, request: &str) {
@@ -193,29 +193,29 @@
         let Some(message) = self.protocol.cancel(&place, request) else {
             return;
         };
-        let Some((seat, mut connection)) = self.take_idle(&place) else {
+        let Some((slot, mut connection)) = self.take_idle(&place) else {
             return;
         };
         let send = async move {
             if let Ok(reply) = connection.send(message).await
-                && http::read(reply.into_body(), MOST_REPLY).await.is_ok()
+                && http::read(reply.into_body(), MAX_REPLY_BYTES).await.is_ok()
             {
-                seat.give_back(connection);
+                slot.release(connection);
             }
         };
         self.executor.spawn(send).detach();
     }
 
     fn preconnect(&self, place: &Endpoint, share: u32, want: usize) -> bool {
-        if self.ready(place) >= want || !self.begin_warming(place, share) {
+        if self.ready(place) >= want || !self.begin_preconnect(place, share) {
             return false;
         }
         let (this, place) = (self.clone(), place.clone());
         let open = async move {
             let opened = this.open(&place, share).await;
-            this.with_pool(&place, |pool| pool.end_warming(opened.is_ok()));
-            if let Ok((seat, connection)) = opened {
-                seat.give_back(connection);
+            this.update_pool(&place, |pool| pool.end_preconnect(opened.is_ok()));
+            if let Ok((slot, connection)) = opened {
+                slot.release(connection);
             }
         };
         self.executor.spawn(open).detach();
@@ -223,7 +223,7 @@
     }
 
     fn keep_only(&self, keep: impl Fn(&UpstreamId) -> bool) {
-        // A connection that carries a request finds no pool, and is closed then.
+        // A connection that carries a request is closed afterwards, as its pool is gone.
         self.pools.borrow_mut().retain(|name, _| keep(name));
     }
 
@@ -232,18 +232,18 @@
     }
 }
 
-/// Makes the end of a call of which nothing was written.
+/// Creates the outcome of a call of which nothing was written.
 #[must_use]
 pub fn unsent(why: Gap) -> CallOutcome {
     let verdict = match why {
-        // No connection was free here, which says nothing of the upstream.
+        // There was no free connection or no permit here, which says nothing about the upstream.
         Gap::Overloaded | Gap::Unconfirmed => AttemptOutcome::Declined,
         _ => AttemptOutcome::Failed,
     };
     CallOutcome { end: AttemptEnd::NotSent { why }, verdict, report: Report::default() }
 }
 
-/// Makes the end of a call that was written and brought no usable reply.
+/// Creates the outcome of a call that was written but brought no usable reply.
 #[must_use]
 pub fn lost(why: Gap, report: Report) -> CallOutcome {
     let verdict = if why == Gap::SnapshotWrong { AttemptOutcome::Declined } else { AttemptOutcome::Lost };
--- a/crates/harefield/src/adapters/upstreams/protocol.rs
+++ b/crates/harefield/src/adapters/upstreams/protocol.rs
@@ -1,5 +1,5 @@
-//! The product's own protocol to upstreams: JSON, and headers to and from;
-//! `docs/PROTOCOLS.md` has it.
+//! Harefield's own protocol to upstreams: JSON bodies, with metadata in headers; see
+//! `docs/PROTOCOLS.md`.
 
 use std::time::Duration;
 
@@ -11,9 +11,6 @@
 use hyper::header::HeaderMap;
 use serde_json::value::RawValue;
 
-use super::Protocol;
-use super::Reading;
-use super::lost;
 use crate::domain::announcement::Announcement;
 use crate::domain::announcement::AnnouncementStamp;
 use crate::domain::fanout::AttemptEnd;
@@ -28,27 +25,30 @@
 use crate::ports::Call;
 use crate::ports::CallOutcome;
 use crate::ports::Endpoint;
+use super::ParsedReply;
+use super::Protocol;
+use super::lost;
 
-/// The product's own protocol.
+/// Harefield's own protocol to upstreams.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct OwnProtocol;
+pub struct JsonProtocol;
 
-impl Protocol for OwnProtocol {
+impl Protocol for JsonProtocol {
     fn request(&self, call: &Call) -> Request<Full<Bytes>> {
         make_request(call)
     }
 
-    fn read(&self, call: &Call, reply: Response<Bytes>) -> Reading {
+    fn read(&self, call: &Call, reply: Response<Bytes>) -> ParsedReply {
         let report = read_report(reply.headers());
-        if let Err(gap) = verify(&call.echo, read_echo(reply.headers()).as_ref()) {
-            return Reading { end: lost(gap, report), keep: false };
+        if let Err(gap) = verify(&call.echo, read_identity(reply.headers()).as_ref()) {
+            return ParsedReply { end: lost(gap, report), keep: false };
         }
         let end = if reply.status() == StatusCode::OK {
             answered(reply.body(), report)
         } else {
             refused(reply.headers(), report)
         };
-        Reading { end, keep: true }
+        ParsedReply { end, keep: true }
     }
 
     fn report(&self, headers: &HeaderMap) -> Report {
@@ -94,7 +94,7 @@
     headers.get(name)?.to_str().ok()
 }
 
-fn read_echo(headers: &HeaderMap) -> Option<ReplyIdentity> {
+fn read_identity(headers: &HeaderMap) -> Option<ReplyIdentity> {
     Some(ReplyIdentity {
         request: text(headers, "harefield-request")?.to_owned(),
         shard: text(headers, "harefield-shard")?.to_owned(),
@@ -103,7 +103,7 @@
 }
 
 fn read_report(headers: &HeaderMap) -> Report {
-    Report { load: read_load(headers), announcement: read_word(headers) }
+    Report { load: read_load(headers), announcement: read_announcement(headers) }
 }
 
 fn read_load(headers: &HeaderMap) -> Option<Load> {
@@ -111,7 +111,7 @@
     Some(Load { active: active.parse().ok()?, queued: queued.parse().ok()?, slowness: None })
 }
 
-fn read_word(headers: &HeaderMap) -> Option<Announcement> {
+fn read_announcement(headers: &HeaderMap) -> Option<Announcement> {
     let (start, change) = text(headers, "harefield-word")?.split_once('.')?;
     let stamp = AnnouncementStamp { start: start.parse().ok()?, change: change.parse().ok()? };
     let draining = text(headers, "harefield-draining") == Some("true");
@@ -131,7 +131,7 @@
     }
 }
 
-/// Reads a refusal; one that does not say that it had not begun may have run.
+/// Interprets a refusal. Unless the upstream says that the request had not begun, it may have run.
 fn refused(headers: &HeaderMap, report: Report) -> CallOutcome {
     let begun = text(headers, "harefield-begun") != Some("false");
     let wait = text(headers, "harefield-retry-ms").and_then(|ms| ms.parse().ok()).map(Duration::from_millis);
--- a/crates/harefield/src/commands/check.rs
+++ b/crates/harefield/src/commands/check.rs
@@ -7,16 +7,16 @@
 use miette::LabeledSpan;
 use miette::NamedSource;
 
+use crate::adapters::operators::ResourceFile;
+use crate::adapters::settings::Settings;
+use crate::domain::code::Code;
+use crate::domain::resources::ResourceError;
 use super::Exit;
 use super::Failure;
 use super::Outcome;
 use super::arguments::Argument;
 use super::arguments::Arguments;
 use super::arguments::unknown_option;
-use crate::adapters::operators::SetFile;
-use crate::adapters::settings::Settings;
-use crate::domain::code::Code;
-use crate::domain::resources::ResourceError;
 
 const HELP: &str = "\
 Usage: harefield check FILE
@@ -71,7 +71,7 @@
         let report = miette::miette!("{}: {}: {error}", Code::SettingsUnreadable, path.display());
         Failure::new(Exit::Invalid, report)
     })?;
-    let file: SetFile = match serde_json::from_str(&text) {
+    let file: ResourceFile = match serde_json::from_str(&text) {
         Ok(file) => file,
         Err(error) => {
             let at = offset(&text, error.line(), error.column());
--- a/crates/harefield/src/daemon/protocols.rs
+++ b/crates/harefield/src/daemon/protocols.rs
@@ -11,14 +11,14 @@
 use hyper::body::Incoming;
 use prometheus_client::metrics::gauge::Gauge;
 
-use crate::adapters::callers;
 use crate::adapters::callers::RequestLimits;
+use crate::adapters::callers;
 use crate::adapters::clock::SystemClock;
 use crate::adapters::http::Traffic;
 use crate::adapters::peers::HttpPeers;
 use crate::adapters::platform::HttpPlatform;
 use crate::adapters::upstreams::HttpUpstreams;
-use crate::adapters::upstreams::OwnProtocol;
+use crate::adapters::upstreams::JsonProtocol;
 use crate::adapters::upstreams::Protocol;
 use crate::engine::Worker;
 use crate::platform;
@@ -55,18 +55,18 @@
 
 impl Protocols for NativeProtocols {
     type Platform = HttpPlatform;
-    type UpstreamProtocol = OwnProtocol;
+    type UpstreamProtocol = JsonProtocol;
 
     fn platform(executor: Rc<LocalExecutor<'static>>, traffic: Traffic, _left_out: Gauge) -> HttpPlatform {
         HttpPlatform::new(executor, traffic)
     }
 
-    fn upstream_protocol() -> OwnProtocol {
-        OwnProtocol
+    fn upstream_protocol() -> JsonProtocol {
+        JsonProtocol
     }
 
     async fn answer(
-        worker: Rc<HttpWorker<OwnProtocol>>,
+        worker: Rc<HttpWorker<JsonProtocol>>,
         request: Request<Incoming>,
         limits: RequestLimits,
     ) -> Response<Full<Bytes>> {
--- a/crates/harefield/src/daemon/threads.rs
+++ b/crates/harefield/src/daemon/threads.rs
@@ -174,7 +174,7 @@
         detail: settings.events.detail_every,
         seed: rand::random(),
         overage: settings.accounts.overage(),
-        max_proof_age: settings.accounts.proof_limit(),
+        max_proof_age: settings.accounts.max_proof_age(),
     }
 }
 
@@ -230,7 +230,7 @@
         join: Duration::from_millis(settings.peers.join_ms),
         first_start: settings.peers.first_start,
         watch: Duration::from_millis(settings.platform.watch_ms),
-        pace: FreshnessSchedule::new(settings.platform.in_force()),
+        pace: FreshnessSchedule::new(settings.platform.apply_limit()),
         readers: settings.platform.readers,
         carry: RetentionTimes::new(Duration::from_millis(settings.platform.heartbeat_ms)),
         places: places(context),
--- a/crates/harefield/src/platform/store.rs
+++ b/crates/harefield/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store: the one client for it, which reads and watches.
+//! The only client of the platform's store: lists and watches its entries.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -12,16 +12,11 @@
 use prometheus_client::metrics::gauge::Gauge;
 use serde::Deserialize;
 
-use super::documents::EntryError;
-use super::documents::catalog_of;
-use super::documents::upstream_of;
-use super::headers;
-use super::left_out::LeftOut;
 use crate::adapters::http::Traffic;
-use crate::adapters::reading::Answers;
 use crate::adapters::reading::JsonReader;
 use crate::adapters::reading::READ_LIMIT;
-use crate::adapters::reading::Told;
+use crate::adapters::reading::ReplyFormat;
+use crate::adapters::reading::StoreReply;
 use crate::adapters::reading::deltas;
 use crate::adapters::reading::watch_limit;
 use crate::domain::feed::Change;
@@ -33,33 +28,38 @@
 use crate::ports::PlatformError;
 use crate::ports::Space;
 use crate::ports::WatchResult;
+use super::documents::EntryError;
+use super::documents::parse_catalog;
+use super::documents::parse_upstream;
+use super::headers;
+use super::left_out::UnreadableEntries;
 
-/// The key of the configuration.
+/// The key of the configuration document.
 const CONFIG_KEY: &str = "op/config";
 
-/// The prefix of what the operator says: the configuration, and each evacuation.
+/// The prefix of all keys that the operator writes: the configuration and the evacuations.
 const OPERATOR_PREFIX: &str = "op/";
 
-/// The prefix of the evacuations; the availability zone follows.
+/// The prefix of the evacuations; the name of the availability zone follows.
 const EVACUATIONS_PREFIX: &str = "op/evacuate/";
 
 /// The prefix of the upstreams' entries.
 const UPSTREAMS_PREFIX: &str = "servers/";
 
-/// The product's key of what the configuration holds.
+/// The key under which harefield stores the decoded configuration.
 const CATALOG_KEY: &str = "catalogs/operator";
 
-/// The value of an evacuation: that it stands there is all that it says, whatever else may
-/// be written.
+/// The decoded value of an evacuation. Only the presence of the key matters; the stored value is
+/// ignored.
 const EVACUATION: &str = "{}";
 
-/// One value, or that it was taken away.
+/// An entry of the store, or the tombstone of a deleted one.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Item {
-    /// A name that misleads: the item's key, which everyone may read.
+    /// The entry's key. The name in the store's JSON is misleading: any client can read it.
     private_key: String,
-    /// The bytes, in base64.
+    /// The value, in base64.
     #[serde(default)]
     value: Option<String>,
     revision: u64,
@@ -67,7 +67,7 @@
     tombstone: bool,
 }
 
-/// A page of a prefix.
+/// One page of the listing of a prefix.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Page {
@@ -76,30 +76,31 @@
     store_revision: u64,
 }
 
-/// The revisions that pages were read at.
+/// The range of revisions at which the pages of a listing were read.
 #[derive(Debug, Default)]
-struct Pages {
-    ends: Option<(Revision, Revision)>,
+struct PageRevisions {
+    range: Option<(Revision, Revision)>,
 }
 
-impl Pages {
-    /// Takes the next page's revision; pages of two eras are no listing.
-    fn note(&mut self, revision: Revision) -> Result<(), PlatformError> {
-        let (first, last) = self.ends.unwrap_or((revision, revision));
+impl PageRevisions {
+    /// Records the revision of the next page. Fails if the pages are from two eras, as they make no
+    /// consistent listing.
+    fn record(&mut self, revision: Revision) -> Result<(), PlatformError> {
+        let (first, last) = self.range.unwrap_or((revision, revision));
         if first.era != revision.era {
             return Err(PlatformError::Restored);
         }
-        self.ends = Some((first.min(revision), last.max(revision)));
+        self.range = Some((first.min(revision), last.max(revision)));
         Ok(())
     }
 
     fn listing(&self) -> Listing {
-        let (first, last) = self.ends.unwrap_or_default();
+        let (first, last) = self.range.unwrap_or_default();
         Listing { first, last, ..Listing::default() }
     }
 }
 
-/// The answer to a watch.
+/// The reply to a watch.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Events {
@@ -107,52 +108,60 @@
     store_revision: u64,
 }
 
-/// Reads the store by HTTP. It lists no hosts: daemons find each other.
+/// Reads the platform's store over HTTP. The store lists no hosts: daemons find each other by
+/// gossip.
 #[derive(Clone, Debug)]
 pub struct HttpStore {
     reader: JsonReader,
-    left_out: LeftOut,
+    unreadable: UnreadableEntries,
 }
 
 impl HttpStore {
-    /// Creates the client on one thread's executor; `traffic` counts its bytes, and
-    /// `left_out` shows how many entries name no upstream.
+    /// Creates the client on one thread's executor. `traffic` counts the bytes it receives, and
+    /// `unreadable` shows the number of upstream entries that can't be decoded.
     #[must_use]
-    pub fn new(executor: Rc<LocalExecutor<'static>>, traffic: Traffic, left_out: Gauge) -> Self {
-        let answers = Answers { gone: &[StatusCode::GONE, StatusCode::NOT_FOUND], era: Some(headers::ERA) };
-        Self { reader: JsonReader::new(executor, traffic, answers), left_out: LeftOut::new(left_out) }
+    pub fn new(executor: Rc<LocalExecutor<'static>>, traffic: Traffic, unreadable: Gauge) -> Self {
+        let answers =
+            ReplyFormat { gone: &[StatusCode::GONE, StatusCode::NOT_FOUND], era: Some(headers::ERA) };
+        Self {
+            reader: JsonReader::new(executor, traffic, answers),
+            unreadable: UnreadableEntries::new(unreadable),
+        }
     }
 
     async fn list_config(&self, copy: SocketAddr) -> Result<Listing, PlatformError> {
-        let mut pages = Pages::default();
+        let mut pages = PageRevisions::default();
         let operator = self.read_pages(copy, OPERATOR_PREFIX, &mut pages).await?;
-        // Without it all lookups would be taken away.
+        // A listing without the configuration would remove all lookups.
         let config = operator.iter().find(|item| item.private_key == CONFIG_KEY);
-        let config = config.ok_or_else(|| PlatformError::Malformed("nothing is published yet".to_owned()))?;
+        let config = config
+            .ok_or_else(|| PlatformError::Malformed("the store holds no configuration yet".to_owned()))?;
         decode(config).map_err(|error| PlatformError::Malformed(error.to_string()))?;
         let upstreams = self.read_pages(copy, UPSTREAMS_PREFIX, &mut pages).await?;
         let mut listing = pages.listing();
         for item in operator.iter().chain(&upstreams) {
-            self.put(&mut listing, item);
+            self.add_item(&mut listing, item);
         }
         let listed: HashSet<&str> = upstreams.iter().map(|item| &*item.private_key).collect();
-        self.left_out.keep_only(|key| listed.contains(key));
+        self.unreadable.retain_listed(|key| listed.contains(key));
         Ok(listing)
     }
 
-    /// Reads all pages of a prefix; notes the revisions that they were read at.
+    /// Reads all pages of a prefix and records the revision of each.
     async fn read_pages(
         &self,
         copy: SocketAddr,
         prefix: &str,
-        pages: &mut Pages,
+        pages: &mut PageRevisions,
     ) -> Result<Vec<Item>, PlatformError> {
         let (mut items, mut after) = (Vec::new(), String::new());
         loop {
             let path = format!("/-/kv-range?pathPrefix={prefix}{after}");
-            let Told { era, body } = self.reader.get::<Page>(copy, &path, READ_LIMIT).await?;
-            let page = body.ok_or_else(|| PlatformError::Malformed("a page is gone".to_owned()))?;
-            pages.note(Revision::new(era, page.store_revision))?;
+            let StoreReply { era, body } = self.reader.get::<Page>(copy, &path, READ_LIMIT).await?;
+            let page = body.ok_or_else(|| {
+                PlatformError::Malformed("a page of the listing no longer exists".to_owned())
+            })?;
+            pages.record(Revision::new(era, page.store_revision))?;
             let last = page.items.last().map(|item| item.private_key.clone());
             items.extend(page.items);
             match last.filter(|_| page.truncated) {
@@ -162,54 +171,55 @@
         }
     }
 
-    /// Puts an item into a listing, where it is the product's business.
-    fn put(&self, listing: &mut Listing, item: &Item) {
-        if let Some(Change { key, value: Some(value) }) = self.change_of(listing.first.era, item) {
+    /// Adds an item to a listing if harefield uses it.
+    fn add_item(&self, listing: &mut Listing, item: &Item) {
+        if let Some(Change { key, value: Some(value) }) = self.parse_change(listing.first.era, item) {
             listing.items.insert(key, value);
         }
     }
 
-    /// Decodes an item into a change of the product's resources; none where it is none of
-    /// the product's business, or a configuration that cannot be read, which leaves the one
-    /// before in force.
+    /// Decodes an item into a change of one of harefield's resources. Returns `None` if the item
+    /// isn't used, or if it is a configuration that can't be decoded; the previous configuration
+    /// then stays in force.
     ///
-    /// An entry that cannot be read takes its upstream away, as its deletion would: those
-    /// that list find the same as those that watched, and an upstream that lives writes its
-    /// entry again within a second or two.
-    fn change_of(&self, era: Era, item: &Item) -> Option<Change> {
+    /// An upstream's entry that can't be decoded removes the upstream, as a deletion would. This
+    /// way daemons that list and daemons that watch arrive at the same state, and an upstream that
+    /// is alive writes its entry again within a second or two.
+    fn parse_change(&self, era: Era, item: &Item) -> Option<Change> {
         let name = &item.private_key;
         let id = name.strip_prefix(UPSTREAMS_PREFIX);
         let key: Key = match id {
-            Some(id) if is_id(id) => format!("upstreams/{id}").into(),
+            Some(id) if is_valid_id(id) => format!("upstreams/{id}").into(),
             None if name == CONFIG_KEY => CATALOG_KEY.into(),
-            _ => return evacuation_of(item),
+            _ => return parse_evacuation(item),
         };
         if item.tombstone {
-            self.left_out.forget(name);
+            self.unreadable.clear(name);
             return Some(Change { key, value: None });
         }
         match decode(item) {
             Ok(value) => {
-                self.left_out.forget(name);
+                self.unreadable.clear(name);
                 Some(Change { key, value: Some(value.into()) })
             }
             Err(error) => {
-                self.left_out.note(name, Revision::new(era, item.revision), &error);
+                self.unreadable.record(name, Revision::new(era, item.revision), &error);
                 id.is_some().then_some(Change { key, value: None })
             }
         }
     }
 }
 
-/// Decodes an evacuation's item; none where it is not one.
-fn evacuation_of(item: &Item) -> Option<Change> {
+/// Decodes the item of an evacuation; returns `None` for any other item.
+fn parse_evacuation(item: &Item) -> Option<Change> {
     let zone = item.private_key.strip_prefix(EVACUATIONS_PREFIX).filter(|zone| !zone.is_empty())?;
     let value = (!item.tombstone).then(|| EVACUATION.into());
     Some(Change { key: format!("evacuations/{zone}").into(), value })
 }
 
-/// Says whether a text may be an upstream's id: it is sent in a header, and is no path.
-fn is_id(text: &str) -> bool {
+/// Returns whether a text is valid as an upstream's id, which is sent in a header and must not
+/// contain a path separator.
+fn is_valid_id(text: &str) -> bool {
     !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_graphic() && byte != b'/')
 }
 
@@ -231,33 +241,34 @@
         if space == Space::Hosts {
             return Err(no_hosts());
         }
-        let Revision { era: own, number } = after;
+        let Revision { era: known_era, number } = after;
         let path = format!("/-/kv-watch?pathPrefix=&after={number}&waitMs={}", wait.as_millis());
-        let Told { era, body } = self.reader.get::<Events>(copy, &path, watch_limit(wait)).await?;
-        // Of another era, the events say nothing of what was written below the number.
-        if era > own {
+        let StoreReply { era, body } = self.reader.get::<Events>(copy, &path, watch_limit(wait)).await?;
+        // After a restore, the events don't cover what was written below the known number.
+        if era > known_era {
             return Ok(WatchResult::Restored(era));
         }
-        let at = |number| Revision::new(era, number);
-        if era < own {
-            return Err(PlatformError::Behind(at(body.map_or(0, |events| events.store_revision))));
+        let revision_at = |number| Revision::new(era, number);
+        if era < known_era {
+            return Err(PlatformError::Behind(revision_at(body.map_or(0, |events| events.store_revision))));
         }
         let Some(Events { events, store_revision }) = body else { return Ok(WatchResult::Compacted) };
         let newer = events.iter().filter(|item| item.revision > number);
-        let changes = newer.filter_map(|item| Some((at(item.revision), self.change_of(era, item)?)));
-        Ok(WatchResult::Changes { deltas: deltas(after, changes), at: at(store_revision) })
+        let changes =
+            newer.filter_map(|item| Some((revision_at(item.revision), self.parse_change(era, item)?)));
+        Ok(WatchResult::Changes { deltas: deltas(after, changes), at: revision_at(store_revision) })
     }
 }
 
-/// An answer made up here would pass for one of the store.
+/// Returns an error, since an empty listing would be taken for the store's own answer.
 fn no_hosts() -> PlatformError {
-    PlatformError::Malformed("the store lists no hosts".to_owned())
+    PlatformError::Malformed("the store does not list hosts".to_owned())
 }
 
-/// Why an item cannot be read.
+/// The reason why an item can't be decoded.
 #[derive(Debug, thiserror::Error)]
 enum DecodeError {
-    #[error("it has no value")]
+    #[error("the entry has no value")]
     Empty,
     #[error("{0}")]
     Base64(#[from] base64::DecodeError),
@@ -267,14 +278,14 @@
     Entry(#[from] EntryError),
 }
 
-/// Decodes an item's value into a resource's JSON.
+/// Decodes an item's value into the JSON of one of harefield's resources.
 fn decode(item: &Item) -> Result<String, DecodeError> {
     let text = item.value.as_deref().ok_or(DecodeError::Empty)?;
     let bytes = STANDARD.decode(text)?;
     let json = if item.private_key == CONFIG_KEY {
-        serde_json::to_string(&catalog_of(&bytes)?)?
+        serde_json::to_string(&parse_catalog(&bytes)?)?
     } else {
-        serde_json::to_string(&upstream_of(&bytes)?)?
+        serde_json::to_string(&parse_upstream(&bytes)?)?
     };
     Ok(json)
 }
--- a/crates/harefield/src/platform/upstreams.rs
+++ b/crates/harefield/src/platform/upstreams.rs
@@ -1,4 +1,4 @@
-//! The protocol of the users' upstreams: opaque requests, signed replies.
+//! The protocol of the users' upstreams: opaque requests and signed replies.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,10 +10,8 @@
 use hyper::body::Bytes;
 use hyper::header::HeaderMap;
 
-use super::headers;
-use super::headers::text;
+use crate::adapters::upstreams::ParsedReply;
 use crate::adapters::upstreams::Protocol;
-use crate::adapters::upstreams::Reading;
 use crate::adapters::upstreams::lost;
 use crate::domain::fanout::AttemptEnd;
 use crate::domain::outcome::Gap;
@@ -27,8 +25,10 @@
 use crate::ports::Call;
 use crate::ports::CallOutcome;
 use crate::ports::Endpoint;
+use super::headers::text;
+use super::headers;
 
-/// The protocol of the users' upstreams.
+/// The protocol of the users' upstreams, whose replies carry a signature.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SignedProtocol;
 
@@ -45,52 +45,54 @@
             *request.uri_mut() = target;
         }
         let left = millis(call.remaining).max(1);
-        headers::put_all(request.headers_mut(), &query.headers);
+        headers::append_all(request.headers_mut(), &query.headers);
         if call.asker.is_open() {
-            headers::put_all(request.headers_mut(), &query.claims.0);
+            headers::append_all(request.headers_mut(), &query.claims.0);
         }
         if let Some(account) = &call.asker.account {
-            headers::put(request.headers_mut(), headers::ACCOUNT, account);
+            headers::set(request.headers_mut(), headers::ACCOUNT, account);
         }
-        headers::put(request.headers_mut(), headers::TIME_LEFT, &left.to_string());
-        headers::put(request.headers_mut(), headers::EXPECTED, &call.endpoint.upstream);
+        headers::set(request.headers_mut(), headers::TIME_LEFT, &left.to_string());
+        headers::set(request.headers_mut(), headers::EXPECTED_UPSTREAM, &call.endpoint.upstream);
         request
     }
 
-    fn read(&self, call: &Call, reply: Response<Bytes>) -> Reading {
+    fn read(&self, call: &Call, reply: Response<Bytes>) -> ParsedReply {
         let report = self.report(reply.headers());
-        if !is_own(call, reply.headers()) {
-            return Reading { end: lost(Gap::ReplyCrossed, report), keep: false };
+        if !is_reply_to(call, reply.headers()) {
+            return ParsedReply { end: lost(Gap::ReplyCrossed, report), keep: false };
         }
-        if let Some(end) = refused(&reply, &report) {
-            return Reading { end, keep: true };
+        if let Some(end) = parse_refusal(&reply, &report) {
+            return ParsedReply { end, keep: true };
         }
         let status = reply.status();
         let answered = status.is_success();
         if is_encoded(reply.headers()) || (answered && text(reply.headers(), headers::SIGNATURE).is_none()) {
-            return Reading { end: lost(Gap::Failed, report), keep: false };
+            return ParsedReply { end: lost(Gap::Failed, report), keep: false };
         }
-        let reply = Reply::Opaque(Arc::new(reply_of(reply)));
+        let reply = Reply::Opaque(Arc::new(into_reply(reply)));
         let (end, verdict) = if answered {
             (AttemptEnd::Answered(reply), AttemptOutcome::Succeeded)
         } else {
-            (AttemptEnd::Failed(reply), verdict_of(status))
+            (AttemptEnd::Failed(reply), outcome_of(status))
         };
-        Reading { end: CallOutcome { end, verdict, report }, keep: true }
+        ParsedReply { end: CallOutcome { end, verdict, report }, keep: true }
     }
 
     fn report(&self, headers: &HeaderMap) -> Report {
-        Report { load: text(headers, headers::LOAD).and_then(load_of), announcement: None }
+        Report { load: text(headers, headers::LOAD).and_then(parse_load), announcement: None }
     }
 
-    /// Closing the connection is the only word for it; see `keep`.
+    /// The protocol has no cancel message: a request can only be cancelled by closing its
+    /// connection.
     fn cancel(&self, _place: &Endpoint, _request: &str) -> Option<Request<Full<Bytes>>> {
         None
     }
 }
 
-/// Reads an upstream's load: three whole numbers, or four; nothing else is one.
-fn load_of(text: &str) -> Option<Load> {
+/// Parses an upstream's load, which is a list of three or four whole numbers. Returns `None` for
+/// anything else.
+fn parse_load(text: &str) -> Option<Load> {
     let numbers: Result<Vec<u32>, _> = text.split(',').map(|number| number.trim().parse()).collect();
     match numbers.ok()?[..] {
         [active, queued, _slots] => Some(Load { active, queued, slowness: None }),
@@ -99,9 +101,9 @@
     }
 }
 
-/// Says whether a reply is the one to this call: a late one to an earlier
-/// request carries that one's id.
-fn is_own(call: &Call, headers: &HeaderMap) -> bool {
+/// Returns whether a reply belongs to this call. A late reply to an earlier request carries that
+/// request's id.
+fn is_reply_to(call: &Call, headers: &HeaderMap) -> bool {
     let Query::Opaque(query) = &call.query else { return false };
     text(headers, headers::CALLER_ID).is_none_or(|id| *id == *query.id)
 }
@@ -110,8 +112,8 @@
     headers.contains_key(hyper::header::CONTENT_ENCODING)
 }
 
-/// Reads a refusal of what was not run; none where the reply is none.
-fn refused(reply: &Response<Bytes>, report: &Report) -> Option<CallOutcome> {
+/// Parses a refusal of a request that wasn't run; returns `None` if the reply isn't a refusal.
+fn parse_refusal(reply: &Response<Bytes>, report: &Report) -> Option<CallOutcome> {
     let status = reply.status();
     if !reply.headers().contains_key(headers::NOT_RUN) && status != StatusCode::MISDIRECTED_REQUEST {
         return None;
@@ -126,7 +128,7 @@
     Some(CallOutcome { end, verdict, report: report.clone() })
 }
 
-fn verdict_of(status: StatusCode) -> AttemptOutcome {
+fn outcome_of(status: StatusCode) -> AttemptOutcome {
     match status {
         StatusCode::GATEWAY_TIMEOUT => AttemptOutcome::Abandoned,
         status if status.is_server_error() => AttemptOutcome::Failed,
@@ -134,9 +136,9 @@
     }
 }
 
-fn reply_of(reply: Response<Bytes>) -> OpaqueReply {
+fn into_reply(reply: Response<Bytes>) -> OpaqueReply {
     let signature = text(reply.headers(), headers::SIGNATURE).map(Arc::from);
-    let handed_on = headers::handed_on(reply.headers());
+    let forwardable = headers::forwardable(reply.headers());
     let status = reply.status().as_u16();
-    OpaqueReply { status, headers: handed_on, body: reply.into_body(), signature }
+    OpaqueReply { status, headers: forwardable, body: reply.into_body(), signature }
 }
