--- a/crates/harefield/examples/target.rs
+++ b/crates/harefield/examples/target.rs
@@ -9,9 +9,9 @@
 
 use serde_json::json;
 
+use harefield::domain::cell;
 use harefield::domain::cell::CellSize;
 use harefield::domain::cell::Cells;
-use harefield::domain::cell;
 use harefield::domain::cold::ColdBounds;
 use harefield::domain::feed::Change;
 use harefield::domain::feed::Items;
--- a/crates/harefield/src/adapters/callers.rs
+++ b/crates/harefield/src/adapters/callers.rs
@@ -19,6 +19,8 @@
 use serde_json::error::Category;
 use serde_json::value::RawValue;
 
+use super::http;
+use super::http::BodyError;
 use crate::domain::accounts::Requester;
 use crate::domain::buffers::Purpose;
 use crate::domain::code::Code;
@@ -32,8 +34,6 @@
 use crate::ports::Clock;
 use crate::ports::Peers;
 use crate::ports::Upstreams;
-use super::http::BodyError;
-use super::http;
 
 /// The path prefix of lookups; the lookup's name follows.
 const LOOKUPS: &str = "/v1/lookups/";
--- a/crates/harefield/src/adapters/operators/resources.rs
+++ b/crates/harefield/src/adapters/operators/resources.rs
@@ -14,6 +14,7 @@
 use serde_json::Value;
 use serde_json::json;
 
+use super::Operators;
 use crate::adapters::http;
 use crate::domain::code::Code;
 use crate::domain::ids::UpstreamId;
@@ -24,7 +25,6 @@
 use crate::domain::revision::Revision;
 use crate::telemetry::Status;
 use crate::telemetry::UpstreamStatus;
-use super::Operators;
 
 /// The maximum wait of a watch.
 const MAX_WAIT: Duration = Duration::from_secs(60);
--- a/crates/harefield/src/adapters/peer_server.rs
+++ b/crates/harefield/src/adapters/peer_server.rs
@@ -16,6 +16,17 @@
 use serde::de::DeserializeOwned;
 use serde_bytes::ByteBuf;
 
+use super::http;
+use super::http::BodyError;
+use super::http::Traffic;
+use super::opaque::OpaqueAnswer;
+use super::peers::EXCHANGE_PATH;
+use super::peers::FORWARD_PATH;
+use super::peers::ForwardReply;
+use super::peers::GROUP_PATH;
+use super::peers::PERMITS_PATH;
+use super::peers::PULL_PATH;
+use super::peers::WireAnswer;
 use crate::domain::buffers::Purpose;
 use crate::domain::code::Code;
 use crate::domain::key::Credential;
@@ -34,17 +45,6 @@
 use crate::ports::PermitRequest;
 use crate::ports::Pull;
 use crate::ports::Upstreams;
-use super::http::BodyError;
-use super::http::Traffic;
-use super::http;
-use super::opaque::OpaqueAnswer;
-use super::peers::EXCHANGE_PATH;
-use super::peers::FORWARD_PATH;
-use super::peers::ForwardReply;
-use super::peers::GROUP_PATH;
-use super::peers::PERMITS_PATH;
-use super::peers::PULL_PATH;
-use super::peers::WireAnswer;
 
 /// The maximum size of a message from a peer, in bytes.
 const MAX_MESSAGE_BYTES: usize = 8 << 20;
@@ -75,7 +75,8 @@
     if head.method != Method::POST {
         return http::refusal(Code::WrongMethod, "");
     }
-    let body = match http::read_counted(incoming, MAX_MESSAGE_BYTES, &server.memory, Purpose::Messages).await {
+    let body = match http::read_counted(incoming, MAX_MESSAGE_BYTES, &server.memory, Purpose::Messages).await
+    {
         Ok(body) => body,
         Err(BodyError::NoRoom) => return http::refusal(Code::NoRoom, ""),
         Err(_error) => return http::refusal(Code::BodyTooLarge, ""),
--- a/crates/harefield/src/adapters/peers.rs
+++ b/crates/harefield/src/adapters/peers.rs
@@ -17,6 +17,11 @@
 use serde::de::DeserializeOwned;
 use serde_bytes::ByteBuf;
 
+use super::http;
+use super::http::ClientError;
+use super::http::Pool;
+use super::http::Traffic;
+use super::opaque::OpaqueAnswer;
 use crate::domain::buffers::Purpose;
 use crate::domain::feed::News;
 use crate::domain::hlc::Stamp;
@@ -33,11 +38,6 @@
 use crate::ports::PermitReply;
 use crate::ports::PermitRequest;
 use crate::ports::Pull;
-use super::http::ClientError;
-use super::http::Pool;
-use super::http::Traffic;
-use super::http;
-use super::opaque::OpaqueAnswer;
 
 /// The path of forwarded requests.
 pub const FORWARD_PATH: &str = "/v1/forward";
@@ -155,7 +155,8 @@
             ClientError::Lost => PeerError::Silent,
         })?;
         let status = reply.status();
-        let whole = http::read_counted(reply.into_body(), MAX_REPLY_BYTES, &self.memory, Purpose::Messages).await;
+        let whole =
+            http::read_counted(reply.into_body(), MAX_REPLY_BYTES, &self.memory, Purpose::Messages).await;
         let whole = whole.map_err(|_error| PeerError::Silent)?;
         self.pool.release(address, connection);
         match status {
--- a/crates/harefield/src/adapters/platform.rs
+++ b/crates/harefield/src/adapters/platform.rs
@@ -10,6 +10,12 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
+use super::http::Traffic;
+use super::reading::JsonReader;
+use super::reading::READ_LIMIT;
+use super::reading::ReplyFormat;
+use super::reading::deltas;
+use super::reading::watch_limit;
 use crate::domain::feed::Change;
 use crate::domain::ids::Key;
 use crate::domain::revision::Revision;
@@ -18,12 +24,6 @@
 use crate::ports::PlatformError;
 use crate::ports::Space;
 use crate::ports::WatchResult;
-use super::http::Traffic;
-use super::reading::JsonReader;
-use super::reading::READ_LIMIT;
-use super::reading::ReplyFormat;
-use super::reading::deltas;
-use super::reading::watch_limit;
 
 /// One page of a listing.
 #[derive(Debug, Deserialize)]
--- a/crates/harefield/src/adapters/reading.rs
+++ b/crates/harefield/src/adapters/reading.rs
@@ -13,14 +13,14 @@
 use hyper::StatusCode;
 use serde::de::DeserializeOwned;
 
+use super::http;
+use super::http::Traffic;
 use crate::domain::feed::Change;
 use crate::domain::feed::Delta;
 use crate::domain::feed::DeltaKind;
 use crate::domain::ids::Era;
 use crate::domain::revision::Revision;
 use crate::ports::PlatformError;
-use super::http::Traffic;
-use super::http;
 
 /// The maximum size of a reply, in bytes. A page contains about a megabyte of values, which the
 /// users' store sends as base64 text, a third longer.
--- a/crates/harefield/src/adapters/settings/load.rs
+++ b/crates/harefield/src/adapters/settings/load.rs
@@ -7,9 +7,9 @@
 use miette::LabeledSpan;
 use miette::NamedSource;
 
+use super::sections::Settings;
 use crate::domain::cell::CellSize;
 use crate::domain::code::Code;
-use super::sections::Settings;
 
 /// The divisor of the host's memory that gives the default limit for data held on behalf of others.
 /// The rest is for the daemon's own state, its connections and the allocator's overhead.
--- a/crates/harefield/src/adapters/upstreams/mod.rs
+++ b/crates/harefield/src/adapters/upstreams/mod.rs
@@ -21,6 +21,10 @@
 use hyper::body::Incoming;
 use hyper::header::HeaderMap;
 
+use self::pool::ConnectionSlot;
+use self::pool::Pool;
+use super::http;
+use super::http::Connection;
 use crate::domain::buffers::Purpose;
 use crate::domain::fanout::AttemptEnd;
 use crate::domain::ids::UpstreamId;
@@ -32,10 +36,6 @@
 use crate::ports::CallOutcome;
 use crate::ports::Endpoint;
 use crate::ports::Upstreams;
-use self::pool::ConnectionSlot;
-use self::pool::Pool;
-use super::http::Connection;
-use super::http;
 
 pub use self::protocol::JsonProtocol;
 
@@ -134,7 +134,8 @@
         reply: Response<Incoming>,
     ) -> CallOutcome {
         let (head, body) = reply.into_parts();
-        let Ok(whole) = http::read_counted(body, MAX_REPLY_BYTES, &self.memory, Purpose::Replies).await else {
+        let Ok(whole) = http::read_counted(body, MAX_REPLY_BYTES, &self.memory, Purpose::Replies).await
+        else {
             return lost(Gap::ReplyLost, self.protocol.report(&head.headers));
         };
         let closes = closes(&head.headers);
--- a/crates/harefield/src/adapters/upstreams/pool.rs
+++ b/crates/harefield/src/adapters/upstreams/pool.rs
@@ -8,14 +8,14 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::adapters::http::Connection;
+use super::HttpUpstreams;
+use super::Protocol;
 use crate::adapters::http;
+use crate::adapters::http::Connection;
 use crate::domain::backoff::backoff;
 use crate::domain::ids::UpstreamId;
 use crate::domain::outcome::Gap;
 use crate::ports::Endpoint;
-use super::HttpUpstreams;
-use super::Protocol;
 
 /// How long opening a connection may take.
 const CONNECT_LIMIT: Duration = Duration::from_millis(500);
@@ -170,7 +170,11 @@
         available
     }
 
-    pub(super) async fn open(&self, place: &Endpoint, share: u32) -> Result<(ConnectionSlot, Connection), Gap> {
+    pub(super) async fn open(
+        &self,
+        place: &Endpoint,
+        share: u32,
+    ) -> Result<(ConnectionSlot, Connection), Gap> {
         let slot = self.reserve(place, share).ok_or(Gap::Overloaded)?;
         let opened = http::connect(&self.executor, place.address, CONNECT_LIMIT).await;
         let connection = opened.map_err(|_unopened| Gap::Unreachable)?;
--- a/crates/harefield/src/adapters/upstreams/protocol.rs
+++ b/crates/harefield/src/adapters/upstreams/protocol.rs
@@ -11,6 +11,9 @@
 use hyper::header::HeaderMap;
 use serde_json::value::RawValue;
 
+use super::ParsedReply;
+use super::Protocol;
+use super::lost;
 use crate::domain::announcement::Announcement;
 use crate::domain::announcement::AnnouncementStamp;
 use crate::domain::fanout::AttemptEnd;
@@ -25,9 +28,6 @@
 use crate::ports::Call;
 use crate::ports::CallOutcome;
 use crate::ports::Endpoint;
-use super::ParsedReply;
-use super::Protocol;
-use super::lost;
 
 /// Harefield's own protocol to upstreams.
 #[derive(Clone, Copy, Debug, Default)]
--- a/crates/harefield/src/commands/check.rs
+++ b/crates/harefield/src/commands/check.rs
@@ -7,16 +7,16 @@
 use miette::LabeledSpan;
 use miette::NamedSource;
 
-use crate::adapters::operators::ResourceFile;
-use crate::adapters::settings::Settings;
-use crate::domain::code::Code;
-use crate::domain::resources::ResourceError;
 use super::Exit;
 use super::Failure;
 use super::Outcome;
 use super::arguments::Argument;
 use super::arguments::Arguments;
 use super::arguments::unknown_option;
+use crate::adapters::operators::ResourceFile;
+use crate::adapters::settings::Settings;
+use crate::domain::code::Code;
+use crate::domain::resources::ResourceError;
 
 const HELP: &str = "\
 Usage: harefield check FILE
--- a/crates/harefield/src/control/freshness.rs
+++ b/crates/harefield/src/control/freshness.rs
@@ -7,6 +7,10 @@
 
 use async_channel::Sender;
 
+use super::confirm::ASKED;
+use super::confirm::Asking;
+use super::confirm::ROUND_LIMIT;
+use super::duty::Control;
 use crate::domain::event::Event;
 use crate::domain::freshness::Freshness;
 use crate::domain::ids::HostId;
@@ -18,10 +22,6 @@
 use crate::ports::Peers;
 use crate::ports::Platform;
 use crate::ports::Space;
-use super::confirm::ASKED;
-use super::confirm::Asking;
-use super::confirm::ROUND_LIMIT;
-use super::duty::Control;
 
 /// How long asking for what is newer may take: a caller waits for it.
 const REFRESH_LIMIT: Duration = Duration::from_millis(500);
--- a/crates/harefield/src/daemon/protocols.rs
+++ b/crates/harefield/src/daemon/protocols.rs
@@ -11,8 +11,8 @@
 use hyper::body::Incoming;
 use prometheus_client::metrics::gauge::Gauge;
 
-use crate::adapters::callers::RequestLimits;
 use crate::adapters::callers;
+use crate::adapters::callers::RequestLimits;
 use crate::adapters::clock::SystemClock;
 use crate::adapters::http::Traffic;
 use crate::adapters::peers::HttpPeers;
--- a/crates/harefield/src/engine/room.rs
+++ b/crates/harefield/src/engine/room.rs
@@ -4,14 +4,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use super::find::ResolvedRequest;
+use super::worker::Worker;
 use crate::domain::buffers::Purpose;
 use crate::domain::fanout::FanoutResult;
 use crate::memory::HeldBytes;
 use crate::ports::Clock;
 use crate::ports::Peers;
 use crate::ports::Upstreams;
-use super::find::ResolvedRequest;
-use super::worker::Worker;
 
 /// Requests with smaller expected replies reserve nothing; memory for them is claimed as the
 /// replies are read, and may be refused then.
@@ -29,7 +29,10 @@
     /// # Errors
     ///
     /// Returns how long to wait before a retry when they do not fit.
-    pub(super) async fn reserve_memory(&self, resolved: &ResolvedRequest) -> Result<Option<HeldBytes>, Duration> {
+    pub(super) async fn reserve_memory(
+        &self,
+        resolved: &ResolvedRequest,
+    ) -> Result<Option<HeldBytes>, Duration> {
         let expected = self.reply_sizes.borrow().get(&resolved.plan.name).copied().unwrap_or(0);
         if expected < MIN_RESERVED {
             return Ok(None);
--- a/crates/harefield/src/memory/held.rs
+++ b/crates/harefield/src/memory/held.rs
@@ -2,8 +2,8 @@
 
 use bytes::Bytes;
 
-use crate::domain::buffers::Purpose;
 use super::Memory;
+use crate::domain::buffers::Purpose;
 
 /// A number of bytes that are counted as held until this is dropped.
 #[derive(Debug)]
--- a/crates/harefield/src/platform/callers.rs
+++ b/crates/harefield/src/platform/callers.rs
@@ -13,6 +13,8 @@
 use hyper::body::Incoming;
 use hyper::http::request::Parts;
 
+use super::headers;
+use super::headers::text;
 use crate::adapters::callers::RequestLimits;
 use crate::adapters::callers::head_bytes;
 use crate::adapters::callers::read_body;
@@ -31,8 +33,6 @@
 use crate::ports::Clock;
 use crate::ports::Peers;
 use crate::ports::Upstreams;
-use super::headers::text;
-use super::headers;
 
 /// Answers one client request.
 pub async fn handle<U: Upstreams, P: Peers, C: Clock>(
--- a/crates/harefield/src/platform/store.rs
+++ b/crates/harefield/src/platform/store.rs
@@ -12,6 +12,11 @@
 use prometheus_client::metrics::gauge::Gauge;
 use serde::Deserialize;
 
+use super::documents::EntryError;
+use super::documents::parse_catalog;
+use super::documents::parse_upstream;
+use super::headers;
+use super::left_out::UnreadableEntries;
 use crate::adapters::http::Traffic;
 use crate::adapters::reading::JsonReader;
 use crate::adapters::reading::READ_LIMIT;
@@ -28,11 +33,6 @@
 use crate::ports::PlatformError;
 use crate::ports::Space;
 use crate::ports::WatchResult;
-use super::documents::EntryError;
-use super::documents::parse_catalog;
-use super::documents::parse_upstream;
-use super::headers;
-use super::left_out::UnreadableEntries;
 
 /// The key of the configuration document.
 const CONFIG_KEY: &str = "op/config";
--- a/crates/harefield/src/platform/upstreams.rs
+++ b/crates/harefield/src/platform/upstreams.rs
@@ -10,6 +10,8 @@
 use hyper::body::Bytes;
 use hyper::header::HeaderMap;
 
+use super::headers;
+use super::headers::text;
 use crate::adapters::upstreams::ParsedReply;
 use crate::adapters::upstreams::Protocol;
 use crate::adapters::upstreams::lost;
@@ -25,8 +27,6 @@
 use crate::ports::Call;
 use crate::ports::CallOutcome;
 use crate::ports::Endpoint;
-use super::headers::text;
-use super::headers;
 
 /// The protocol of the users' upstreams, whose replies carry a signature.
 #[derive(Clone, Copy, Debug, Default)]
--- a/crates/harefield/src/telemetry/collector.rs
+++ b/crates/harefield/src/telemetry/collector.rs
@@ -7,14 +7,14 @@
 use log::log;
 use log::log_enabled;
 
-use crate::adapters::logs::EVENTS;
-use crate::domain::event::Event;
-use crate::domain::event::Record;
 use super::board::Board;
 use super::ring::Batch;
 use super::ring::Telemetry;
 use super::tally::LookupTallies;
 use super::tally::RequestEnd;
+use crate::adapters::logs::EVENTS;
+use crate::domain::event::Event;
+use crate::domain::event::Record;
 
 /// Counts the events of each batch from the ring, logs and stores them, until the ring is closed.
 pub async fn run(receiver: async_channel::Receiver<Batch>, telemetry: Telemetry, board: Arc<Board>) {
