--- a/crates/harefield/tests/processes/crashing_support.rs
+++ b/crates/harefield/tests/processes/crashing_support.rs
@@ -12,11 +12,11 @@
 
 use serde_json::Value;
 use serde_json::json;
-use standin::Begun;
+use standin::CrashingSearcher;
+use standin::CrashingSpec;
 use standin::FATAL;
-use standin::MortalSearcher;
-use standin::MortalSpec;
 use standin::SiteStore;
+use standin::StartedRequest;
 
 use crate::site_support::Answer;
 use crate::site_support::ask_at;
@@ -48,7 +48,7 @@
 pub struct Fleet {
     pub store: SiteStore,
     pub daemons: Vec<Daemon>,
-    pub upstreams: Vec<MortalSearcher>,
+    pub upstreams: Vec<CrashingSearcher>,
 }
 
 impl Fleet {
@@ -56,15 +56,15 @@
         let store = SiteStore::start();
         let mut upstreams = Vec::new();
         let mut add = |service: &str, number: usize, at: usize| {
-            let spec = MortalSpec {
+            let spec = CrashingSpec {
                 id: format!("i-{service}-{number}"),
                 service: service.to_owned(),
                 zone: ZONES[at % ZONES.len()].to_owned(),
                 work: WORK,
-                gone: GONE,
-                same: shape.same,
+                downtime: GONE,
+                keeps_name: shape.same,
             };
-            upstreams.push(MortalSearcher::start(spec, store.clone()));
+            upstreams.push(CrashingSearcher::start(spec, store.clone()));
         };
         for shard in 0..SHARDS {
             for replica in 0..REPLICAS {
@@ -107,16 +107,16 @@
     }
 
     /// Returns what of the fatal requests upstreams began, by time.
-    pub fn fatal_begun(&self) -> Vec<Begun> {
-        let all = self.upstreams.iter().flat_map(MortalSearcher::begun);
-        let mut begun: Vec<Begun> = all.filter(|begun| begun.target.contains(FATAL)).collect();
+    pub fn fatal_begun(&self) -> Vec<StartedRequest> {
+        let all = self.upstreams.iter().flat_map(CrashingSearcher::started);
+        let mut begun: Vec<StartedRequest> = all.filter(|begun| begun.target.contains(FATAL)).collect();
         begun.sort_by_key(|begun| begun.at);
         begun
     }
 
     /// Returns when upstreams ended, by time.
     pub fn ends(&self) -> Vec<Instant> {
-        let mut ends: Vec<Instant> = self.upstreams.iter().flat_map(MortalSearcher::ends).collect();
+        let mut ends: Vec<Instant> = self.upstreams.iter().flat_map(CrashingSearcher::crash_times).collect();
         ends.sort_unstable();
         ends
     }
--- a/crates/harefield/tests/processes/hot_requests.rs
+++ b/crates/harefield/tests/processes/hot_requests.rs
@@ -19,7 +19,7 @@
     let hot = Callers::start(&fleet, Duration::from_millis(30), |_| "/all/hot".to_owned());
     for round in 0..3 {
         std::thread::sleep(Duration::from_secs(1));
-        fleet.upstreams.iter().skip(round).step_by(3).take(13).for_each(standin::MortalSearcher::end);
+        fleet.upstreams.iter().skip(round).step_by(3).take(13).for_each(standin::CrashingSearcher::crash);
         std::thread::sleep(GONE);
     }
     let answers = hot.stop();
@@ -36,9 +36,9 @@
     let fleet = Fleet::start(Shape::default());
     std::thread::scope(|scope| {
         let asked = scope.spawn(|| ask_at(&fleet.daemons[0], "/all/unlucky", "u1", 2000));
-        let begun = || fleet.upstreams.iter().flat_map(standin::MortalSearcher::begun);
+        let begun = || fleet.upstreams.iter().flat_map(standin::CrashingSearcher::started);
         await_true("it runs", || begun().filter(|begun| begun.target == "/all/unlucky").count() >= 12);
-        fleet.upstreams.iter().for_each(standin::MortalSearcher::end);
+        fleet.upstreams.iter().for_each(standin::CrashingSearcher::crash);
         asked.join().expect("it is answered");
     });
     std::thread::sleep(GONE);
--- a/crates/harefield/tests/processes/site.rs
+++ b/crates/harefield/tests/processes/site.rs
@@ -7,7 +7,7 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use futures_lite::FutureExt;
-use standin::Manner;
+use standin::ReplyMode;
 
 use crate::site_support::Site;
 use crate::site_support::ask;
@@ -59,7 +59,7 @@
         .searchers
         .values()
         .filter(|s| s.runs().iter().any(|id| id == "r2"))
-        .find_map(standin::SignedSearcher::left);
+        .find_map(standin::SignedSearcher::remaining_time);
     let left = left.expect("it ran");
     assert!(left <= Duration::from_millis(400), "{left:?}");
 }
@@ -67,12 +67,12 @@
 #[test]
 fn merged_in_part() {
     let site = Site::start();
-    site.searchers["i-s2"].set(Manner::Shed, Duration::ZERO);
+    site.searchers["i-s2"].set_mode(ReplyMode::Shed, Duration::ZERO);
     let answer = site.ask("/all/x", "r1");
     assert_eq!(answer.status, 200);
     assert_eq!(answer.body, records(&[9, 7, 3, 1]));
     assert_eq!(answer.header("missing-parts"), "1");
-    site.searchers["i-s3"].set(Manner::Shed, Duration::ZERO);
+    site.searchers["i-s3"].set_mode(ReplyMode::Shed, Duration::ZERO);
     let answer = site.ask("/all/x", "r2");
     assert_eq!(answer.status, 504, "one of three is too few, and it ran");
 }
@@ -80,7 +80,7 @@
 #[test]
 fn objective_cuts_slow() {
     let site = Site::start();
-    site.searchers["i-s2"].set(Manner::Good, Duration::from_millis(700));
+    site.searchers["i-s2"].set_mode(ReplyMode::Good, Duration::from_millis(700));
     let begun = std::time::Instant::now();
     let answer = site.ask("/all/x", "r1");
     assert_eq!((answer.status, answer.header("missing-parts")), (200, "1"));
@@ -96,7 +96,7 @@
     assert_eq!(answer.header("server-seal"), "i-one.r1");
     assert_eq!(answer.header("attempt-id"), "r1");
     assert_eq!(answer.header("x-own"), "kept");
-    site.searchers["i-one"].set(Manner::Fail, Duration::ZERO);
+    site.searchers["i-one"].set_mode(ReplyMode::Fail, Duration::ZERO);
     let answer = site.ask("/one/x", "r2");
     assert_eq!((answer.status, answer.header("server-seal")), (500, "i-one.r2"));
 }
@@ -105,7 +105,7 @@
 fn refused_not_run() {
     let site = Site::start();
     for searcher in site.searchers.values() {
-        searcher.set(Manner::Shed, Duration::ZERO);
+        searcher.set_mode(ReplyMode::Shed, Duration::ZERO);
     }
     for path in ["/one/x", "/one/once/x"] {
         let answer = site.ask(path, "r1");
@@ -122,12 +122,12 @@
 #[test]
 fn wrong_replies_dropped() {
     let site = Site::start();
-    for manner in [Manner::Crossed, Manner::Unsigned] {
-        site.searchers["i-one"].set(manner, Duration::ZERO);
+    for manner in [ReplyMode::Crossed, ReplyMode::Unsigned] {
+        site.searchers["i-one"].set_mode(manner, Duration::ZERO);
         let answer = site.ask("/one/x", "r1");
         assert_eq!(answer.status, 504, "{manner:?}: it ran, and no reply of its own came");
         assert_eq!(answer.header("server-seal"), "");
-        site.searchers["i-s1"].set(manner, Duration::ZERO);
+        site.searchers["i-s1"].set_mode(manner, Duration::ZERO);
         let answer = site.ask("/all/x", "r2");
         assert_eq!(answer.header("missing-parts"), "1", "{manner:?}");
         assert!(!answer.header("part-seals").contains("i-s1"));
@@ -138,9 +138,10 @@
 fn unsafe_runs_once() {
     let mut site = Site::start();
     site.add("one", "i-two", &[5]);
-    for (number, manner) in [Manner::Fail, Manner::Crossed, Manner::Unsigned].into_iter().enumerate() {
+    for (number, manner) in [ReplyMode::Fail, ReplyMode::Crossed, ReplyMode::Unsigned].into_iter().enumerate()
+    {
         for id in ["i-one", "i-two"] {
-            site.searchers[id].set(manner, Duration::from_millis(150));
+            site.searchers[id].set_mode(manner, Duration::from_millis(150));
         }
         let id = format!("once-{number}");
         let answer = site.ask("/one/once/x", &id);
@@ -152,7 +153,7 @@
 #[test]
 fn metrics_as_text() {
     let site = Site::start();
-    site.searchers["i-s2"].set(Manner::Shed, Duration::ZERO);
+    site.searchers["i-s2"].set_mode(ReplyMode::Shed, Duration::ZERO);
     assert_eq!(site.ask("/all/x", "r1").header("missing-parts"), "1");
     let text = || {
         let answer = ask(site.daemon.addresses.operators, "/metrics", "");
@@ -171,7 +172,7 @@
 fn caller_gone_stops_work() {
     let site = Site::start();
     for searcher in site.searchers.values() {
-        searcher.set(Manner::Good, Duration::from_millis(800));
+        searcher.set_mode(ReplyMode::Good, Duration::from_millis(800));
     }
     for (path, id) in [("/all/x", "gone-1"), ("/one/x", "gone-2")] {
         let stream = begin(&site.daemon, path, id);
@@ -195,7 +196,7 @@
     // Many callers that go away early do not make others wait.
     let site = Site::start();
     for searcher in site.searchers.values() {
-        searcher.set(Manner::Good, Duration::from_millis(900));
+        searcher.set_mode(ReplyMode::Good, Duration::from_millis(900));
     }
     for number in 0..8 {
         let id = format!("gone-{number}");
@@ -261,7 +262,7 @@
     // A request that another daemon let in is not held up by this one's own.
     let site = Site::start();
     for searcher in site.searchers.values() {
-        searcher.set(Manner::Good, Duration::from_millis(900));
+        searcher.set_mode(ReplyMode::Good, Duration::from_millis(900));
     }
     let mut own: Vec<TcpStream> =
         (0..24).map(|number| begin(&site.daemon, "/all/x", &format!("own-{number}"))).collect();
@@ -285,8 +286,8 @@
 /// has failed for good after a back-off of 100 ms; both are wanted.
 fn brought_short(possible: Option<usize>) -> usize {
     let site = Site::start();
-    site.searchers["i-s2"].set(Manner::Fail, Duration::ZERO);
-    site.searchers["i-s1"].set(Manner::Good, Duration::from_millis(400));
+    site.searchers["i-s2"].set_mode(ReplyMode::Fail, Duration::ZERO);
+    site.searchers["i-s1"].set_mode(ReplyMode::Good, Duration::from_millis(400));
     let executor: Rc<LocalExecutor<'static>> = Rc::default();
     let peers = HttpPeers::new(Rc::clone(&executor), None, Traffic::default(), Memory::default());
     let host = site.daemon.addresses.peers.to_string().into();
@@ -305,7 +306,7 @@
 fn sender_gone_stops_group() {
     let site = Site::start();
     for searcher in site.searchers.values() {
-        searcher.set(Manner::Good, Duration::from_millis(800));
+        searcher.set_mode(ReplyMode::Good, Duration::from_millis(800));
     }
     let message = Group { remaining: 2_000_000, gather: Some(1_500_000), ..group(&site) };
     let executor: Rc<LocalExecutor<'static>> = Rc::default();
--- a/crates/harefield/tests/processes/site_accounts.rs
+++ b/crates/harefield/tests/processes/site_accounts.rs
@@ -51,7 +51,7 @@
 
 /// Returns the heads of all runs of requests whose id is `id`.
 fn heads(site: &Site, id: &str) -> Vec<BTreeMap<String, Vec<String>>> {
-    let all = site.searchers.values().flat_map(standin::SignedSearcher::heads);
+    let all = site.searchers.values().flat_map(standin::SignedSearcher::headers);
     all.filter(|head| head.get("attempt-id").is_some_and(|ids| ids == &[id.to_owned()])).collect()
 }
 
--- a/crates/harefield/tests/processes/site_cells.rs
+++ b/crates/harefield/tests/processes/site_cells.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use async_executor::LocalExecutor;
-use standin::Manner;
+use standin::ReplyMode;
 
 use crate::site_support::Site;
 use crate::site_support::ask_at;
@@ -57,7 +57,7 @@
 #[test]
 fn partial_when_handed() {
     let site = Site::start_cells(3, 1);
-    site.searchers["i-s2"].set(Manner::Shed, Duration::ZERO);
+    site.searchers["i-s2"].set_mode(ReplyMode::Shed, Duration::ZERO);
     for (number, daemon) in site.daemons().enumerate() {
         let answer = ask_at(daemon, "/all/x", &format!("p{number}"), 2000);
         let said = String::from_utf8_lossy(&answer.body);
@@ -70,7 +70,7 @@
 fn unsafe_handed_once() {
     let site = Site::start_cells(3, 1);
     for searcher in site.searchers.values() {
-        searcher.set(Manner::Good, Duration::from_millis(600));
+        searcher.set_mode(ReplyMode::Good, Duration::from_millis(600));
     }
     for (number, daemon) in site.daemons().enumerate() {
         let id = format!("u{number}");
@@ -88,7 +88,7 @@
         site.add("one", id, &[5, 5]);
     }
     for searcher in site.searchers.values() {
-        searcher.set(Manner::Good, Duration::from_secs(3));
+        searcher.set_mode(ReplyMode::Good, Duration::from_secs(3));
     }
     for (number, daemon) in site.daemons().enumerate() {
         let id = format!("a{number}");
@@ -105,7 +105,7 @@
     // A request that was handed on ends at its member too, once its caller has left.
     let site = Site::start_cells(3, 1);
     for searcher in site.searchers.values() {
-        searcher.set(Manner::Good, Duration::from_millis(800));
+        searcher.set_mode(ReplyMode::Good, Duration::from_millis(800));
     }
     for (number, daemon) in site.daemons().enumerate() {
         let id = format!("gone-{number}");
--- a/crates/harefield/tests/processes/site_drill.rs
+++ b/crates/harefield/tests/processes/site_drill.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use standin::Away;
+use standin::Outage;
 
 use crate::site_support::Site;
 use crate::site_support::ask_at;
@@ -48,7 +48,7 @@
 fn start(count: usize) -> (Site, u64) {
     let site = Site::start_reading(count, READING);
     publish(&site, [2]);
-    let copy = site.store.copy();
+    let copy = site.store.backup();
     publish(&site, 3..=5);
     (site, copy)
 }
@@ -56,7 +56,7 @@
 #[test]
 fn series_after_copy() {
     for count in [1, 3] {
-        for away in [Away::Silent, Away::Down] {
+        for away in [Outage::Silent, Outage::Down] {
             let (site, copy) = start(count);
             site.store.drill(copy, away, AWAY);
             publish(&site, 6..=10);
@@ -67,9 +67,9 @@
 #[test]
 fn written_again_after_copy() {
     let (site, copy) = start(3);
-    site.store.drill(copy, Away::Silent, AWAY);
+    site.store.drill(copy, Outage::Silent, AWAY);
     expect_kept(&site, 5, Duration::from_millis(500));
-    site.store.write_again();
+    site.store.rewrite_lost();
     expect_kept(&site, 5, Duration::from_millis(500));
     publish(&site, 6..=8);
 }
@@ -77,21 +77,21 @@
 #[test]
 fn copies_in_a_row() {
     let (site, copy) = start(3);
-    site.store.drill(copy, Away::Silent, AWAY);
+    site.store.drill(copy, Outage::Silent, AWAY);
     confirm(&site, 6);
     confirm(&site, 7);
     // The second copy is older than the first one.
-    site.store.drill(copy - 1, Away::Down, AWAY);
+    site.store.drill(copy - 1, Outage::Down, AWAY);
     publish(&site, 8..=10);
 }
 
 #[test]
 fn copy_beside_forgotten_history() {
     let (site, copy) = start(3);
-    site.store.drill(copy, Away::Silent, AWAY);
-    site.store.forget();
+    site.store.drill(copy, Outage::Silent, AWAY);
+    site.store.compact();
     publish(&site, 6..=7);
-    site.store.forget();
+    site.store.compact();
     publish(&site, 8..=9);
 }
 
@@ -109,7 +109,7 @@
 fn starts_beside_copy() {
     // One that starts hears the store, which has version 2, and daemons that know better.
     let (mut site, copy) = start(2);
-    site.store.drill(copy, Away::Silent, AWAY);
+    site.store.drill(copy, Outage::Silent, AWAY);
     site.add_daemon(READING);
     let new = site.others.last().expect("it was started");
     await_true("it serves", || ask_at(new, "/one/x", "r0", 2000).status == 200);
@@ -124,7 +124,7 @@
     let frozen = &site.others[0];
     frozen.signal("STOP");
     for version in [6, 8] {
-        site.store.drill(copy, Away::Down, AWAY);
+        site.store.drill(copy, Outage::Down, AWAY);
         confirm(&site, version);
     }
     let confirmed = confirm(&site, 9);
@@ -153,10 +153,10 @@
     // One daemon of the zone reads: it lists once, which is two pages, and the others hear
     // from it. Each may have asked the store once, to hear that its watch is of no use.
     let (site, copy) = start(3);
-    let (pages, gone) = (site.store.pages(), site.store.gone());
-    site.store.drill(copy, Away::Silent, AWAY);
+    let (pages, gone) = (site.store.page_count(), site.store.gone());
+    site.store.drill(copy, Outage::Silent, AWAY);
     std::thread::sleep(IN_FORCE);
-    let (pages, gone) = (site.store.pages() - pages, site.store.gone() - gone);
+    let (pages, gone) = (site.store.page_count() - pages, site.store.gone() - gone);
     assert!(pages <= 2, "{pages} pages were read");
     assert!(gone <= 3, "{gone} calls were refused");
 }
@@ -170,11 +170,11 @@
         (own.key(), own.entry("one", "ready"))
     };
     site.store.put(&key, None);
-    let copy = site.store.copy();
+    let copy = site.store.backup();
     site.store.put(&key, Some(&entry));
     let serves = |daemon: &Daemon| ask_at(daemon, "/one/x", "r0", 2000).status == 200;
     await_true("it is known", || site.daemons().all(serves));
-    site.store.drill(copy, Away::Silent, AWAY);
+    site.store.drill(copy, Outage::Silent, AWAY);
     let back = Instant::now();
     while back.elapsed() < HEARTBEATS {
         assert!(site.daemons().all(serves), "it is left alone {:?} after the return", back.elapsed());
@@ -202,11 +202,11 @@
         ask_all(&site);
         !left.runs().is_empty()
     });
-    let copy = site.store.copy();
+    let copy = site.store.backup();
     site.store.put(&left.key(), None);
     // New work may reach it for a moment yet.
     std::thread::sleep(Duration::from_secs(1));
-    site.store.drill(copy, Away::Silent, AWAY);
+    site.store.drill(copy, Outage::Silent, AWAY);
     let (back, runs) = (Instant::now(), left.runs().len());
     while back.elapsed() < Duration::from_secs(3) {
         ask_all(&site);
@@ -227,7 +227,7 @@
     site.restart_all(READING);
     site.store.restore(copy);
     site.store.set_silent(false);
-    site.store.write_again();
+    site.store.rewrite_lost();
     await_true("they have it", || site.daemons().all(|daemon| is_in_force(daemon, 5)));
     publish(&site, 6..=8);
 }
--- a/crates/harefield/tests/processes/site_homes.rs
+++ b/crates/harefield/tests/processes/site_homes.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use standin::Manner;
+use standin::ReplyMode;
 
 use crate::site_regions::Regions;
 use harefield::domain::event::Event;
@@ -30,7 +30,7 @@
     regions.publish(2, &["south"]);
     regions.await_only(0, "/all/", &["s1"]);
     for upstream in regions.upstreams("s1") {
-        upstream.set(Manner::Good, Duration::from_millis(700));
+        upstream.set_mode(ReplyMode::Good, Duration::from_millis(700));
     }
     for number in 0..4 {
         let id = format!("slow{number}");
@@ -38,7 +38,7 @@
         assert_eq!(regions.zones_of(&id), ["s1"]);
     }
     for upstream in regions.upstreams("s1") {
-        upstream.set(Manner::Shed, Duration::ZERO);
+        upstream.set_mode(ReplyMode::Shed, Duration::ZERO);
     }
     for number in 0..4 {
         let id = format!("shed{number}");
--- a/crates/harefield/tests/processes/site_outage.rs
+++ b/crates/harefield/tests/processes/site_outage.rs
@@ -25,7 +25,7 @@
 /// Lets the store go silent until a watch was sent into the silence.
 fn silence(site: &Site) {
     site.store.set_silent(true);
-    await_true("a watch is sent into the silence", || site.store.swallowed() > 0);
+    await_true("a watch is sent into the silence", || site.store.unanswered() > 0);
 }
 
 #[test]
--- a/crates/harefield/tests/processes/site_regions.rs
+++ b/crates/harefield/tests/processes/site_regions.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 use standin::SignedSearcher;
 use standin::SiteStore;
-use standin::entry_at;
+use standin::upstream_entry;
 
 use crate::site_support::Answer;
 use crate::site_support::ask;
@@ -76,7 +76,7 @@
     fn add(&mut self, zone: &str, service: &str) {
         let id = format!("{service}-{zone}");
         let upstream = SignedSearcher::start(&id, &[1, 2]);
-        self.store.put(&upstream.key(), Some(&entry_at(upstream.address(), zone, service, "ready")));
+        self.store.put(&upstream.key(), Some(&upstream_entry(upstream.address(), zone, service, "ready")));
         self.zones.insert(id.clone(), zone.to_owned());
         self.upstreams.insert(id, upstream);
     }
@@ -97,7 +97,7 @@
     pub fn chill(&self, zone: &str, millis: u64) {
         for (name, upstream) in self.upstreams.iter().filter(|(name, _)| self.zones[*name] == zone) {
             let service = name.split('-').next().expect("it has a service");
-            let mut entry = entry_at(upstream.address(), zone, service, "ready");
+            let mut entry = upstream_entry(upstream.address(), zone, service, "ready");
             entry["coldRemainingMs"] = json!(millis);
             self.store.put(&upstream.key(), Some(&entry));
         }
--- a/crates/harefield/tests/processes/site_store.rs
+++ b/crates/harefield/tests/processes/site_store.rs
@@ -28,11 +28,11 @@
 fn store_read_by_few() {
     // Daemons that start beside one that has the configuration learn it there.
     let mut site = Site::start();
-    let before = site.store.pages();
+    let before = site.store.page_count();
     site.join(6, "");
     let serves = |daemon: &Daemon| ask_at(daemon, "/all/x", "r0", 2000).status == 200;
     await_true("all have the configuration", || site.daemons().all(serves));
-    assert_eq!(site.store.pages(), before, "none read the store");
+    assert_eq!(site.store.page_count(), before, "none read the store");
 }
 
 #[test]
@@ -41,7 +41,7 @@
     let gone = std::net::TcpListener::bind("127.0.0.1:0").and_then(|held| held.local_addr());
     let site = Site::start_beside(gone.expect("a port is free"), 2);
     await_true("it has the configuration", || site.ask("/all/x", "r1").status == 200);
-    assert!(site.store.pages() > 0);
+    assert!(site.store.page_count() > 0);
 }
 
 #[test]
--- a/crates/harefield/tests/processes/slow_peers.rs
+++ b/crates/harefield/tests/processes/slow_peers.rs
@@ -13,7 +13,7 @@
 use rustix::net::connect;
 use rustix::net::socket;
 use rustix::net::sockopt::set_socket_recv_buffer_size;
-use standin::entry_at;
+use standin::upstream_entry;
 
 use crate::site_support::STALL;
 use crate::site_support::Site;
@@ -202,7 +202,7 @@
     let deaf = deaf_upstream();
     let address = deaf.local_addr().expect("it has one");
     site.store.put("servers/i-one", None);
-    site.store.put("servers/i-deaf", Some(&entry_at(address, "hall", "one", "ready")));
+    site.store.put("servers/i-deaf", Some(&upstream_entry(address, "hall", "one", "ready")));
     site.publish(2, &routes());
     await_true("it is asked", || site.ask("/one/x", "d0").status != 200);
     let slowest = std::thread::scope(|scope| {
--- a/crates/harefield/tests/processes/snapshot.rs
+++ b/crates/harefield/tests/processes/snapshot.rs
@@ -54,7 +54,7 @@
             world.searchers.change(&name, |b| b.held.push(version));
             thread::sleep(Duration::from_millis(10));
         }
-        let index = world.layout.index_at("parcels", &[version, version - 1]).expect("it exists");
+        let index = world.layout.index_resource("parcels", &[version, version - 1]).expect("it exists");
         let revision = world.publish("indexes/parcels", index);
         world.await_revision(revision);
         thread::sleep(Duration::from_millis(50));
@@ -72,7 +72,7 @@
 #[test]
 fn published_early() {
     let world = World::start(1, "");
-    let index = world.layout.index_at("parcels", &[2, 1]).expect("it exists");
+    let index = world.layout.index_resource("parcels", &[2, 1]).expect("it exists");
     let revision = world.publish("indexes/parcels", index);
     world.await_revision(revision);
     for _ in 0..5 {
--- a/crates/harefield/tests/soak/checks/accounts.rs
+++ b/crates/harefield/tests/soak/checks/accounts.rs
@@ -15,7 +15,7 @@
     /// Upstreams are told whose request it is, and are shown no key.
     pub(super) fn named(&mut self) {
         for (name, upstream) in self.upstreams {
-            for head in upstream.inner.heads() {
+            for head in upstream.inner.headers() {
                 let id = head.get("attempt-id").and_then(|ids| ids.first()).map_or("", |id| id);
                 let told = head.get("tenant").map_or(&[][..], |names| names);
                 let expected = if id.starts_with('k') { TURN } else { STEADY };
--- a/crates/harefield/tests/soak/checks/runs.rs
+++ b/crates/harefield/tests/soak/checks/runs.rs
@@ -42,7 +42,7 @@
 
     /// Nobody is sent to for an entry that is no upstream's.
     pub(super) fn foreign(&mut self) {
-        let asked = self.upstreams.values().flat_map(|upstream| upstream.inner.mistaken());
+        let asked = self.upstreams.values().flat_map(|upstream| upstream.inner.misdirected());
         let count = asked.filter(|name| name.starts_with(FOREIGN)).count();
         if count > 0 {
             let what = format!("{count} requests for entries of other writers");
--- a/crates/harefield/tests/soak/draw.rs
+++ b/crates/harefield/tests/soak/draw.rs
@@ -6,7 +6,7 @@
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::seq::index::sample;
-use standin::Manner as Conduct;
+use standin::ReplyMode as Conduct;
 
 use crate::proxy::Manner;
 
--- a/crates/harefield/tests/soak/drills.rs
+++ b/crates/harefield/tests/soak/drills.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
-use standin::Away;
+use standin::Outage;
 
 use crate::draw::Fault;
 use crate::faults::Faults;
@@ -18,7 +18,7 @@
 struct Drill {
     /// How old the copy is.
     age: Duration,
-    away: Away,
+    away: Outage,
     /// How long it is away.
     time: Duration,
     /// How long after its return operators and upstreams write again.
@@ -30,7 +30,7 @@
 fn draw(random: &mut StdRng) -> Drill {
     let mut span = |least: u64, most: u64| Duration::from_millis(random.random_range(least..most));
     let (age, time, again) = (span(0, 8000), span(100, 2500), span(0, 1500));
-    let away = if random.random_bool(0.5) { Away::Silent } else { Away::Down };
+    let away = if random.random_bool(0.5) { Outage::Silent } else { Outage::Down };
     Drill { age, away, time, again, kills: random.random_bool(0.2) }
 }
 
@@ -89,9 +89,9 @@
         self.during(Kind::Store, || {
             let killing = kills.then(|| self.kill_all(time));
             let store = &self.world.store;
-            store.drill(store.copy_of(age), away, time);
+            store.drill(store.backup_from(age), away, time);
             std::thread::sleep(again);
-            store.write_again();
+            store.rewrite_lost();
             for kill in killing.into_iter().flatten() {
                 kill.join().expect("a daemon starts again");
             }
--- a/crates/harefield/tests/soak/faults.rs
+++ b/crates/harefield/tests/soak/faults.rs
@@ -12,7 +12,7 @@
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rustix::process::Signal;
-use standin::Manner as Conduct;
+use standin::ReplyMode as Conduct;
 
 use crate::draw::Fault;
 use crate::draw::Link;
@@ -127,7 +127,7 @@
                 std::thread::sleep(time);
                 self.world.store.set_silent(false);
             }),
-            Fault::StoreForgets => self.world.store.forget(),
+            Fault::StoreForgets => self.world.store.compact(),
             Fault::PeerLink(node, link) => {
                 self.on_link(Kind::Peers, &self.world.nodes[node].peers, link, time);
             }
@@ -138,9 +138,9 @@
             }
             Fault::Conduct(name, conduct, delay) => {
                 if let Some(upstream) = self.world.upstream(&name) {
-                    upstream.inner.set(conduct, delay);
+                    upstream.inner.set_mode(conduct, delay);
                     std::thread::sleep(time);
-                    upstream.inner.set(Conduct::Good, Duration::ZERO);
+                    upstream.inner.set_mode(Conduct::Good, Duration::ZERO);
                 }
             }
             Fault::Drain(name) => self.replace(&name, true),
--- a/crates/harefield/tests/soak/world.rs
+++ b/crates/harefield/tests/soak/world.rs
@@ -16,7 +16,7 @@
 use serde_json::Value;
 use standin::SignedSearcher;
 use standin::SiteStore;
-use standin::entry_at;
+use standin::upstream_entry;
 
 use crate::configuration::configuration;
 use crate::ledger::Ledger;
@@ -157,7 +157,7 @@
         let number = self.named.fetch_add(1, Ordering::SeqCst);
         let name = format!("i-{number}");
         let inner = SignedSearcher::start(&name, records);
-        inner.set_fatal(self.ending.0.clone());
+        inner.notify_fatal(self.ending.0.clone());
         let proxy = Proxy::open(inner.address(), &self.serving);
         let service = service.to_owned();
         let upstream = Upstream { inner, service, zone, records: records.to_vec(), proxy };
@@ -170,7 +170,7 @@
     /// Lists an upstream in a state.
     pub fn list(&self, name: &str, state: &str) {
         if let Some(upstream) = self.upstream(name) {
-            let entry = entry_at(upstream.proxy.address(), upstream.zone, &upstream.service, state);
+            let entry = upstream_entry(upstream.proxy.address(), upstream.zone, &upstream.service, state);
             self.store.put(&upstream.inner.key(), Some(&entry));
         }
     }
@@ -180,7 +180,7 @@
         let name = format!("{FOREIGN}-{number}");
         let address = lock(&self.upstreams).values().next().map(|held| held.proxy.address());
         let Some(address) = address else { return };
-        let mut entry = entry_at(address, ZONES[0], "plain", "ready");
+        let mut entry = upstream_entry(address, ZONES[0], "plain", "ready");
         SPOILS[spoil](&mut entry);
         self.store.put(&format!("servers/{name}"), Some(&entry));
     }
@@ -188,7 +188,8 @@
     /// Writes something else over the entry of an upstream.
     pub fn spoil(&self, name: &str, spoil: usize) {
         if let Some(upstream) = self.upstream(name) {
-            let mut entry = entry_at(upstream.proxy.address(), upstream.zone, &upstream.service, "ready");
+            let mut entry =
+                upstream_entry(upstream.proxy.address(), upstream.zone, &upstream.service, "ready");
             SPOILS[spoil](&mut entry);
             self.store.put(&upstream.inner.key(), Some(&entry));
         }
--- a/crates/standin/src/bin/standin.rs
+++ b/crates/standin/src/bin/standin.rs
@@ -22,7 +22,7 @@
 use standin::fleet::Fleet;
 use standin::load;
 use standin::load::Load;
-use standin::load::Mix;
+use standin::load::RequestRate;
 use standin::losses;
 use standin::plot;
 
@@ -151,14 +151,14 @@
     let mut mixes = Vec::new();
     for text in options.all("mix") {
         let (lookup, rate) = text.split_once('=').ok_or("--mix is LOOKUP=RATE")?;
-        mixes.push(Mix { lookup: lookup.to_owned(), rate: rate.parse()? });
+        mixes.push(RequestRate { lookup: lookup.to_owned(), rate: rate.parse()? });
     }
     let seconds: f64 = options.one("seconds", Some(10.0))?;
     let load = Load {
         daemons: daemons?,
         mixes,
         time: Duration::from_secs_f64(seconds),
-        warm: Duration::from_secs_f64(seconds / 5.0),
+        warmup: Duration::from_secs_f64(seconds / 5.0),
         latency: Duration::from_micros(options.one("latency-us", Some(1000))?),
         seed: options.one("seed", Some(1))?,
     };
@@ -241,11 +241,11 @@
         return Err("--width is a number of seconds above 0".into());
     }
     let lines = losses::read(BufReader::new(File::open(path)?))?;
-    let stories = losses::stories(&lines);
+    let stories = losses::request_losses(&lines);
     if stories.is_empty() {
         return Err(format!("{path} holds no line of a daemon on a request").into());
     }
-    println!("{}\n{}", losses::by_kind(&stories), losses::by_moment(&stories, width));
+    println!("{}\n{}", losses::by_kind(&stories), losses::by_interval(&stories, width));
     Ok(())
 }
 
@@ -269,9 +269,9 @@
         platform,
         operators: parse_all(options.all("operator"))?,
         pids: parse_all(&read_words(&pids)?)?,
-        upstreams: options.one("upstreams", Some(0))?,
-        daemons: options.one("made-daemons", Some(0))?,
-        time: Duration::from_secs_f64(options.one("seconds", Some(15.0))?),
+        synthetic_upstreams: options.one("upstreams", Some(0))?,
+        synthetic_daemons: options.one("made-daemons", Some(0))?,
+        phase_time: Duration::from_secs_f64(options.one("seconds", Some(15.0))?),
         rate: options.one("rate", Some(0.4))?,
     };
     println!("{}", serde_json::to_string(&fleet.run())?);
--- a/crates/standin/src/mortal.rs
+++ b/crates/standin/src/crashing.rs
@@ -23,8 +23,8 @@
 
 use super::net;
 use super::net::Reply;
-use super::site::FATAL;
-use super::site::entry_at;
+use super::signed::FATAL;
+use super::signed::upstream_entry;
 use super::site_store::SiteStore;
 
 /// The record that each of them holds: one byte, repeated.
@@ -32,7 +32,7 @@
 
 /// What an upstream is started with.
 #[derive(Clone, Debug)]
-pub struct MortalSpec {
+pub struct CrashingSpec {
     /// Its name; the next life's has a number behind it.
     pub id: String,
     /// Its service.
@@ -42,14 +42,14 @@
     /// How long it works on a request.
     pub work: Duration,
     /// How long it is gone once it has ended.
-    pub gone: Duration,
+    pub downtime: Duration,
     /// Whether it is back under the name that it had.
-    pub same: bool,
+    pub keeps_name: bool,
 }
 
 /// A request that an upstream began.
 #[derive(Clone, Debug)]
-pub struct Begun {
+pub struct StartedRequest {
     /// When.
     pub at: Instant,
     /// The caller's id of it.
@@ -62,25 +62,25 @@
 
 #[derive(Debug, Default)]
 struct Shared {
-    begun: Vec<Begun>,
+    begun: Vec<StartedRequest>,
     ends: Vec<Instant>,
 }
 
 /// An upstream that may end.
 #[derive(Clone, Debug)]
-pub struct MortalSearcher {
+pub struct CrashingSearcher {
     shared: Arc<Mutex<Shared>>,
     end: Sender<()>,
 }
 
-impl MortalSearcher {
+impl CrashingSearcher {
     /// Starts an upstream on a thread of its own, and lists it in a store.
     ///
     /// # Panics
     ///
     /// Panics where the thread cannot be started.
     #[must_use]
-    pub fn start(spec: MortalSpec, store: SiteStore) -> Self {
+    pub fn start(spec: CrashingSpec, store: SiteStore) -> Self {
         let (end, ended) = async_channel::unbounded();
         let own = Self { shared: Arc::default(), end };
         let living = own.clone();
@@ -90,19 +90,19 @@
     }
 
     /// Ends it at once, whatever it runs.
-    pub fn end(&self) {
+    pub fn crash(&self) {
         let _ = self.end.try_send(()).is_ok();
     }
 
     /// Returns what it began, in order, over all its lives.
     #[must_use]
-    pub fn begun(&self) -> Vec<Begun> {
+    pub fn started(&self) -> Vec<StartedRequest> {
         self.lock().begun.clone()
     }
 
     /// Returns when it ended.
     #[must_use]
-    pub fn ends(&self) -> Vec<Instant> {
+    pub fn crash_times(&self) -> Vec<Instant> {
         self.lock().ends.clone()
     }
 
@@ -111,12 +111,13 @@
     }
 
     /// Lives again and again.
-    fn live(&self, spec: &MortalSpec, store: &SiteStore, ended: &Receiver<()>) {
+    fn live(&self, spec: &CrashingSpec, store: &SiteStore, ended: &Receiver<()>) {
         for life in 0.. {
-            let id = if spec.same || life == 0 { spec.id.clone() } else { format!("{}-{life}", spec.id) };
+            let id =
+                if spec.keeps_name || life == 0 { spec.id.clone() } else { format!("{}-{life}", spec.id) };
             let key = format!("servers/{id}");
             let listener = net::bind(SocketAddr::from(([127, 0, 0, 1], 0)));
-            let entry = entry_at(net::local(&listener), &spec.zone, &spec.service, "ready");
+            let entry = upstream_entry(net::local(&listener), &spec.zone, &spec.service, "ready");
             let executor: Rc<LocalExecutor<'static>> = Rc::default();
             let (searcher, name, work) = (self.clone(), id.clone(), spec.work);
             let handle = Rc::new(move |request: Request<Incoming>| {
@@ -130,7 +131,7 @@
             // Its connections close with their tasks.
             drop(executor);
             self.lock().ends.push(Instant::now());
-            std::thread::sleep(spec.gone);
+            std::thread::sleep(spec.downtime);
             while ended.try_recv().is_ok() {}
             store.put(&key, None);
         }
@@ -146,10 +147,10 @@
         let (id, target) = (header("attempt-id"), request.uri().to_string());
         let fatal = target.contains(FATAL);
         let seal = format!("{name}.{id}");
-        self.lock().begun.push(Begun { at: Instant::now(), id, target, upstream: name });
+        self.lock().begun.push(StartedRequest { at: Instant::now(), id, target, upstream: name });
         Timer::after(work).await;
         if fatal {
-            self.end();
+            self.crash();
             return std::future::pending().await;
         }
         reply(StatusCode::OK, "server-seal", &seal)
--- a/crates/standin/src/experiment.rs
+++ b/crates/standin/src/experiment.rs
@@ -19,7 +19,7 @@
 use super::load;
 use super::load::Figures;
 use super::load::Load;
-use super::load::Mix;
+use super::load::RequestRate;
 use super::platform::Platform;
 use super::searchers::Searchers;
 
@@ -182,7 +182,8 @@
             _ => steady(lookup) * self.scale,
         };
         let names = self.layout.lookups.keys().cloned().chain([format!("{first}-audit")]);
-        let mixes = names.map(|lookup| Mix { rate: rate(&lookup), lookup }).filter(|mix| mix.rate > 0.0);
+        let mixes =
+            names.map(|lookup| RequestRate { rate: rate(&lookup), lookup }).filter(|mix| mix.rate > 0.0);
         let spared = |number: &usize| match self.scenario {
             Scenario::FrozenDaemon => *number == 0,
             Scenario::ZoneGone => number % 2 == 1,
@@ -193,7 +194,7 @@
             daemons: daemons.collect(),
             mixes: mixes.collect(),
             time: self.time,
-            warm: self.time * 3 / 10,
+            warmup: self.time * 3 / 10,
             latency: Duration::from_millis(1),
             seed: self.seed,
         }
@@ -261,7 +262,7 @@
             thread::sleep(Duration::from_millis(3));
         }
         let index = self.first_index();
-        let moved = self.layout.index_at(index, &[2, 1]);
+        let moved = self.layout.index_resource(index, &[2, 1]);
         self.platform.publish("config", vec![(format!("indexes/{index}"), moved)]);
         thread::sleep(Duration::from_secs(1));
         for name in self.searchers.names().iter().filter(|name| name.starts_with(index)) {
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -35,18 +35,18 @@
     /// Their process ids, in the same order.
     pub pids: Vec<i32>,
     /// How many made-up upstreams are published.
-    pub upstreams: usize,
+    pub synthetic_upstreams: usize,
     /// How many made-up daemons are listed.
-    pub daemons: usize,
+    pub synthetic_daemons: usize,
     /// How long each phase takes.
-    pub time: Duration,
+    pub phase_time: Duration,
     /// Changes a second in the phase with changes.
     pub rate: f64,
 }
 
 /// What each daemon spent, on average, in one phase.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Spent {
+pub struct Usage {
     /// Bytes of control, sent and received, a second.
     pub bytes: f64,
     /// Processor time of the control thread, in percent of a core.
@@ -67,9 +67,9 @@
     /// The largest resident memory of a daemon, in megabytes.
     pub memory: f64,
     /// With nothing published.
-    pub idle: Spent,
+    pub idle: Usage,
     /// With changes published.
-    pub changing: Spent,
+    pub changing: Usage,
     /// Calls to the platform a second, of the whole fleet, with changes.
     pub calls: f64,
     /// From publishing a change to its being in force everywhere, in seconds:
@@ -100,7 +100,7 @@
         self.await_revision(revision);
         thread::sleep(Duration::from_secs(3));
         let start = self.count();
-        thread::sleep(self.time);
+        thread::sleep(self.phase_time);
         let idle = self.count();
         let (calls, begun) = self.platform.calls();
         let mut delays = self.change_for_a_while();
@@ -110,8 +110,8 @@
         let made = calls_after.saturating_sub(calls);
         FleetFigures {
             running: self.operators.len(),
-            upstreams: self.upstreams,
-            daemons: self.daemons,
+            upstreams: self.synthetic_upstreams,
+            daemons: self.synthetic_daemons,
             memory: self.memory(),
             idle: self.spent(&start, &idle),
             changing: self.spent(&idle, &changed),
@@ -125,12 +125,14 @@
     /// Publishes the made-up upstreams, in indexes of a few hundred each.
     fn publish_made(&self) {
         let each = MADE_SHARDS * MADE_REPLICAS;
-        for index in 0..self.upstreams / each {
+        for index in 0..self.synthetic_upstreams / each {
             self.platform.publish("config", made_index(index));
         }
         let row = |role: &str| Some(json!({ "role": role, "state": "live", "zone": "elsewhere" }));
-        let daemons = (0..self.daemons).map(|n| (format!("hosts/{}", made_daemon(n)), row("harefield")));
-        let upstreams = (0..self.upstreams).map(|n| (format!("hosts/{}", made_upstream(n)), row("upstream")));
+        let daemons =
+            (0..self.synthetic_daemons).map(|n| (format!("hosts/{}", made_daemon(n)), row("harefield")));
+        let upstreams =
+            (0..self.synthetic_upstreams).map(|n| (format!("hosts/{}", made_upstream(n)), row("upstream")));
         self.platform.publish("hosts", daemons.chain(upstreams).collect());
     }
 
@@ -147,7 +149,7 @@
         let begun = Instant::now();
         let mut delays = Vec::new();
         let mut number: u32 = 0;
-        while begun.elapsed() < self.time {
+        while begun.elapsed() < self.phase_time {
             number += 1;
             let published = Instant::now();
             let revision = self.change(u64::from(number));
@@ -184,10 +186,10 @@
         Counted { at: Instant::now(), bytes, control: of("control"), worker: of("worker-0") }
     }
 
-    fn spent(&self, before: &Counted, after: &Counted) -> Spent {
+    fn spent(&self, before: &Counted, after: &Counted) -> Usage {
         let count = f64::from(u32::try_from(self.operators.len().max(1)).unwrap_or(u32::MAX));
         let each = count * after.at.saturating_duration_since(before.at).as_secs_f64();
-        Spent {
+        Usage {
             bytes: (after.bytes - before.bytes) / each,
             control: (after.control - before.control) / each * 100.0,
             worker: (after.worker - before.worker) / each * 100.0,
--- a/crates/standin/src/layout.rs
+++ b/crates/standin/src/layout.rs
@@ -170,7 +170,7 @@
 
     /// Returns the resource of an index with other snapshot versions.
     #[must_use]
-    pub fn index_at(&self, name: &str, versions: &[u64]) -> Option<Value> {
+    pub fn index_resource(&self, name: &str, versions: &[u64]) -> Option<Value> {
         self.groups.iter().find(|group| group.index == name).map(|group| index(group, versions))
     }
 }
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -24,7 +24,7 @@
 
 /// One kind of request in a load.
 #[derive(Clone, Debug)]
-pub struct Mix {
+pub struct RequestRate {
     /// The lookup.
     pub lookup: String,
     /// Requests a second.
@@ -37,11 +37,11 @@
     /// The daemons' callers' addresses, asked in turn.
     pub daemons: Vec<SocketAddr>,
     /// What is asked.
-    pub mixes: Vec<Mix>,
+    pub mixes: Vec<RequestRate>,
     /// For how long.
     pub time: Duration,
     /// Requests before this are not measured.
-    pub warm: Duration,
+    pub warmup: Duration,
     /// The one-way latency to callers.
     pub latency: Duration,
     /// Seeds the arrivals.
@@ -154,7 +154,7 @@
     executor: Rc<LocalExecutor<'static>>,
     client: Client,
     load: Load,
-    mix: Mix,
+    mix: RequestRate,
     tally: Rc<RefCell<Tally>>,
     seed: u64,
     start: Instant,
@@ -174,7 +174,7 @@
         Timer::at(due).await;
         turn = (turn + 1) % load.daemons.len();
         let (client, to, tally) = (client.clone(), load.daemons[turn], Rc::clone(&tally));
-        let (lookup, latency, measured) = (mix.lookup.clone(), load.latency, due >= start + load.warm);
+        let (lookup, latency, measured) = (mix.lookup.clone(), load.latency, due >= start + load.warmup);
         let ask = async move {
             Timer::after(latency).await;
             let path = format!("/v1/lookups/{lookup}");
--- a/crates/standin/src/losses/lines.rs
+++ b/crates/standin/src/losses/log.rs
@@ -6,7 +6,7 @@
 
 /// One decision of a daemon on a request, with when it was written.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct LogLine {
     /// When the line was written, in seconds of the run.
     pub at: f64,
     /// The request.
@@ -14,13 +14,13 @@
     /// The daemon.
     pub host: String,
     /// What it decided.
-    pub step: Step,
+    pub decision: Decision,
 }
 
 /// The decisions that tell what became of a request, by the names of the time line.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
-pub enum Step {
+pub enum Decision {
     /// It was let in. Times are in microseconds, the objective in milliseconds.
     Admitted {
         /// Its lookup.
@@ -74,7 +74,7 @@
 struct Record {
     host: String,
     request: Option<String>,
-    event: Step,
+    event: Decision,
 }
 
 /// Reads the lines on requests from a run's output: the time in seconds, the daemon's
@@ -83,7 +83,7 @@
 /// # Errors
 ///
 /// Returns why the output cannot be read.
-pub fn read(output: impl BufRead) -> std::io::Result<Vec<Line>> {
+pub fn read(output: impl BufRead) -> std::io::Result<Vec<LogLine>> {
     let mut lines = Vec::new();
     for text in output.lines() {
         lines.extend(parse(&text?));
@@ -91,11 +91,16 @@
     Ok(lines)
 }
 
-fn parse(text: &str) -> Option<Line> {
+fn parse(text: &str) -> Option<LogLine> {
     let (time, rest) = text.trim_start().split_once(' ')?;
     let (_machine, written) = rest.split_once(' ')?;
     let at = time.parse().ok()?;
     let record = serde_json::from_str::<Written>(written).ok()?.event?;
     let request = record.request?;
-    (record.event != Step::Other).then_some(Line { at, request, host: record.host, step: record.event })
+    (record.event != Decision::Other).then_some(LogLine {
+        at,
+        request,
+        host: record.host,
+        decision: record.event,
+    })
 }
--- a/crates/standin/src/losses/story.rs
+++ b/crates/standin/src/losses/request.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use super::lines::Line;
-use super::lines::Step;
+use super::log::Decision;
+use super::log::LogLine;
 
 /// Names a kind of request: requests of one objective are of one kind, since lookups
 /// come and go with the configuration.
@@ -32,7 +32,7 @@
 
 /// What became of one request at the daemon that its caller asked.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Story {
+pub struct RequestLoss {
     /// When it was answered, in seconds of the run.
     pub at: f64,
     /// Its kind.
@@ -51,9 +51,9 @@
 /// Joins lines to stories, one for each request that was answered or left by its
 /// caller; an attempt that a caller repeats is a request of its own.
 #[must_use]
-pub fn stories(lines: &[Line]) -> Vec<Story> {
+pub fn request_losses(lines: &[LogLine]) -> Vec<RequestLoss> {
     let kinds = kinds(lines);
-    let mut requests: BTreeMap<&str, Vec<&Line>> = BTreeMap::new();
+    let mut requests: BTreeMap<&str, Vec<&LogLine>> = BTreeMap::new();
     for line in lines {
         requests.entry(&line.request).or_default().push(line);
     }
@@ -61,9 +61,9 @@
 }
 
 /// Returns the objective of each lookup that was seen with one.
-fn kinds(lines: &[Line]) -> BTreeMap<&str, Kind> {
-    let known = lines.iter().filter_map(|line| match &line.step {
-        Step::Admitted { lookup, objective: Some(objective), .. } => {
+fn kinds(lines: &[LogLine]) -> BTreeMap<&str, Kind> {
+    let known = lines.iter().filter_map(|line| match &line.decision {
+        Decision::Admitted { lookup, objective: Some(objective), .. } => {
             Some((lookup.as_str(), Kind::Objective(*objective)))
         }
         _ => None,
@@ -71,24 +71,24 @@
     known.collect()
 }
 
-fn story(lines: &[&Line], kinds: &BTreeMap<&str, Kind>) -> Option<Story> {
+fn story(lines: &[&LogLine], kinds: &BTreeMap<&str, Kind>) -> Option<RequestLoss> {
     let handed: Vec<&str> = lines
         .iter()
-        .filter(|line| matches!(line.step, Step::ForwardTaken))
+        .filter(|line| matches!(line.decision, Decision::ForwardTaken))
         .map(|line| line.host.as_str())
         .collect();
-    let entry = |line: &&&Line| !handed.contains(&line.host.as_str());
-    let due = lines.iter().find_map(|line| match line.step {
-        Step::Admitted { due, .. } => due,
+    let entry = |line: &&&LogLine| !handed.contains(&line.host.as_str());
+    let due = lines.iter().find_map(|line| match line.decision {
+        Decision::Admitted { due, .. } => due,
         _ => None,
     });
-    let reasons = lines.iter().filter_map(|line| match &line.step {
-        Step::ShardMissing { why } => Some(why.as_str()),
+    let reasons = lines.iter().filter_map(|line| match &line.decision {
+        Decision::ShardMissing { why } => Some(why.as_str()),
         _ => None,
     });
     let reasons: Vec<&str> = reasons.collect();
-    lines.iter().filter(entry).find_map(|line| match &line.step {
-        Step::Answered { lookup, outcome, code, contributed, missing, micros } => {
+    lines.iter().filter(entry).find_map(|line| match &line.decision {
+        Decision::Answered { lookup, outcome, code, contributed, missing, micros } => {
             let lost = match outcome.as_str() {
                 NOT_RUN => vec![(Cause::Refused(code.clone()), 1.0)],
                 ANSWERED if due.is_some_and(|due| *micros > due + LATE_AFTER) => vec![(Cause::Late, 1.0)],
@@ -96,11 +96,11 @@
                 _ => vec![(Cause::Failed(code.clone()), 1.0)],
             };
             let kind = kinds.get(lookup.as_str()).copied().unwrap_or(Kind::Unknown);
-            Some(Story { at: line.at, kind, lost })
+            Some(RequestLoss { at: line.at, kind, lost })
         }
-        Step::CallerGone { lookup } => {
+        Decision::CallerGone { lookup } => {
             let kind = kinds.get(lookup.as_str()).copied().unwrap_or(Kind::Unknown);
-            Some(Story { at: line.at, kind, lost: vec![(Cause::Gone, 1.0)] })
+            Some(RequestLoss { at: line.at, kind, lost: vec![(Cause::Gone, 1.0)] })
         }
         _ => None,
     })
--- a/crates/standin/src/losses/table.rs
+++ b/crates/standin/src/losses/table.rs
@@ -3,26 +3,26 @@
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-use super::story::Cause;
-use super::story::Kind;
-use super::story::Story;
+use super::request::Cause;
+use super::request::Kind;
+use super::request::RequestLoss;
 use super::tally::Tally;
 
 /// What is printed for a moment without losses, in requests' worths, at the most.
 const LEAST_SHOWN: f64 = 0.05;
 
 /// One moment of a run, by its number from the start.
-pub type Moment = i64;
+pub type IntervalIndex = i64;
 
 /// Tables what requests lost in each stretch of `width` seconds, one line for each
 /// stretch, kind and the causes that took the most.
 #[must_use]
-pub fn by_moment(stories: &[Story], width: f64) -> String {
-    let mut tallies: BTreeMap<(Moment, Kind), Tally> = BTreeMap::new();
+pub fn by_interval(stories: &[RequestLoss], width: f64) -> String {
+    let mut tallies: BTreeMap<(IntervalIndex, Kind), Tally> = BTreeMap::new();
     for story in stories {
         #[expect(clippy::cast_possible_truncation, reason = "a run lasts minutes")]
-        let moment = (story.at / width).floor() as Moment;
-        tallies.entry((moment, story.kind)).or_default().take(story);
+        let moment = (story.at / width).floor() as IntervalIndex;
+        tallies.entry((moment, story.kind)).or_default().add(story);
     }
     let mut text =
         String::from("| from second | kind | attempts | lost | by cause |\n|---|---|---|---|---|\n");
@@ -39,10 +39,10 @@
 
 /// Tables what requests lost over the whole run, one line a kind.
 #[must_use]
-pub fn by_kind(stories: &[Story]) -> String {
+pub fn by_kind(stories: &[RequestLoss]) -> String {
     let mut tallies: BTreeMap<Kind, Tally> = BTreeMap::new();
     for story in stories {
-        tallies.entry(story.kind).or_default().take(story);
+        tallies.entry(story.kind).or_default().add(story);
     }
     let mut text =
         String::from("| from second | kind | attempts | lost | by cause |\n|---|---|---|---|---|\n");
--- a/crates/standin/src/losses/tally.rs
+++ b/crates/standin/src/losses/tally.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use super::story::Cause;
-use super::story::Story;
+use super::request::Cause;
+use super::request::RequestLoss;
 
 /// What some requests lost together.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -16,7 +16,7 @@
 
 impl Tally {
     /// Takes one request.
-    pub fn take(&mut self, story: &Story) {
+    pub fn add(&mut self, story: &RequestLoss) {
         self.requests += 1;
         for (cause, lost) in &story.lost {
             *self.lost.entry(cause.clone()).or_default() += lost;
--- a/crates/standin/src/site.rs
+++ b/crates/standin/src/signed.rs
@@ -31,7 +31,7 @@
 
 /// How an upstream behaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Manner {
+pub enum ReplyMode {
     /// It answers.
     #[default]
     Good,
@@ -47,7 +47,7 @@
 
 #[derive(Debug, Default)]
 struct Shared {
-    manner: Manner,
+    manner: ReplyMode,
     delay: Duration,
     runs: Vec<(Instant, String)>,
     /// The time left that the last request came with.
@@ -96,7 +96,7 @@
     /// Returns its entry in the store, as a service's upstream.
     #[must_use]
     pub fn entry(&self, service: &str, state: &str) -> Value {
-        entry_at(self.address, "hall", service, state)
+        upstream_entry(self.address, "hall", service, state)
     }
 
     /// Returns its key in the store.
@@ -106,7 +106,7 @@
     }
 
     /// Sets how it behaves, and how long it takes.
-    pub fn set(&self, manner: Manner, delay: Duration) {
+    pub fn set_mode(&self, manner: ReplyMode, delay: Duration) {
         let mut shared = lock(&self.shared);
         shared.manner = manner;
         shared.delay = delay;
@@ -114,7 +114,7 @@
 
     /// Sets who is told when it runs a request whose path holds [`FATAL`]: it never answers
     /// one, and is to be ended.
-    pub fn set_fatal(&self, told: Sender<String>) {
+    pub fn notify_fatal(&self, told: Sender<String>) {
         lock(&self.shared).fatal = Some(told);
     }
 
@@ -132,20 +132,20 @@
 
     /// Returns the names that it was taken for, in order.
     #[must_use]
-    pub fn mistaken(&self) -> Vec<String> {
+    pub fn misdirected(&self) -> Vec<String> {
         lock(&self.shared).mistaken.clone()
     }
 
     /// Returns the headers that each request it ran came with, in order: the values by
     /// name.
     #[must_use]
-    pub fn heads(&self) -> Vec<BTreeMap<String, Vec<String>>> {
+    pub fn headers(&self) -> Vec<BTreeMap<String, Vec<String>>> {
         lock(&self.shared).heads.clone()
     }
 
     /// Returns the time left that the last request it ran came with.
     #[must_use]
-    pub fn left(&self) -> Option<Duration> {
+    pub fn remaining_time(&self) -> Option<Duration> {
         lock(&self.shared).left
     }
 
@@ -180,7 +180,7 @@
             lock(&self.shared).mistaken.push(header("expect-instance"));
             return reply(StatusCode::MISDIRECTED_REQUEST, &[("instance-id", &self.id)], Vec::new());
         }
-        if manner == Manner::Shed {
+        if manner == ReplyMode::Shed {
             return reply(StatusCode::SERVICE_UNAVAILABLE, &[("not-executed", "1")], Vec::new());
         }
         let id = header("attempt-id");
@@ -197,10 +197,10 @@
         lock(&self.shared).finished.push(id.clone());
         let signature = format!("{}.{id}", self.id);
         let (status, id, signature) = match manner {
-            Manner::Fail => (StatusCode::INTERNAL_SERVER_ERROR, id, signature),
-            Manner::Crossed => (StatusCode::OK, "another".to_owned(), format!("{}.another", self.id)),
-            Manner::Unsigned => return reply(StatusCode::OK, &[("attempt-id", &id)], body),
-            Manner::Good | Manner::Shed => (StatusCode::OK, id, signature),
+            ReplyMode::Fail => (StatusCode::INTERNAL_SERVER_ERROR, id, signature),
+            ReplyMode::Crossed => (StatusCode::OK, "another".to_owned(), format!("{}.another", self.id)),
+            ReplyMode::Unsigned => return reply(StatusCode::OK, &[("attempt-id", &id)], body),
+            ReplyMode::Good | ReplyMode::Shed => (StatusCode::OK, id, signature),
         };
         reply(status, &[("attempt-id", &id), ("server-seal", &signature), ("x-own", "kept")], body)
     }
@@ -217,7 +217,7 @@
 
 /// Returns the entry of an upstream that is reached at an address.
 #[must_use]
-pub fn entry_at(address: SocketAddr, zone: &str, service: &str, state: &str) -> Value {
+pub fn upstream_entry(address: SocketAddr, zone: &str, service: &str, state: &str) -> Value {
     json!({
         "service": service, "address": address.to_string(), "zone": zone, "version": "v1",
         "slots": 2, "state": state, "coldRemainingMs": 0, "sequence": 1,
--- a/crates/standin/src/site_store.rs
+++ b/crates/standin/src/site_store.rs
@@ -35,7 +35,7 @@
 
 /// How a store is away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Away {
+pub enum Outage {
     /// It answers 503.
     Down,
     /// It takes calls and never answers them.
@@ -122,13 +122,13 @@
 
     /// Returns a copy of it as it is, to come back from.
     #[must_use]
-    pub fn copy(&self) -> u64 {
+    pub fn backup(&self) -> u64 {
         lock(&self.state).revision
     }
 
     /// Returns a copy of it as it was `age` ago.
     #[must_use]
-    pub fn copy_of(&self, age: Duration) -> u64 {
+    pub fn backup_from(&self, age: Duration) -> u64 {
         let state = lock(&self.state);
         let kept = state.log.iter().take_while(|change| change.at.elapsed() >= age);
         kept.last().map_or(0, |change| change.revision)
@@ -145,22 +145,22 @@
     }
 
     /// Is away for a time, and comes back from a copy.
-    pub fn drill(&self, copy: u64, away: Away, time: Duration) {
+    pub fn drill(&self, copy: u64, away: Outage, time: Duration) {
         self.set_away(away, true);
         std::thread::sleep(time);
         self.restore(copy);
         self.set_away(away, false);
     }
 
-    fn set_away(&self, away: Away, is_away: bool) {
+    fn set_away(&self, away: Outage, is_away: bool) {
         match away {
-            Away::Down => self.set_down(is_away),
-            Away::Silent => self.set_silent(is_away),
+            Outage::Down => self.set_down(is_away),
+            Outage::Silent => self.set_silent(is_away),
         }
     }
 
     /// Writes again what was lost: of each key the last, unless it was written since.
-    pub fn write_again(&self) {
+    pub fn rewrite_lost(&self) {
         let mut state = lock(&self.state);
         let lost = std::mem::take(&mut state.lost).into_iter();
         let newest: BTreeMap<String, Option<String>> =
@@ -175,7 +175,7 @@
     }
 
     /// Forgets what changed until now: watches that are behind are told so.
-    pub fn forget(&self) {
+    pub fn compact(&self) {
         let mut state = lock(&self.state);
         state.forgotten = state.revision;
     }
@@ -195,7 +195,7 @@
 
     /// Returns how many pages were read of whole listings.
     #[must_use]
-    pub fn pages(&self) -> usize {
+    pub fn page_count(&self) -> usize {
         lock(&self.state).pages
     }
 
@@ -207,7 +207,7 @@
 
     /// Returns how many watches came since it went silent.
     #[must_use]
-    pub fn swallowed(&self) -> usize {
+    pub fn unanswered(&self) -> usize {
         lock(&self.state).swallowed
     }
 }
--- a/crates/standin/tests/losses.rs
+++ b/crates/standin/tests/losses.rs
@@ -5,7 +5,7 @@
 use standin::losses;
 use standin::losses::Cause;
 use standin::losses::Kind;
-use standin::losses::Story;
+use standin::losses::RequestLoss;
 
 fn line(at: f64, request: &str, host: &str, event: &Value) -> String {
     let record = json!({ "event": { "host": host, "request": request, "event": event } });
@@ -23,8 +23,8 @@
     })
 }
 
-fn stories(output: &str) -> Vec<Story> {
-    losses::stories(&losses::read(output.as_bytes()).expect("a text can be read"))
+fn stories(output: &str) -> Vec<RequestLoss> {
+    losses::request_losses(&losses::read(output.as_bytes()).expect("a text can be read"))
 }
 
 #[test]
@@ -32,7 +32,7 @@
     let output = line(1.0, "a", "h", &admitted(86_000))
         + &line(1.0, "a", "h", &answered("answered", "HF0000", 4, 0, 50_000));
     let found = stories(&output);
-    assert_eq!(found, [Story { at: 1.0, kind: Kind::Objective(100), lost: Vec::new() }]);
+    assert_eq!(found, [RequestLoss { at: 1.0, kind: Kind::Objective(100), lost: Vec::new() }]);
 }
 
 #[test]
@@ -81,7 +81,7 @@
 fn moments_in_order() {
     let refused = answered("not-run", "HF2002", 0, 0, 10);
     let output = line(5.0, "b", "h", &refused) + &line(-1.0, "a", "h", &refused);
-    let table = losses::by_moment(&stories(&output), 2.0);
+    let table = losses::by_interval(&stories(&output), 2.0);
     let rows: Vec<&str> = table.lines().skip(2).collect();
     assert!(rows[0].starts_with("| -2.0 |"), "{table}");
     assert!(rows[1].starts_with("| 4.0 |"), "{table}");
