--- a/crates/harefield/tests/processes/support.rs
+++ b/crates/harefield/tests/processes/support.rs
@@ -172,7 +172,7 @@
 
     /// Returns the settings of one more daemon.
     pub fn settings(&self, extra: &str) -> String {
-        let copies: Vec<String> = self.platform.copies().iter().map(|a| format!("\"{a}\"")).collect();
+        let copies: Vec<String> = self.platform.replicas().iter().map(|a| format!("\"{a}\"")).collect();
         let seeds: Vec<String> = self.daemons.iter().map(|d| format!("\"{}\"", d.addresses.peers)).collect();
         format!(
             "[host]\nzone = \"hall-1a\"\n[listen]\ncallers = \"127.0.0.1:0\"\npeers = \"127.0.0.1:0\"\n\
--- a/crates/standin/src/admin.rs
+++ b/crates/standin/src/admin.rs
@@ -1,4 +1,4 @@
-//! Telling stand-ins what to do by HTTP, for scripts; tests call them directly.
+//! An HTTP interface for scripts to control the stand-ins; tests call them directly.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,15 +15,17 @@
 use super::platform::Platform;
 use super::searchers::Searchers;
 
-/// Serves the stand-ins' own address; returns where it listens.
+/// Serves the control interface of the stand-ins given; returns the address it listens on.
 ///
-/// `POST /searchers/NAME` patches a searcher's behaviour (`*` for all),
-/// `GET /tally` counts, `POST /publish/SPACE` publishes `{KEY: VALUE}` as one
-/// revision, `POST /down/COPY` with `true` or `false`, `GET /calls`.
+/// - `POST /searchers/NAME` patches a searcher's behaviour; `*` stands for all searchers.
+/// - `GET /tally` returns the searchers' counts.
+/// - `POST /publish/SPACE` publishes `{KEY: VALUE}` as one revision; a null deletes its key.
+/// - `POST /down/COPY` with `true` or `false` sets whether a replica of the platform is down.
+/// - `GET /calls` returns the number of calls to the platform, and over how many seconds.
 ///
 /// # Panics
 ///
-/// Panics where the address cannot be listened on.
+/// Panics if the address cannot be bound or the thread cannot be started.
 #[expect(clippy::must_use_candidate, reason = "most callers want the effect alone")]
 pub fn serve_admin(
     address: SocketAddr,
@@ -32,31 +34,31 @@
 ) -> SocketAddr {
     let listener = net::bind(address);
     let bound = net::local(&listener);
-    let held = Arc::new((platform, searchers));
-    net::serve_on_thread(listener, move || move |request| answer(Arc::clone(&held), request));
+    let stand_ins = Arc::new((platform, searchers));
+    net::serve_on_thread(listener, move || move |request| handle(Arc::clone(&stand_ins), request));
     bound
 }
 
-async fn answer(held: Arc<(Option<Platform>, Option<Searchers>)>, request: Request<Incoming>) -> Reply {
-    let (platform, searchers) = &*held;
+async fn handle(stand_ins: Arc<(Option<Platform>, Option<Searchers>)>, request: Request<Incoming>) -> Reply {
+    let (platform, searchers) = &*stand_ins;
     let path = request.uri().path().to_owned();
     let body =
         request.into_body().collect().await.map(http_body_util::Collected::to_bytes).unwrap_or_default();
     let mut parts = path.trim_start_matches('/').split('/');
     match (parts.next(), parts.next(), platform, searchers) {
-        (Some("searchers"), Some(name), _, Some(searchers)) => patch(searchers, name, &body),
+        (Some("searchers"), Some(name), _, Some(searchers)) => patch_behaviour(searchers, name, &body),
         (Some("tally"), None, _, Some(searchers)) => {
             net::json(200, &serde_json::to_value(searchers.tally()).unwrap_or_default())
         }
         (Some("publish"), Some(space @ ("config" | "hosts")), Some(platform), _) => {
             publish(platform, space, &body)
         }
-        (Some("down"), Some(copy), Some(platform), _) => match copy.parse() {
-            Ok(copy) if copy < platform.copies().len() => {
-                platform.set_down(copy, &*body == b"true");
+        (Some("down"), Some(replica), Some(platform), _) => match replica.parse() {
+            Ok(replica) if replica < platform.replicas().len() => {
+                platform.set_down(replica, &*body == b"true");
                 net::json(200, &json!({}))
             }
-            _ => net::json(404, &json!({ "error": "no such copy" })),
+            _ => net::json(404, &json!({ "error": "no such replica" })),
         },
         (Some("calls"), None, Some(platform), _) => {
             let (calls, time) = platform.calls();
@@ -66,13 +68,14 @@
     }
 }
 
-/// Merges the fields given into the present behaviour.
-fn patch(searchers: &Searchers, name: &str, body: &[u8]) -> Reply {
+/// Replaces the given fields of the present behaviour. If the result is not valid, it is
+/// ignored.
+fn patch_behaviour(searchers: &Searchers, name: &str, body: &[u8]) -> Reply {
     let fields: serde_json::Map<String, Value> = match serde_json::from_slice(body) {
         Ok(fields) => fields,
         Err(error) => return net::json(400, &json!({ "error": error.to_string() })),
     };
-    let merged = |behaviour: &mut Behaviour| {
+    let apply = |behaviour: &mut Behaviour| {
         let Ok(Value::Object(mut present)) = serde_json::to_value(&*behaviour) else {
             return;
         };
@@ -82,8 +85,8 @@
         }
     };
     if name == "*" {
-        searchers.change_all(merged);
-    } else if !searchers.change(name, merged) {
+        searchers.change_all(apply);
+    } else if !searchers.change(name, apply) {
         return net::json(404, &json!({ "error": "no such searcher" }));
     }
     net::json(200, &json!({}))
--- a/crates/standin/src/behaviour.rs
+++ b/crates/standin/src/behaviour.rs
@@ -1,70 +1,71 @@
-//! What a stand-in searcher can be told to do, while it runs.
+//! The settings of a stand-in searcher, which can be changed while it runs.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What goes wrong with a reply.
+/// A fault that a searcher injects into its replies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// The host is gone: connections close before anything runs.
+    /// The host is down: connections close before anything runs.
     Gone,
-    /// The connection closes after the request ran, without a reply.
+    /// The connection closes without a reply after the request ran.
     Lose,
-    /// The body stops half-way.
+    /// The connection closes after half of the body.
     Truncate,
-    /// The reply names the request before it.
+    /// The reply carries the id of the searcher's previous request.
     Cross,
-    /// The reply is drawn from, and names, the next version.
+    /// The reply is made from the next snapshot version and carries its number.
     WrongVersion,
-    /// A refusal after the request has begun.
+    /// The request is refused after it ran, and the reply tells that it had begun.
     RefuseBegun,
     /// The reply is not JSON.
     Garbage,
 }
 
-/// How a searcher behaves; every field can be changed while it runs.
+/// A searcher's behaviour; every field can be changed while it runs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Behaviour {
-    /// The mean time of a request, in milliseconds.
+    /// The median service time of a request, in milliseconds.
     pub service_ms: f64,
-    /// The spread of that time: the sigma of its log-normal distribution.
+    /// The sigma of the log-normal distribution of the service time.
     pub spread: f64,
-    /// How many requests of a hundred straggle.
+    /// The percentage of requests that are stragglers.
     pub straggle_percent: f64,
-    /// How long a straggler takes, in milliseconds.
+    /// The service time of a straggler, in milliseconds.
     pub straggle_ms: f64,
-    /// How many requests run at once.
+    /// The number of requests that may run at once.
     pub slots: usize,
-    /// How many requests may wait.
+    /// The number of requests that may wait for a slot; more are refused as overloaded.
     pub queue: usize,
-    /// How many connections may be open.
+    /// The number of open connections above which requests on new ones are refused.
     pub connections: usize,
-    /// What a new connection costs, in milliseconds.
+    /// The delay before a new connection is served, in milliseconds.
     pub connect_ms: f64,
-    /// The one-way latency to it, in milliseconds.
+    /// The one-way network latency, in milliseconds.
     pub latency_ms: f64,
-    /// Whether it is leaving.
+    /// Whether it is draining: it refuses all requests and says so.
     pub draining: bool,
-    /// Until how many requests have run it is cold: each takes four times as long.
+    /// The number of requests since its start that run cold: each takes four times as long.
     pub cold_requests: u64,
-    /// Whether it sheds load, and when one may come back, in milliseconds.
+    /// If set, it refuses all requests; the value is the retry delay it asks for, in
+    /// milliseconds.
     pub shed_ms: Option<u64>,
-    /// The queue length that it reports instead of the true one.
+    /// If set, the queue length that it reports instead of the true one.
     pub lie_queued: Option<u32>,
-    /// How old its load reports may be, in milliseconds.
+    /// The age up to which a load report is repeated, in milliseconds.
     pub lag_ms: f64,
     /// The snapshot versions that it holds.
     pub held: Vec<u64>,
-    /// The shards that it holds; all where empty.
+    /// The shards that it holds; empty means all.
     pub shards: Vec<String>,
-    /// Whether it is frozen: it takes requests and does nothing.
+    /// Whether it is frozen: it accepts requests and does not answer until it is unfrozen.
     pub frozen: bool,
-    /// What goes wrong with its replies.
+    /// The fault in its replies.
     pub fault: Fault,
 }
 
--- a/crates/standin/src/bin/standin.rs
+++ b/crates/standin/src/bin/standin.rs
@@ -1,4 +1,4 @@
-//! The `standin` program: stand-ins and load for scripts.
+//! The `standin` program: runs stand-ins, loads, experiments and reports for scripts.
 
 use std::collections::HashMap;
 use std::fs::File;
@@ -44,24 +44,25 @@
   standin plot      JOURNAL --site NAME --out DIR
   standin tell      --admin IP:PORT PATH BODY
 
-Layouts: small, caroni, licence. Searchers listen on 127.0.0.1 from the base
-port on, in the layout's order; the platform publishes them there.
+Layouts: small, caroni, licence. Searchers listen on 127.0.0.1 on consecutive
+ports from the base port on, in the layout's order; the platform publishes
+these addresses.
 ";
 
-type Failure = Box<dyn std::error::Error>;
+type BoxError = Box<dyn std::error::Error>;
 
-fn main() -> Result<(), Failure> {
+fn main() -> Result<(), BoxError> {
     let options = Options::read()?;
-    match options.words.first().map(String::as_str) {
+    match options.arguments.first().map(String::as_str) {
         Some("platform") => platform(&options),
         Some("searchers") => searchers(&options),
         Some("load") => run_load(&options),
         Some("experiment") => run_experiment(&options),
         Some("table") => print_table(&options),
         Some("losses") => print_losses(&options),
-        Some("plot") => draw(&options),
+        Some("plot") => draw_charts(&options),
         Some("fleet") => run_fleet(&options),
-        Some("tell") => tell(&options),
+        Some("tell") => send_admin(&options),
         _ => {
             print!("{HELP}");
             Ok(())
@@ -71,17 +72,17 @@
 
 #[derive(Debug, Default)]
 struct Options {
-    words: Vec<String>,
+    arguments: Vec<String>,
     values: HashMap<String, Vec<String>>,
 }
 
 impl Options {
-    fn read() -> Result<Self, Failure> {
+    fn read() -> Result<Self, BoxError> {
         let mut options = Self::default();
         let mut parser = Parser::from_env();
         while let Some(argument) = parser.next()? {
             match argument {
-                Arg::Value(word) => options.words.push(word.string()?),
+                Arg::Value(value) => options.arguments.push(value.string()?),
                 Arg::Long(name) => {
                     let name = name.to_owned();
                     let value = parser.value()?.string()?;
@@ -97,60 +98,60 @@
         self.values.get(name).map_or(&[], Vec::as_slice)
     }
 
-    fn one<T: std::str::FromStr>(&self, name: &str, default: Option<T>) -> Result<T, Failure> {
+    fn one<T: std::str::FromStr>(&self, name: &str, default: Option<T>) -> Result<T, BoxError> {
         match (self.all(name).last(), default) {
             (Some(text), _) => text.parse().map_err(|_error| format!("--{name} {text} is not valid").into()),
             (None, Some(default)) => Ok(default),
-            (None, None) => Err(format!("--{name} is needed").into()),
+            (None, None) => Err(format!("--{name} is required").into()),
         }
     }
 
-    fn layout(&self) -> Result<Layout, Failure> {
+    fn layout(&self) -> Result<Layout, BoxError> {
         let name: String = self.one("layout", Some("small".to_owned()))?;
         let deployment = match name.as_str() {
             "small" => Deployment::Small,
             "caroni" => Deployment::Caroni,
             "licence" => Deployment::Licence,
-            other => return Err(format!("no layout {other}").into()),
+            other => return Err(format!("unknown layout {other}: use small, caroni or licence").into()),
         };
         Ok(Layout::new(deployment))
     }
 
-    fn places(&self, layout: &Layout) -> Result<HashMap<String, SocketAddr>, Failure> {
+    fn addresses(&self, layout: &Layout) -> Result<HashMap<String, SocketAddr>, BoxError> {
         let base: u16 = self.one("base-port", None)?;
-        let mut places = HashMap::new();
+        let mut addresses = HashMap::new();
         for (offset, spec) in layout.searchers.iter().enumerate() {
             let port = base + u16::try_from(offset)?;
-            places.insert(spec.name.clone(), SocketAddr::from(([127, 0, 0, 1], port)));
+            addresses.insert(spec.name.clone(), SocketAddr::from(([127, 0, 0, 1], port)));
         }
-        Ok(places)
+        Ok(addresses)
     }
 }
 
-fn platform(options: &Options) -> Result<(), Failure> {
+fn platform(options: &Options) -> Result<(), BoxError> {
     let platform = start_platform(options, &options.layout()?, "daemon")?;
     standin::serve_admin(options.one("admin", None)?, Some(platform), None);
-    wait()
+    run_forever()
 }
 
-fn searchers(options: &Options) -> Result<(), Failure> {
+fn searchers(options: &Options) -> Result<(), BoxError> {
     let searchers = start_searchers(options, &options.layout()?)?;
     standin::serve_admin(options.one("admin", None)?, None, Some(searchers));
-    wait()
+    run_forever()
 }
 
-fn wait() -> Result<(), Failure> {
+fn run_forever() -> Result<(), BoxError> {
     println!("ready");
     loop {
         std::thread::sleep(Duration::from_secs(3600));
     }
 }
 
-fn run_load(options: &Options) -> Result<(), Failure> {
+fn run_load(options: &Options) -> Result<(), BoxError> {
     let daemons: Result<Vec<SocketAddr>, _> = options.all("daemon").iter().map(|text| text.parse()).collect();
     let mut mixes = Vec::new();
     for text in options.all("mix") {
-        let (lookup, rate) = text.split_once('=').ok_or("--mix is LOOKUP=RATE")?;
+        let (lookup, rate) = text.split_once('=').ok_or("--mix must have the form LOOKUP=RATE")?;
         mixes.push(RequestRate { lookup: lookup.to_owned(), rate: rate.parse()? });
     }
     let seconds: f64 = options.one("seconds", Some(10.0))?;
@@ -166,25 +167,26 @@
     Ok(())
 }
 
-/// Publishes a layout and the daemons' rows on a new platform.
-fn start_platform(options: &Options, layout: &Layout, peers: &str) -> Result<Platform, Failure> {
-    let places = options.places(layout)?;
+/// Starts a platform and publishes a layout, and the daemons and searchers as hosts. `peers` is
+/// the option that lists the daemons.
+fn start_platform(options: &Options, layout: &Layout, peers: &str) -> Result<Platform, BoxError> {
+    let addresses = options.addresses(layout)?;
     let platform = Platform::start(&[options.one("listen", None)?]);
-    platform.publish("config", layout.resources(|name| places[name]));
+    platform.publish("config", layout.resources(|name| addresses[name]));
     let row = |role: &str| Some(json!({ "role": role, "state": "live", "zone": "hall-1a" }));
     let daemons = options.all(peers).iter().map(|address| (format!("hosts/{address}"), row("harefield")));
-    let upstreams = places.values().map(|address| (format!("hosts/{address}"), row("upstream")));
+    let upstreams = addresses.values().map(|address| (format!("hosts/{address}"), row("upstream")));
     platform.publish("hosts", daemons.chain(upstreams).collect());
     Ok(platform)
 }
 
-fn start_searchers(options: &Options, layout: &Layout) -> Result<Searchers, Failure> {
-    let places = options.places(layout)?;
-    let specs = layout.searchers.iter().map(|s| (s.name.clone(), places[&s.name], s.behaviour.clone()));
+fn start_searchers(options: &Options, layout: &Layout) -> Result<Searchers, BoxError> {
+    let addresses = options.addresses(layout)?;
+    let specs = layout.searchers.iter().map(|s| (s.name.clone(), addresses[&s.name], s.behaviour.clone()));
     Ok(Searchers::start(specs.collect()))
 }
 
-fn run_experiment(options: &Options) -> Result<(), Failure> {
+fn run_experiment(options: &Options) -> Result<(), BoxError> {
     let layout = options.layout()?;
     let searchers = start_searchers(options, &layout)?;
     let platform = start_platform(options, &layout, "peer")?;
@@ -198,7 +200,7 @@
         searchers,
         daemons: parse_all(options.all("daemon"))?,
         operators: parse_all(options.all("operator"))?,
-        pids: parse_all(&read_words(&pids)?)?,
+        pids: parse_all(&await_words(&pids)?)?,
         time: Duration::from_secs_f64(options.one("seconds", Some(8.0))?),
         seed: options.one("seed", Some(1))?,
         scale: options.one("scale", Some(1.0))?,
@@ -207,8 +209,8 @@
     Ok(())
 }
 
-/// Reads a file's words, once it is there and not empty.
-fn read_words(path: &str) -> Result<Vec<String>, Failure> {
+/// Waits up to 10 seconds until a file exists and ends with a newline; returns its words.
+fn await_words(path: &str) -> Result<Vec<String>, BoxError> {
     for _ in 0..200 {
         let text = std::fs::read_to_string(path).unwrap_or_default();
         if text.ends_with('\n') {
@@ -216,42 +218,41 @@
         }
         std::thread::sleep(Duration::from_millis(50));
     }
-    Err(format!("{path} is not there").into())
+    Err(format!("{path} does not exist or has no final newline after 10 seconds").into())
 }
 
-fn parse_all<T: std::str::FromStr>(texts: &[String]) -> Result<Vec<T>, Failure> {
+fn parse_all<T: std::str::FromStr>(texts: &[String]) -> Result<Vec<T>, BoxError> {
     let parse = |text: &String| text.parse().map_err(|_error| format!("{text} is not valid").into());
     texts.iter().map(parse).collect()
 }
 
-fn print_table(options: &Options) -> Result<(), Failure> {
-    let path = options.words.get(1).ok_or("a FILE is needed")?;
+fn print_table(options: &Options) -> Result<(), BoxError> {
+    let path = options.arguments.get(1).ok_or("FILE is required")?;
     let text = std::fs::read_to_string(path)?;
     let outcomes: Result<Vec<Outcome>, _> = text.lines().map(serde_json::from_str).collect();
     print!("{}", experiment::table(&outcomes?));
     Ok(())
 }
 
-/// Says where the requests of a run lost their worth, from the daemons' lines in its
-/// output.
-fn print_losses(options: &Options) -> Result<(), Failure> {
-    let path = options.words.get(1).ok_or("the OUTPUT of a run is needed")?;
+/// Prints the losses of a run's requests, from the daemons' log lines in its output.
+fn print_losses(options: &Options) -> Result<(), BoxError> {
+    let path = options.arguments.get(1).ok_or("OUTPUT, a file with the output of a run, is required")?;
     let width: f64 = options.one("width", Some(2.0))?;
     if !width.is_finite() || width <= 0.0 {
-        return Err("--width is a number of seconds above 0".into());
+        return Err("--width must be a positive number of seconds".into());
     }
     let lines = losses::read(BufReader::new(File::open(path)?))?;
-    let stories = losses::request_losses(&lines);
-    if stories.is_empty() {
-        return Err(format!("{path} holds no line of a daemon on a request").into());
+    let request_losses = losses::request_losses(&lines);
+    if request_losses.is_empty() {
+        return Err(format!("{path} has no daemon's log line on a request").into());
     }
-    println!("{}\n{}", losses::by_kind(&stories), losses::by_interval(&stories, width));
+    println!("{}\n{}", losses::by_kind(&request_losses), losses::by_interval(&request_losses, width));
     Ok(())
 }
 
-/// Draws what the days of a site were worth, and where the worth went.
-fn draw(options: &Options) -> Result<(), Failure> {
-    let folder = options.words.get(1).ok_or("the JOURNAL is needed")?;
+/// Draws the scores of a site's simulated days, and which prices reduced them.
+fn draw_charts(options: &Options) -> Result<(), BoxError> {
+    let folder = options.arguments.get(1).ok_or("JOURNAL, a folder of journal entries, is required")?;
     let (site, out): (String, PathBuf) = (options.one("site", None)?, options.one("out", None)?);
     let runs = plot::read(Path::new(folder), &site)?;
     std::fs::create_dir_all(&out)?;
@@ -260,7 +261,7 @@
     plot::draw_prices(&runs, &title, &out.join(format!("{site}-prices.svg")))
 }
 
-fn run_fleet(options: &Options) -> Result<(), Failure> {
+fn run_fleet(options: &Options) -> Result<(), BoxError> {
     let layout = options.layout()?;
     let _searchers = start_searchers(options, &layout)?;
     let platform = start_platform(options, &layout, "peer")?;
@@ -268,7 +269,7 @@
     let fleet = Fleet {
         platform,
         operators: parse_all(options.all("operator"))?,
-        pids: parse_all(&read_words(&pids)?)?,
+        pids: parse_all(&await_words(&pids)?)?,
         synthetic_upstreams: options.one("upstreams", Some(0))?,
         synthetic_daemons: options.one("made-daemons", Some(0))?,
         phase_time: Duration::from_secs_f64(options.one("seconds", Some(15.0))?),
@@ -278,12 +279,12 @@
     Ok(())
 }
 
-fn tell(options: &Options) -> Result<(), Failure> {
+fn send_admin(options: &Options) -> Result<(), BoxError> {
     let to = options.one("admin", None)?;
-    let word = |at: usize| options.words.get(at).map_or("", String::as_str);
-    let method = if word(2).is_empty() { "GET" } else { "POST" };
-    let reply = standin::Client::once(to, method, word(1), word(2), Duration::from_secs(5));
-    let (status, body) = reply.ok_or("no reply")?;
+    let argument = |index: usize| options.arguments.get(index).map_or("", String::as_str);
+    let method = if argument(2).is_empty() { "GET" } else { "POST" };
+    let reply = standin::Client::once(to, method, argument(1), argument(2), Duration::from_secs(5));
+    let (status, body) = reply.ok_or("no reply from the admin address")?;
     println!("{}", String::from_utf8_lossy(&body));
     if status == 200 { Ok(()) } else { Err(format!("status {status}").into()) }
 }
--- a/crates/standin/src/crashing.rs
+++ b/crates/standin/src/crashing.rs
@@ -1,4 +1,4 @@
-//! Upstreams that end while they run certain requests, and are back after a while.
+//! Upstreams that crash while they run certain requests, and restart after a while.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -27,94 +27,98 @@
 use super::signed::upstream_entry;
 use super::site_store::SiteStore;
 
-/// The record that each of them holds: one byte, repeated.
+/// The one record that each upstream holds.
 const RECORD: [u8; 16] = [7; 16];
 
-/// What an upstream is started with.
+/// The settings of a crashing upstream.
 #[derive(Clone, Debug)]
 pub struct CrashingSpec {
-    /// Its name; the next life's has a number behind it.
+    /// Its name. After a restart a number is appended, unless `keeps_name` is set.
     pub id: String,
-    /// Its service.
+    /// The service whose records it holds.
     pub service: String,
     /// Its availability zone.
     pub zone: String,
-    /// How long it works on a request.
+    /// The service time of a request.
     pub work: Duration,
-    /// How long it is gone once it has ended.
+    /// How long it stays down after a crash.
     pub downtime: Duration,
-    /// Whether it is back under the name that it had.
+    /// Whether it restarts under the same name.
     pub keeps_name: bool,
 }
 
-/// A request that an upstream began.
+/// A request that an upstream started to run.
 #[derive(Clone, Debug)]
 pub struct StartedRequest {
-    /// When.
+    /// When it was started.
     pub at: Instant,
-    /// The caller's id of it.
+    /// The attempt id that it came with.
     pub id: String,
-    /// Its path and query string.
+    /// The path and query string.
     pub target: String,
-    /// The upstream.
+    /// The upstream's name at that time.
     pub upstream: String,
 }
 
 #[derive(Debug, Default)]
 struct Shared {
-    begun: Vec<StartedRequest>,
-    ends: Vec<Instant>,
+    started: Vec<StartedRequest>,
+    crash_times: Vec<Instant>,
 }
 
-/// An upstream that may end.
+/// A handle to an upstream that can crash.
 #[derive(Clone, Debug)]
 pub struct CrashingSearcher {
     shared: Arc<Mutex<Shared>>,
-    end: Sender<()>,
+    crash: Sender<()>,
 }
 
 impl CrashingSearcher {
-    /// Starts an upstream on a thread of its own, and lists it in a store.
+    /// Starts an upstream on its own thread. At each start it writes its entry to `store`; it
+    /// deletes the entry only at the end of the downtime.
     ///
     /// # Panics
     ///
-    /// Panics where the thread cannot be started.
+    /// Panics if the thread cannot be started.
     #[must_use]
     pub fn start(spec: CrashingSpec, store: SiteStore) -> Self {
-        let (end, ended) = async_channel::unbounded();
-        let own = Self { shared: Arc::default(), end };
-        let living = own.clone();
-        let body = move || living.live(&spec, &store, &ended);
+        let (crash, crashes) = async_channel::unbounded();
+        let searcher = Self { shared: Arc::default(), crash };
+        let running = searcher.clone();
+        let body = move || running.run(&spec, &store, &crashes);
         std::thread::Builder::new().name("mortal".to_owned()).spawn(body).expect("a thread can be started");
-        own
+        searcher
     }
 
-    /// Ends it at once, whatever it runs.
+    /// Crashes it at once, with all requests that it runs.
     pub fn crash(&self) {
-        let _ = self.end.try_send(()).is_ok();
+        let _ = self.crash.try_send(()).is_ok();
     }
 
-    /// Returns what it began, in order, over all its lives.
+    /// Returns the requests that it started, in order, over all restarts.
     #[must_use]
     pub fn started(&self) -> Vec<StartedRequest> {
-        self.lock().begun.clone()
+        self.lock().started.clone()
     }
 
-    /// Returns when it ended.
+    /// Returns when it crashed, in order.
     #[must_use]
     pub fn crash_times(&self) -> Vec<Instant> {
-        self.lock().ends.clone()
+        self.lock().crash_times.clone()
     }
 
     fn lock(&self) -> MutexGuard<'_, Shared> {
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Lives again and again.
-    fn live(&self, spec: &CrashingSpec, store: &SiteStore, ended: &Receiver<()>) {
-        for life in 0.. {
-            let id =
-                if spec.keeps_name || life == 0 { spec.id.clone() } else { format!("{}-{life}", spec.id) };
+    /// Serves requests until a crash, stays down, and starts again, without end.
+    fn run(&self, spec: &CrashingSpec, store: &SiteStore, crashes: &Receiver<()>) {
+        for restarts in 0.. {
+            let id = if spec.keeps_name || restarts == 0 {
+                spec.id.clone()
+            } else {
+                format!("{}-{restarts}", spec.id)
+            };
             let key = format!("servers/{id}");
             let listener = net::bind(SocketAddr::from(([127, 0, 0, 1], 0)));
             let entry = upstream_entry(net::local(&listener), &spec.zone, &spec.service, "ready");
@@ -126,13 +130,13 @@
             });
             store.put(&key, Some(&entry));
             let serving = async { net::serve(&executor, listener, handle).await };
-            let ending = async { ended.recv().await.unwrap_or_default() };
-            async_io::block_on(executor.run(serving.or(ending)));
-            // Its connections close with their tasks.
+            let crashing = async { crashes.recv().await.unwrap_or_default() };
+            async_io::block_on(executor.run(serving.or(crashing)));
+            // Dropping the executor ends its tasks, which closes the connections.
             drop(executor);
-            self.lock().ends.push(Instant::now());
+            self.lock().crash_times.push(Instant::now());
             std::thread::sleep(spec.downtime);
-            while ended.try_recv().is_ok() {}
+            while crashes.try_recv().is_ok() {}
             store.put(&key, None);
         }
     }
@@ -147,7 +151,7 @@
         let (id, target) = (header("attempt-id"), request.uri().to_string());
         let fatal = target.contains(FATAL);
         let seal = format!("{name}.{id}");
-        self.lock().begun.push(StartedRequest { at: Instant::now(), id, target, upstream: name });
+        self.lock().started.push(StartedRequest { at: Instant::now(), id, target, upstream: name });
         Timer::after(work).await;
         if fatal {
             self.crash();
--- a/crates/standin/src/experiment.rs
+++ b/crates/standin/src/experiment.rs
@@ -1,4 +1,5 @@
-//! Experiments: one scenario against a running fleet, figures as one JSON line.
+//! Experiments: each plays one scenario on a running fleet and returns its results, which
+//! `standin experiment` prints as one JSON line.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,97 +24,96 @@
 use super::platform::Platform;
 use super::searchers::Searchers;
 
-/// How long daemons may take to start.
+/// How long all daemons together may take to start.
 const START_LIMIT: Duration = Duration::from_secs(20);
 
-/// The mean time of a request in experiments, in milliseconds.
+/// The median service time of a shard request in experiments, in milliseconds.
 const SERVICE_MS: f64 = 8.0;
 
-/// What happens to the world in an experiment.
+/// What happens to searchers, daemons and the platform in an experiment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Scenario {
-    /// Nothing.
+    /// Nothing happens.
     Steady,
-    /// One searcher in each service takes six times as long.
+    /// One searcher of each service takes six times as long.
     Slow,
-    /// One request of a hundred takes 100 ms.
+    /// One shard request of a hundred takes 100 ms.
     Stragglers,
-    /// One searcher in each service goes, half-way.
+    /// One searcher of each service fails half-way through the load.
     Lost,
-    /// One searcher in each service is replaced by a cold one, half-way.
+    /// One searcher of each service turns cold half-way through the load.
     Cold,
-    /// One searcher in each service sheds all load.
+    /// One searcher of each service sheds all load.
     Shedding,
-    /// One searcher in each service is slow and says that it is idle; the
-    /// others say that they are busy.
+    /// One searcher of each service takes four times as long and reports an empty queue; the
+    /// others report a queue of 50.
     Lying,
-    /// Twice what the first index's searchers can do, urgent and ordinary.
+    /// Urgent and ordinary requests at twice the capacity of the first index's searchers.
     Overload,
-    /// A new snapshot is loaded, published, and the old one dropped.
+    /// Half-way, a new snapshot is loaded and published, and the old one is dropped.
     NewSnapshot,
-    /// One daemon is frozen, half-way; callers go to the others.
+    /// One daemon is paused half-way through the load; callers use only the others.
     FrozenDaemon,
-    /// Every second daemon and searcher goes, half-way.
+    /// Every second daemon is paused and every second searcher fails, half-way.
     ZoneGone,
-    /// The platform goes, half-way.
+    /// The platform goes down half-way through the load.
     PlatformGone,
-    /// Searchers that take no time, to see what a daemon costs by itself.
+    /// Searchers answer at once, which shows the cost of the daemons alone.
     Instant,
 }
 
-/// An experiment's world and size.
+/// The fleet of an experiment and its settings.
 #[derive(Debug)]
 pub struct Experiment {
-    /// What happens.
+    /// The scenario to play.
     pub scenario: Scenario,
-    /// The name of the daemons' settings, for the table.
+    /// A name for the daemons' settings, for the table.
     pub variant: String,
-    /// The deployment.
+    /// The layout that the platform publishes.
     pub layout: Layout,
-    /// The platform.
+    /// The platform that the daemons read.
     pub platform: Platform,
-    /// The searchers.
+    /// The searchers of the layout.
     pub searchers: Searchers,
-    /// The daemons' callers' addresses.
+    /// The daemons' addresses for callers.
     pub daemons: Vec<SocketAddr>,
-    /// Their operators' addresses, in the same order.
+    /// The daemons' addresses for operators, in the same order.
     pub operators: Vec<SocketAddr>,
-    /// Their process ids, in the same order.
+    /// The daemons' process ids, in the same order.
     pub pids: Vec<i32>,
-    /// For how long the load runs.
+    /// How long the load runs; its first 30 % are not measured.
     pub time: Duration,
-    /// Seeds the load.
+    /// The seed of the load's arrival times.
     pub seed: u64,
-    /// Multiplies the steady rates.
+    /// A factor on the steady rates; it has no effect on `Overload`.
     pub scale: f64,
 }
 
-/// The figures of one experiment.
+/// The results of one experiment.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Outcome {
-    /// What happened.
+    /// The scenario that was played.
     pub scenario: Scenario,
-    /// The name of the daemons' settings.
+    /// The name for the daemons' settings.
     pub variant: String,
-    /// What came of each lookup.
+    /// The results by lookup.
     pub lookups: BTreeMap<String, Figures>,
-    /// Shard requests beyond the first ones, as a part of those.
+    /// Repeated shard requests (retries, hedges and probes), as a share of the first ones.
     pub extra: f64,
-    /// Connections opened while the load ran.
+    /// Connections opened to searchers while the load ran.
     pub opened: u64,
-    /// Connections that were one too many for a searcher.
+    /// Connections above a searcher's limit.
     pub refused_connections: u64,
-    /// Calls to the platform a second.
+    /// Calls to the platform per second.
     pub calls: f64,
-    /// Processor time of the daemons' workers for each shard request, in
-    /// microseconds.
+    /// Processor time of the daemons' workers per first shard request, in microseconds.
     pub micros: f64,
 }
 
-/// Counts of all daemons.
+/// Shard requests sent, summed over all daemons.
 #[derive(Clone, Copy, Debug, Default)]
-struct Sent {
+struct RequestCounts {
     first: u64,
     extra: u64,
 }
@@ -123,16 +123,17 @@
     ///
     /// # Panics
     ///
-    /// Panics where the daemons do not answer.
+    /// Panics if the daemons do not answer within 20 seconds.
     #[must_use]
     pub fn run(&self) -> Outcome {
         self.await_daemons();
         self.searchers.change_all(|b| b.service_ms = SERVICE_MS);
-        self.prepare();
+        self.set_initial();
         let busy = self.worker_seconds();
-        let (sent, tally, (calls, begun)) = (self.sent(), self.searchers.tally(), self.platform.calls());
+        let (sent, tally, (calls, begun)) =
+            (self.request_counts(), self.searchers.tally(), self.platform.calls());
         let lookups = thread::scope(|scope| {
-            scope.spawn(|| self.happen());
+            scope.spawn(|| self.trigger_event());
             load::run(&self.load())
         });
         let (calls_after, ended) = self.platform.calls();
@@ -141,14 +142,14 @@
         let refused = self.searchers.tally().refused_connections - tally.refused_connections;
         self.signal_all(Signal::CONT);
         thread::sleep(Duration::from_millis(700));
-        let after = self.sent();
+        let after = self.request_counts();
         Outcome {
             scenario: self.scenario,
             variant: self.variant.clone(),
             lookups,
             micros: busy * 1e6
                 / f64::from(u32::try_from(after.first - sent.first).unwrap_or(u32::MAX).max(1)),
-            extra: part(after.extra - sent.extra, after.first - sent.first),
+            extra: ratio(after.extra - sent.extra, after.first - sent.first),
             opened,
             refused_connections: refused,
             calls: f64::from(u32::try_from(calls_after - calls).unwrap_or(u32::MAX))
@@ -157,16 +158,17 @@
     }
 
     fn await_daemons(&self) {
-        let until = Instant::now() + START_LIMIT;
+        let deadline = Instant::now() + START_LIMIT;
         for operator in &self.operators {
             while status(*operator).is_none() {
-                assert!(Instant::now() < until, "{operator} does not answer");
+                assert!(Instant::now() < deadline, "{operator} does not answer");
                 thread::sleep(Duration::from_millis(50));
             }
         }
     }
 
-    /// The steady rates: about a third of what the searchers can do.
+    /// Returns the load of the scenario. The steady rates use about a third of the searchers'
+    /// capacity.
     fn load(&self) -> Load {
         let steady = |lookup: &str| match lookup {
             "console" | "usage" | "courier" | "availability" => 150.0,
@@ -184,12 +186,12 @@
         let names = self.layout.lookups.keys().cloned().chain([format!("{first}-audit")]);
         let mixes =
             names.map(|lookup| RequestRate { rate: rate(&lookup), lookup }).filter(|mix| mix.rate > 0.0);
-        let spared = |number: &usize| match self.scenario {
+        let excluded = |number: &usize| match self.scenario {
             Scenario::FrozenDaemon => *number == 0,
             Scenario::ZoneGone => number % 2 == 1,
             _ => false,
         };
-        let daemons = self.daemons.iter().enumerate().filter(|(n, _)| !spared(n)).map(|(_, a)| *a);
+        let daemons = self.daemons.iter().enumerate().filter(|(n, _)| !excluded(n)).map(|(_, a)| *a);
         Load {
             daemons: daemons.collect(),
             mixes: mixes.collect(),
@@ -204,16 +206,16 @@
         if self.layout.lookups.contains_key("console") { "console" } else { "usage" }
     }
 
-    fn each_first(&self, change: impl Fn(&mut super::behaviour::Behaviour)) {
+    fn change_first_replicas(&self, change: impl Fn(&mut super::behaviour::Behaviour)) {
         for spec in self.layout.searchers.iter().filter(|spec| spec.replica == 0) {
             self.searchers.change(&spec.name, &change);
         }
     }
 
-    /// What is so from the start.
-    fn prepare(&self) {
+    /// Sets the behaviour that the scenario has from the start.
+    fn set_initial(&self) {
         match self.scenario {
-            Scenario::Slow => self.each_first(|b| b.service_ms = SERVICE_MS * 6.0),
+            Scenario::Slow => self.change_first_replicas(|b| b.service_ms = SERVICE_MS * 6.0),
             Scenario::Stragglers => self.searchers.change_all(|b| {
                 b.straggle_percent = 1.0;
                 b.straggle_ms = 100.0;
@@ -223,10 +225,10 @@
                 b.spread = 0.0;
                 b.latency_ms = 0.0;
             }),
-            Scenario::Shedding => self.each_first(|b| b.shed_ms = Some(500)),
+            Scenario::Shedding => self.change_first_replicas(|b| b.shed_ms = Some(500)),
             Scenario::Lying => {
                 self.searchers.change_all(|b| b.lie_queued = Some(50));
-                self.each_first(|b| {
+                self.change_first_replicas(|b| {
                     b.service_ms = SERVICE_MS * 4.0;
                     b.lie_queued = Some(0);
                 });
@@ -235,13 +237,13 @@
         }
     }
 
-    /// What happens half-way.
-    fn happen(&self) {
+    /// Waits for half of the load's time, then triggers the scenario's event.
+    fn trigger_event(&self) {
         thread::sleep(self.time / 2);
         match self.scenario {
-            Scenario::Lost => self.each_first(|b| b.fault = Fault::Gone),
-            Scenario::Cold => self.each_first(|b| b.cold_requests = u64::MAX / 2),
-            Scenario::NewSnapshot => self.move_snapshot(),
+            Scenario::Lost => self.change_first_replicas(|b| b.fault = Fault::Gone),
+            Scenario::Cold => self.change_first_replicas(|b| b.cold_requests = u64::MAX / 2),
+            Scenario::NewSnapshot => self.replace_snapshot(),
             Scenario::FrozenDaemon => self.signal(0, Signal::STOP),
             Scenario::PlatformGone => self.platform.set_down(0, true),
             Scenario::ZoneGone => {
@@ -256,14 +258,14 @@
         }
     }
 
-    fn move_snapshot(&self) {
+    fn replace_snapshot(&self) {
         for name in self.searchers.names() {
             self.searchers.change(&name, |b| b.held.push(2));
             thread::sleep(Duration::from_millis(3));
         }
         let index = self.first_index();
-        let moved = self.layout.index_resource(index, &[2, 1]);
-        self.platform.publish("config", vec![(format!("indexes/{index}"), moved)]);
+        let resource = self.layout.index_resource(index, &[2, 1]);
+        self.platform.publish("config", vec![(format!("indexes/{index}"), resource)]);
         thread::sleep(Duration::from_secs(1));
         for name in self.searchers.names().iter().filter(|name| name.starts_with(index)) {
             self.searchers.change(name, |b| b.held.retain(|version| *version == 2));
@@ -282,7 +284,7 @@
         }
     }
 
-    /// Returns the processor time of all daemons' workers, in seconds.
+    /// Returns the processor time of all daemons' worker threads, in seconds.
     fn worker_seconds(&self) -> f64 {
         let mut times = BTreeMap::new();
         for pid in &self.pids {
@@ -291,24 +293,24 @@
         times.iter().filter(|(name, _)| name.starts_with("worker")).map(|(_, time)| time).sum()
     }
 
-    fn sent(&self) -> Sent {
-        let mut sent = Sent::default();
+    fn request_counts(&self) -> RequestCounts {
+        let mut counts = RequestCounts::default();
         for workers in self.operators.iter().filter_map(|address| status(*address)) {
             for worker in workers["workers"].as_object().into_iter().flat_map(|w| w.values()) {
-                sent.first += worker["first"].as_u64().unwrap_or(0);
-                sent.extra += worker["extra"].as_u64().unwrap_or(0);
+                counts.first += worker["first"].as_u64().unwrap_or(0);
+                counts.extra += worker["extra"].as_u64().unwrap_or(0);
             }
         }
-        sent
+        counts
     }
 }
 
-fn part(some: u64, all: u64) -> f64 {
+fn ratio(some: u64, all: u64) -> f64 {
     let exact = |count: u64| f64::from(u32::try_from(count).unwrap_or(u32::MAX));
     if all == 0 { 0.0 } else { exact(some) / exact(all) }
 }
 
-/// Writes outcomes as a table, one row a scenario, variant and lookup.
+/// Formats outcomes as a Markdown table with one row for each scenario, variant and lookup.
 #[must_use]
 pub fn table(outcomes: &[Outcome]) -> String {
     let mut text = "| scenario | variant | lookup | sent | p50 | p99 | p99.9 | whole | partial | refused | unknown | failed | coverage | extra | opened | too many | worker µs |\n".to_owned();
--- a/crates/standin/src/layout.rs
+++ b/crates/standin/src/layout.rs
@@ -1,4 +1,5 @@
-//! The two users' deployments at today's sizes, as resources and searchers.
+//! The two users' deployments at their present sizes, and a small one, as resources and
+//! searchers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,10 +9,10 @@
 
 use super::behaviour::Behaviour;
 
-/// Whose deployment it is.
+/// The deployments that a layout can describe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Deployment {
-    /// A small one, for the demo and tests: three shards with two replicas.
+    /// A small one, for the demo and tests: three shards with two replicas each.
     Small,
     /// Caroni Sortworks: address search.
     Caroni,
@@ -19,9 +20,10 @@
     Licence,
 }
 
-/// A group of searchers of one shape, under one index.
+/// The searchers of one index, which are all alike, and the settings of its lookups. `shards`
+/// and `searchers` count per service.
 #[derive(Clone, Copy, Debug)]
-struct Group {
+struct SearcherGroup {
     index: &'static str,
     services: usize,
     shards: usize,
@@ -40,26 +42,26 @@
 pub struct SearcherSpec {
     /// Its name.
     pub name: String,
-    /// Its service.
+    /// The service whose shards it holds.
     pub service: String,
-    /// Which replica it is within its service.
+    /// Its number within its service, from 0.
     pub replica: usize,
-    /// Its behaviour at the start.
+    /// Its behaviour when it is started.
     pub behaviour: Behaviour,
     zone: &'static str,
 }
 
-/// A deployment written down.
+/// The searchers, services, indexes and lookups of a deployment.
 #[derive(Clone, Debug)]
 pub struct Layout {
-    /// Its searchers.
+    /// All searchers, in the order in which the `standin` program assigns ports.
     pub searchers: Vec<SearcherSpec>,
-    /// Its lookups by name, with the number of shards of each.
+    /// The lookups by name, with the number of shards of each, without the `-audit` ones.
     pub lookups: BTreeMap<String, usize>,
-    groups: Vec<Group>,
+    groups: Vec<SearcherGroup>,
 }
 
-const SMALL: Group = Group {
+const SMALL: SearcherGroup = SearcherGroup {
     index: "parcels",
     services: 3,
     shards: 1,
@@ -73,9 +75,10 @@
     repeatable: true,
 };
 
-const CONSOLE: Group = Group { index: "console", services: 20, connect_ms: 6, deadline_ms: 250, ..SMALL };
+const CONSOLE: SearcherGroup =
+    SearcherGroup { index: "console", services: 20, connect_ms: 6, deadline_ms: 250, ..SMALL };
 
-const COURIER: Group = Group {
+const COURIER: SearcherGroup = SearcherGroup {
     index: "courier",
     services: 1,
     shards: 7,
@@ -88,16 +91,22 @@
 };
 
 impl Layout {
-    /// Writes down a deployment.
+    /// Returns the layout of a deployment.
     #[must_use]
     pub fn new(deployment: Deployment) -> Self {
         let groups = match deployment {
             Deployment::Small => vec![SMALL],
             Deployment::Caroni => vec![
                 CONSOLE,
-                Group { index: "counter", services: 30, urgency: "ordinary", deadline_ms: 500, ..CONSOLE },
+                SearcherGroup {
+                    index: "counter",
+                    services: 30,
+                    urgency: "ordinary",
+                    deadline_ms: 500,
+                    ..CONSOLE
+                },
                 COURIER,
-                Group {
+                SearcherGroup {
                     index: "bulk",
                     shards: 3,
                     searchers: 3,
@@ -108,8 +117,8 @@
                 },
             ],
             Deployment::Licence => vec![
-                Group { index: "usage", prefer: "coverage", deadline_ms: 500, ..CONSOLE },
-                Group {
+                SearcherGroup { index: "usage", prefer: "coverage", deadline_ms: 500, ..CONSOLE },
+                SearcherGroup {
                     index: "overuse",
                     services: 30,
                     urgency: "ordinary",
@@ -117,7 +126,7 @@
                     prefer: "coverage",
                     ..CONSOLE
                 },
-                Group {
+                SearcherGroup {
                     index: "availability",
                     shards: 3,
                     searchers: 3,
@@ -127,7 +136,7 @@
                     deadline_ms: 500,
                     ..COURIER
                 },
-                Group {
+                SearcherGroup {
                     index: "renewal",
                     shards: 3,
                     searchers: 3,
@@ -139,7 +148,7 @@
                 },
             ],
         };
-        let searchers = groups.iter().flat_map(searchers_of).collect();
+        let searchers = groups.iter().flat_map(searcher_specs).collect();
         let mut lookups: BTreeMap<String, usize> =
             groups.iter().map(|g| (g.index.to_owned(), g.services * g.shards)).collect();
         for group in &groups {
@@ -148,38 +157,39 @@
         Self { searchers, lookups, groups }
     }
 
-    /// Returns the resources, by key, of searchers that listen at `address`.
+    /// Returns the resources by key; `address` returns where the searcher of a name listens.
     pub fn resources(&self, address: impl Fn(&str) -> SocketAddr) -> Vec<(String, Option<Value>)> {
         let mut items = Vec::new();
         for group in &self.groups {
             for spec in self.searchers.iter().filter(|s| s.service.starts_with(group.index)) {
                 items.push((
                     format!("upstreams/{}", spec.name),
-                    Some(upstream(group, spec, address(&spec.name))),
+                    Some(upstream_resource(group, spec, address(&spec.name))),
                 ));
             }
-            items.extend(services_of(group));
-            items.push((format!("indexes/{}", group.index), Some(index(group, &[1]))));
-            items.push((format!("lookups/{}", group.index), Some(lookup(group, group.repeatable))));
-            let audit = Group { urgency: "ordinary", deadline_ms: group.deadline_ms * 4, ..*group };
-            items.push((format!("lookups/{}-audit", group.index), Some(lookup(&audit, true))));
-            items.push((format!("lookups/{}-once", group.index), Some(lookup(group, false))));
+            items.extend(service_resources(group));
+            items.push((format!("indexes/{}", group.index), Some(index_resource(group, &[1]))));
+            items.push((format!("lookups/{}", group.index), Some(lookup_resource(group, group.repeatable))));
+            let audit = SearcherGroup { urgency: "ordinary", deadline_ms: group.deadline_ms * 4, ..*group };
+            items.push((format!("lookups/{}-audit", group.index), Some(lookup_resource(&audit, true))));
+            items.push((format!("lookups/{}-once", group.index), Some(lookup_resource(group, false))));
         }
         items
     }
 
-    /// Returns the resource of an index with other snapshot versions.
+    /// Returns the resource of an index with the snapshot versions given, `None` if the layout
+    /// has no such index.
     #[must_use]
     pub fn index_resource(&self, name: &str, versions: &[u64]) -> Option<Value> {
-        self.groups.iter().find(|group| group.index == name).map(|group| index(group, versions))
+        self.groups.iter().find(|group| group.index == name).map(|group| index_resource(group, versions))
     }
 }
 
-fn service_name(group: &Group, number: usize) -> String {
+fn service_name(group: &SearcherGroup, number: usize) -> String {
     format!("{}-{number:02}", group.index)
 }
 
-fn searchers_of(group: &Group) -> Vec<SearcherSpec> {
+fn searcher_specs(group: &SearcherGroup) -> Vec<SearcherSpec> {
     let behaviour = Behaviour {
         slots: usize::try_from(group.slots).unwrap_or(1),
         connections: usize::try_from(group.connections).unwrap_or(1),
@@ -205,15 +215,16 @@
     all
 }
 
-fn upstream(group: &Group, spec: &SearcherSpec, address: SocketAddr) -> Value {
+fn upstream_resource(group: &SearcherGroup, spec: &SearcherSpec, address: SocketAddr) -> Value {
     json!({
         "address": address, "zone": spec.zone, "slots": group.slots,
         "connections": group.connections, "connect-ms": group.connect_ms,
     })
 }
 
-/// Shard `s` of a service has two replicas: searchers `s` and `s + 1`.
-fn services_of(group: &Group) -> Vec<(String, Option<Value>)> {
+/// Returns the service resources of a group. Shard `s` of a service has two replicas, searchers
+/// `s` and `s + 1`, counted round.
+fn service_resources(group: &SearcherGroup) -> Vec<(String, Option<Value>)> {
     let mut all = Vec::new();
     for number in 0..group.services {
         let name = service_name(group, number);
@@ -227,7 +238,7 @@
     all
 }
 
-fn index(group: &Group, versions: &[u64]) -> Value {
+fn index_resource(group: &SearcherGroup, versions: &[u64]) -> Value {
     let numbers: Vec<String> = (0..group.shards).map(|shard| shard.to_string()).collect();
     let services: BTreeMap<String, &Vec<String>> =
         (0..group.services).map(|number| (service_name(group, number), &numbers)).collect();
@@ -236,7 +247,7 @@
     json!({ "team": group.index, "snapshots": snapshots })
 }
 
-fn lookup(group: &Group, repeatable: bool) -> Value {
+fn lookup_resource(group: &SearcherGroup, repeatable: bool) -> Value {
     json!({
         "team": group.index, "index": group.index, "urgency": group.urgency,
         "deadline-ms": group.deadline_ms, "repeatable": repeatable, "prefer": group.prefer,
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,9 +1,10 @@
-//! Stand-ins for what harefield meets, and a load generator; not shipped.
+//! Stand-ins for the services that harefield depends on, and a load generator, for tests and
+//! the demo; not shipped.
 //!
-//! [`Platform`] publishes resources and hosts, [`Searchers`] are upstreams that
-//! can be told to misbehave while they run, [`Layout`] writes down the two
-//! users' deployments, and [`load`] measures. Each runs on threads of its own,
-//! so that a test or a program can hold it and change it.
+//! [`Platform`] publishes resources and hosts, [`Searchers`] are upstreams whose faults can be
+//! switched while they run, [`Layout`] describes the two users' deployments, and [`load`]
+//! sends requests and measures the answers. Platforms and searchers run on their own threads,
+//! so that a test or a program can hold a handle and change them.
 
 mod admin;
 mod behaviour;
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -1,5 +1,5 @@
-//! An open-loop load generator: requests leave when they are due, whether or
-//! not earlier ones were answered, and times count from when they were due.
+//! An open-loop load generator: requests are sent when they are due, whether or not earlier ones
+//! were answered, and times are measured from when they were due.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -19,76 +19,76 @@
 
 use super::net::Client;
 
-/// How long answers are awaited after the last request left.
-const TAIL: Duration = Duration::from_secs(3);
+/// How long to wait for answers after the sending time has ended.
+const DRAIN_TIME: Duration = Duration::from_secs(3);
 
-/// One kind of request in a load.
+/// One kind of request in a load, with its rate.
 #[derive(Clone, Debug)]
 pub struct RequestRate {
-    /// The lookup.
+    /// The name of the lookup.
     pub lookup: String,
-    /// Requests a second.
+    /// Mean requests a second; arrivals are a Poisson process.
     pub rate: f64,
 }
 
-/// A load.
+/// The settings of a load.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// The daemons' callers' addresses, asked in turn.
+    /// The daemons' addresses for callers, used in turn.
     pub daemons: Vec<SocketAddr>,
-    /// What is asked.
+    /// The requests to send.
     pub mixes: Vec<RequestRate>,
-    /// For how long.
+    /// For how long requests are sent.
     pub time: Duration,
-    /// Requests before this are not measured.
+    /// Requests that are due in this time from the start are not measured.
     pub warmup: Duration,
-    /// The one-way latency to callers.
+    /// The simulated one-way latency between callers and daemons.
     pub latency: Duration,
-    /// Seeds the arrivals.
+    /// The seed of the arrival times.
     pub seed: u64,
 }
 
-/// What came of one kind of request.
+/// The results of one kind of request.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Figures {
     /// Requests sent.
     pub sent: u64,
-    /// Requests answered whole.
+    /// Requests answered with all shards.
     pub whole: u64,
-    /// Requests answered in part.
+    /// Requests answered without some shards.
     pub partial: u64,
     /// Requests that did not run.
     pub refused: u64,
     /// Requests that may have run.
     pub unknown: u64,
-    /// Requests without any answer.
+    /// Requests without a valid answer.
     pub failed: u64,
-    /// Shards that contributed, of all answered requests.
+    /// Shards that contributed, summed over the answered requests.
     pub contributed: u64,
-    /// Shards that did not.
+    /// Shards that did not contribute, summed over the answered requests.
     pub missing: u64,
-    /// Quantiles of the time to an answer, in milliseconds.
+    /// The median time to an answer, in milliseconds.
     pub p50: f64,
-    /// The 99th percentile.
+    /// The 99th percentile, in milliseconds.
     pub p99: f64,
-    /// The 99.9th percentile.
+    /// The 99.9th percentile, in milliseconds.
     pub p999: f64,
 }
 
 impl Figures {
-    /// Returns the part of the shards that contributed.
+    /// Returns the share of shards that contributed, 0 if nothing was answered.
     #[must_use]
     pub fn coverage(&self) -> f64 {
         let all = self.contributed + self.missing;
-        if all == 0 { 0.0 } else { exact(self.contributed) / exact(all) }
+        if all == 0 { 0.0 } else { to_f64(self.contributed) / to_f64(all) }
     }
 }
 
-fn exact(count: u64) -> f64 {
+fn to_f64(count: u64) -> f64 {
     f64::from(u32::try_from(count).unwrap_or(u32::MAX))
 }
 
-/// The parts of an answer that are counted.
+/// The fields of a daemon's answer that are counted.
 #[derive(Deserialize)]
 struct Answer {
     outcome: String,
@@ -106,11 +106,11 @@
     times: Histogram<u64>,
 }
 
-/// Runs a load to its end and returns what came of each lookup.
+/// Runs a load to its end and returns the results of each lookup.
 ///
 /// # Panics
 ///
-/// Panics where no daemon is named.
+/// Panics if `load` has no daemon.
 #[must_use]
 pub fn run(load: &Load) -> BTreeMap<String, Figures> {
     assert!(!load.daemons.is_empty(), "a load needs a daemon");
@@ -121,7 +121,7 @@
     let start = Instant::now();
     for (number, (mix, tally)) in load.mixes.iter().zip(&tallies).enumerate() {
         let seed = load.seed.wrapping_add(u64::try_from(number).unwrap_or(0));
-        let arrivals = arrive(
+        let sending = send_requests(
             Rc::clone(&executor),
             client.clone(),
             load.clone(),
@@ -130,11 +130,11 @@
             seed,
             start,
         );
-        executor.spawn(arrivals).detach();
+        executor.spawn(sending).detach();
     }
-    async_io::block_on(executor.run(Timer::after(load.time + TAIL)));
+    async_io::block_on(executor.run(Timer::after(load.time + DRAIN_TIME)));
     let named = load.mixes.iter().zip(tallies);
-    named.map(|(mix, tally)| (mix.lookup.clone(), finish(&tally.borrow()))).collect()
+    named.map(|(mix, tally)| (mix.lookup.clone(), summarize(&tally.borrow()))).collect()
 }
 
 fn new_tally() -> Tally {
@@ -142,7 +142,7 @@
     Tally { figures: Figures::default(), times }
 }
 
-fn finish(tally: &Tally) -> Figures {
+fn summarize(tally: &Tally) -> Figures {
     let at = |quantile| {
         let micros = u32::try_from(tally.times.value_at_quantile(quantile)).unwrap_or(u32::MAX);
         f64::from(micros) / 1000.0
@@ -150,7 +150,7 @@
     Figures { p50: at(0.5), p99: at(0.99), p999: at(0.999), ..tally.figures.clone() }
 }
 
-async fn arrive(
+async fn send_requests(
     executor: Rc<LocalExecutor<'static>>,
     client: Client,
     load: Load,
@@ -161,34 +161,34 @@
 ) {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut due = start;
-    let mut turn = random.random_range(0..load.daemons.len());
+    let mut next_daemon = random.random_range(0..load.daemons.len());
     if mix.rate <= 0.0 {
         return;
     }
     loop {
-        let gap: f64 = -random.random_range(f64::EPSILON..1.0_f64).ln() / mix.rate;
-        due += Duration::from_secs_f64(gap);
+        let interval: f64 = -random.random_range(f64::EPSILON..1.0_f64).ln() / mix.rate;
+        due += Duration::from_secs_f64(interval);
         if due > start + load.time {
             return;
         }
         Timer::at(due).await;
-        turn = (turn + 1) % load.daemons.len();
-        let (client, to, tally) = (client.clone(), load.daemons[turn], Rc::clone(&tally));
+        next_daemon = (next_daemon + 1) % load.daemons.len();
+        let (client, to, tally) = (client.clone(), load.daemons[next_daemon], Rc::clone(&tally));
         let (lookup, latency, measured) = (mix.lookup.clone(), load.latency, due >= start + load.warmup);
-        let ask = async move {
+        let exchange = async move {
             Timer::after(latency).await;
             let path = format!("/v1/lookups/{lookup}");
             let reply = client.send(to, "POST", &path, r#"{"query":{"text":"high street 1"}}"#).await;
             Timer::after(latency).await;
             if measured {
-                count(&mut tally.borrow_mut(), reply.map(|(_, body)| body).as_deref(), due);
+                record_reply(&mut tally.borrow_mut(), reply.map(|(_, body)| body).as_deref(), due);
             }
         };
-        executor.spawn(ask).detach();
+        executor.spawn(exchange).detach();
     }
 }
 
-fn count(tally: &mut Tally, body: Option<&[u8]>, due: Instant) {
+fn record_reply(tally: &mut Tally, body: Option<&[u8]>, due: Instant) {
     let figures = &mut tally.figures;
     figures.sent += 1;
     let answer: Option<Answer> = body.and_then(|body| serde_json::from_slice(body).ok());
--- a/crates/standin/src/losses/log.rs
+++ b/crates/standin/src/losses/log.rs
@@ -4,57 +4,57 @@
 
 use serde::Deserialize;
 
-/// One decision of a daemon on a request, with when it was written.
+/// A log line: one decision of a daemon on a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogLine {
     /// When the line was written, in seconds of the run.
     pub at: f64,
-    /// The request.
+    /// The request's id.
     pub request: String,
-    /// The daemon.
+    /// The daemon that wrote it.
     pub host: String,
-    /// What it decided.
+    /// The decision.
     pub decision: Decision,
 }
 
-/// The decisions that tell what became of a request, by the names of the time line.
+/// The decisions that determine what a request lost, under their names on the time line.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum Decision {
-    /// It was let in. Times are in microseconds, the objective in milliseconds.
+    /// It was admitted.
     Admitted {
         /// Its lookup.
         lookup: String,
-        /// The lookup's objective.
+        /// The lookup's latency objective, in milliseconds.
         #[serde(default)]
         objective: Option<u64>,
-        /// When the answer is to leave, from the request's start.
+        /// When the answer is due, in microseconds from the request's start.
         #[serde(default)]
         due: Option<u64>,
     },
-    /// It came from another daemon.
+    /// It was forwarded here by another daemon.
     ForwardTaken,
-    /// A shard was given up.
+    /// A shard is missing from the answer.
     ShardMissing {
-        /// Why.
+        /// The reason.
         why: String,
     },
     /// It was answered.
     Answered {
         /// Its lookup.
         lookup: String,
-        /// What became of it.
+        /// The outcome, as in the answer.
         outcome: String,
         /// The result code.
         code: String,
-        /// Shards that contributed.
+        /// The number of shards that contributed.
         contributed: usize,
-        /// Shards that did not.
+        /// The number of shards that did not.
         missing: usize,
-        /// How long it took, in microseconds.
+        /// The time from its start to the answer, in microseconds.
         micros: u64,
     },
-    /// Its caller went away.
+    /// Its caller closed the connection before the answer.
     CallerGone {
         /// Its lookup.
         lookup: String,
@@ -64,9 +64,9 @@
     Other,
 }
 
-/// A line as a daemon writes it.
+/// A log line as a daemon writes it; lines that are no events have no `event`.
 #[derive(Deserialize)]
-struct Written {
+struct JsonLine {
     event: Option<Record>,
 }
 
@@ -77,8 +77,8 @@
     event: Decision,
 }
 
-/// Reads the lines on requests from a run's output: the time in seconds, the daemon's
-/// machine, and the line that it wrote. All other lines are passed over.
+/// Reads the lines on requests from a run's output. Each has the time in seconds, the daemon's
+/// machine, and the JSON that the daemon wrote. All other lines are skipped.
 ///
 /// # Errors
 ///
@@ -93,9 +93,9 @@
 
 fn parse(text: &str) -> Option<LogLine> {
     let (time, rest) = text.trim_start().split_once(' ')?;
-    let (_machine, written) = rest.split_once(' ')?;
+    let (_machine, json) = rest.split_once(' ')?;
     let at = time.parse().ok()?;
-    let record = serde_json::from_str::<Written>(written).ok()?.event?;
+    let record = serde_json::from_str::<JsonLine>(json).ok()?.event?;
     let request = record.request?;
     (record.event != Decision::Other).then_some(LogLine {
         at,
--- a/crates/standin/src/losses/mod.rs
+++ b/crates/standin/src/losses/mod.rs
@@ -1,8 +1,8 @@
-//! Where the requests of a measured run lost what they were worth: by moment, by kind
-//! of request and by cause.
+//! Reports why the requests of a measured run scored less than their full value: by interval of
+//! the run, by kind of request and by cause.
 //!
-//! `log` reads the daemons' log lines, `request` joins those of one request, `tally`
-//! adds the stories up, and `table` prints them.
+//! `log` reads the daemons' log lines, `request` joins the lines of each request, `tally` adds up
+//! the losses, and `table` formats them.
 
 mod log;
 mod request;
--- a/crates/standin/src/losses/request.rs
+++ b/crates/standin/src/losses/request.rs
@@ -1,55 +1,54 @@
-//! What became of one request, joined from the lines of all daemons that had it.
+//! What each request lost, from the log lines of all daemons that processed it.
 
 use std::collections::BTreeMap;
 
 use super::log::Decision;
 use super::log::LogLine;
 
-/// Names a kind of request: requests of one objective are of one kind, since lookups
-/// come and go with the configuration.
+/// A kind of request. Requests are grouped by objective, since lookups come and go with the
+/// configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
     /// Requests of lookups with this objective, in milliseconds.
     Objective(u64),
-    /// Requests whose lookup was never seen with an objective.
+    /// Requests of lookups without a known objective.
     Unknown,
 }
 
-/// Why a request lost some of its worth.
+/// Why a request scored less than its full value.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
     /// It was answered after its objective.
     Late,
-    /// Shards were left out, for this reason.
+    /// Shards were missing from its answer, for this reason.
     LeftOut(String),
     /// It failed with this code.
     Failed(String),
     /// It was refused with this code.
     Refused(String),
-    /// Its caller went away.
+    /// Its caller closed the connection before the answer.
     Gone,
 }
 
-/// What became of one request at the daemon that its caller asked.
+/// What one request lost, as seen by the daemon that received it from its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestLoss {
-    /// When it was answered, in seconds of the run.
+    /// When it was answered or its caller left, in seconds of the run.
     pub at: f64,
     /// Its kind.
     pub kind: Kind,
-    /// What it lost, as shares of its worth, by cause; nothing for a whole answer in
-    /// time.
+    /// The losses by cause, as shares of its value; empty for a complete answer in time.
     pub lost: Vec<(Cause, f64)>,
 }
 
-/// The outcome of requests that did not run, on the time line.
+/// The outcome on the time line of requests that were not run.
 const NOT_RUN: &str = "not-run";
 
-/// The outcome of requests that were answered.
+/// The outcome on the time line of requests that were answered.
 const ANSWERED: &str = "answered";
 
-/// Joins lines to stories, one for each request that was answered or left by its
-/// caller; an attempt that a caller repeats is a request of its own.
+/// Returns the losses of each request that was answered or whose caller left. A caller's retry is
+/// a request of its own.
 #[must_use]
 pub fn request_losses(lines: &[LogLine]) -> Vec<RequestLoss> {
     let kinds = kinds(lines);
@@ -57,10 +56,10 @@
     for line in lines {
         requests.entry(&line.request).or_default().push(line);
     }
-    requests.values().filter_map(|lines| story(lines, &kinds)).collect()
+    requests.values().filter_map(|lines| request_loss(lines, &kinds)).collect()
 }
 
-/// Returns the objective of each lookup that was seen with one.
+/// Returns the kind of each lookup that was logged with an objective.
 fn kinds(lines: &[LogLine]) -> BTreeMap<&str, Kind> {
     let known = lines.iter().filter_map(|line| match &line.decision {
         Decision::Admitted { lookup, objective: Some(objective), .. } => {
@@ -71,13 +70,13 @@
     known.collect()
 }
 
-fn story(lines: &[&LogLine], kinds: &BTreeMap<&str, Kind>) -> Option<RequestLoss> {
-    let handed: Vec<&str> = lines
+fn request_loss(lines: &[&LogLine], kinds: &BTreeMap<&str, Kind>) -> Option<RequestLoss> {
+    let receivers: Vec<&str> = lines
         .iter()
         .filter(|line| matches!(line.decision, Decision::ForwardTaken))
         .map(|line| line.host.as_str())
         .collect();
-    let entry = |line: &&&LogLine| !handed.contains(&line.host.as_str());
+    let at_entry = |line: &&&LogLine| !receivers.contains(&line.host.as_str());
     let due = lines.iter().find_map(|line| match line.decision {
         Decision::Admitted { due, .. } => due,
         _ => None,
@@ -87,12 +86,12 @@
         _ => None,
     });
     let reasons: Vec<&str> = reasons.collect();
-    lines.iter().filter(entry).find_map(|line| match &line.decision {
+    lines.iter().filter(at_entry).find_map(|line| match &line.decision {
         Decision::Answered { lookup, outcome, code, contributed, missing, micros } => {
             let lost = match outcome.as_str() {
                 NOT_RUN => vec![(Cause::Refused(code.clone()), 1.0)],
                 ANSWERED if due.is_some_and(|due| *micros > due + LATE_AFTER) => vec![(Cause::Late, 1.0)],
-                ANSWERED => left_out(*contributed, *missing, &reasons),
+                ANSWERED => partial_loss(*contributed, *missing, &reasons),
                 _ => vec![(Cause::Failed(code.clone()), 1.0)],
             };
             let kind = kinds.get(lookup.as_str()).copied().unwrap_or(Kind::Unknown);
@@ -106,14 +105,14 @@
     })
 }
 
-/// An answer that leaves this long after it was due still reaches its caller in time,
-/// in microseconds: daemons cut answers a margin before the objective, and send what
-/// they have then.
+/// An answer that is sent up to this long after it was due, in microseconds, still reaches its
+/// caller in time: daemons cut an answer off a margin before the objective, and then send what
+/// they have.
 const LATE_AFTER: u64 = 10_000;
 
-/// Parts what an answer without some shards lost, one minus the square of its share,
-/// evenly among the reasons.
-fn left_out(contributed: usize, missing: usize, reasons: &[&str]) -> Vec<(Cause, f64)> {
+/// Returns what an answer without some shards lost. The loss is one minus the square of the share
+/// of shards that contributed, divided evenly among the reasons.
+fn partial_loss(contributed: usize, missing: usize, reasons: &[&str]) -> Vec<(Cause, f64)> {
     if missing == 0 {
         return Vec::new();
     }
--- a/crates/standin/src/losses/table.rs
+++ b/crates/standin/src/losses/table.rs
@@ -1,4 +1,4 @@
-//! Tables of what was lost, by moment and by kind of request.
+//! Tables of losses, by interval and by kind of request.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -8,52 +8,53 @@
 use super::request::RequestLoss;
 use super::tally::Tally;
 
-/// What is printed for a moment without losses, in requests' worths, at the most.
-const LEAST_SHOWN: f64 = 0.05;
+/// Losses below this are not printed; 1 is the full value of one request.
+const MIN_SHOWN: f64 = 0.05;
 
-/// One moment of a run, by its number from the start.
+/// The number of an interval of the run; negative before the run's time 0.
 pub type IntervalIndex = i64;
 
-/// Tables what requests lost in each stretch of `width` seconds, one line for each
-/// stretch, kind and the causes that took the most.
+/// Formats the losses in each interval of `width` seconds, with one row for each interval and
+/// kind, without rows whose losses are negligible. The causes with the largest losses come
+/// first.
 #[must_use]
-pub fn by_interval(stories: &[RequestLoss], width: f64) -> String {
+pub fn by_interval(losses: &[RequestLoss], width: f64) -> String {
     let mut tallies: BTreeMap<(IntervalIndex, Kind), Tally> = BTreeMap::new();
-    for story in stories {
+    for loss in losses {
         #[expect(clippy::cast_possible_truncation, reason = "a run lasts minutes")]
-        let moment = (story.at / width).floor() as IntervalIndex;
-        tallies.entry((moment, story.kind)).or_default().add(story);
+        let interval = (loss.at / width).floor() as IntervalIndex;
+        tallies.entry((interval, loss.kind)).or_default().add(loss);
     }
     let mut text =
         String::from("| from second | kind | attempts | lost | by cause |\n|---|---|---|---|---|\n");
-    for ((moment, kind), tally) in &tallies {
-        if tally.total() < LEAST_SHOWN {
+    for ((interval, kind), tally) in &tallies {
+        if tally.total() < MIN_SHOWN {
             continue;
         }
         #[expect(clippy::cast_precision_loss, reason = "a run lasts minutes")]
-        let from = *moment as f64 * width;
-        row(&mut text, &format!("{from:.1}"), *kind, tally);
+        let from = *interval as f64 * width;
+        write_row(&mut text, &format!("{from:.1}"), *kind, tally);
     }
     text
 }
 
-/// Tables what requests lost over the whole run, one line a kind.
+/// Formats the losses over the whole run, with one row for each kind.
 #[must_use]
-pub fn by_kind(stories: &[RequestLoss]) -> String {
+pub fn by_kind(losses: &[RequestLoss]) -> String {
     let mut tallies: BTreeMap<Kind, Tally> = BTreeMap::new();
-    for story in stories {
-        tallies.entry(story.kind).or_default().add(story);
+    for loss in losses {
+        tallies.entry(loss.kind).or_default().add(loss);
     }
     let mut text =
         String::from("| from second | kind | attempts | lost | by cause |\n|---|---|---|---|---|\n");
     for (kind, tally) in &tallies {
-        row(&mut text, "all", *kind, tally);
+        write_row(&mut text, "all", *kind, tally);
     }
     text
 }
 
-fn row(text: &mut String, moment: &str, kind: Kind, tally: &Tally) {
-    let mut causes: Vec<_> = tally.lost.iter().filter(|(_, lost)| **lost >= LEAST_SHOWN).collect();
+fn write_row(text: &mut String, interval: &str, kind: Kind, tally: &Tally) {
+    let mut causes: Vec<_> = tally.lost.iter().filter(|(_, lost)| **lost >= MIN_SHOWN).collect();
     causes.sort_by(|a, b| b.1.total_cmp(a.1));
     let causes: Vec<String> =
         causes.into_iter().map(|(cause, lost)| format!("{} {lost:.1}", cause_name(cause))).collect();
@@ -62,8 +63,8 @@
         Kind::Unknown => "unknown".to_owned(),
     };
     let (requests, total) = (tally.requests, tally.total());
-    // Writing to a text cannot fail.
-    let _ = writeln!(text, "| {moment} | {kind} | {requests} | {total:.1} | {} |", causes.join(", "));
+    // Writing to a `String` cannot fail.
+    let _ = writeln!(text, "| {interval} | {kind} | {requests} | {total:.1} | {} |", causes.join(", "));
 }
 
 fn cause_name(cause: &Cause) -> String {
--- a/crates/standin/src/losses/tally.rs
+++ b/crates/standin/src/losses/tally.rs
@@ -1,29 +1,29 @@
-//! What many requests lost, by cause.
+//! The losses of many requests, by cause.
 
 use std::collections::BTreeMap;
 
 use super::request::Cause;
 use super::request::RequestLoss;
 
-/// What some requests lost together.
+/// The summed losses of some requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tally {
-    /// How many requests there were.
+    /// The number of requests.
     pub requests: usize,
-    /// What they lost, in requests' worths, by cause.
+    /// The losses by cause; 1 is the full value of one request.
     pub lost: BTreeMap<Cause, f64>,
 }
 
 impl Tally {
-    /// Takes one request.
-    pub fn add(&mut self, story: &RequestLoss) {
+    /// Adds one request.
+    pub fn add(&mut self, loss: &RequestLoss) {
         self.requests += 1;
-        for (cause, lost) in &story.lost {
-            *self.lost.entry(cause.clone()).or_default() += lost;
+        for (cause, share) in &loss.lost {
+            *self.lost.entry(cause.clone()).or_default() += share;
         }
     }
 
-    /// Returns what was lost for all causes, in requests' worths.
+    /// Returns the losses of all causes; 1 is the full value of one request.
     #[must_use]
     pub fn total(&self) -> f64 {
         self.lost.values().sum()
--- a/crates/standin/src/net.rs
+++ b/crates/standin/src/net.rs
@@ -1,4 +1,4 @@
-//! HTTP for the stand-ins: serving a listener, and a client with one pool.
+//! HTTP for the stand-ins: a server loop, and a client with a connection pool.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -25,22 +25,22 @@
 /// The sending half of a connection.
 type Sender = SendRequest<Full<Bytes>>;
 
-/// The reply of a simple handler.
+/// A reply whose body is complete from the start.
 pub(crate) type Reply = Response<Full<Bytes>>;
 
-/// Makes a JSON reply.
+/// Builds a JSON reply.
 pub(crate) fn json(status: u16, value: &serde_json::Value) -> Reply {
     let mut reply = Response::new(Full::from(Bytes::from(value.to_string())));
     *reply.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
     reply
 }
 
-/// Serves a listener on a thread of its own until the process ends; the
-/// handler is made on that thread.
+/// Serves a listener on its own thread until the process ends. The handler is made on that
+/// thread, since it need not be `Send`.
 ///
 /// # Panics
 ///
-/// Panics where the thread cannot be started.
+/// Panics if the thread cannot be started.
 pub(crate) fn serve_on_thread<M, F, R>(listener: TcpListener, make: M)
 where
     M: FnOnce() -> F + Send + 'static,
@@ -55,7 +55,7 @@
     std::thread::Builder::new().name("standin".to_owned()).spawn(body).expect("a thread can be started");
 }
 
-/// Serves a listener on an executor, without end.
+/// Accepts and serves connections on an executor, without end.
 pub(crate) async fn serve<F, R>(executor: &Rc<LocalExecutor<'static>>, listener: TcpListener, handle: Rc<F>)
 where
     F: Fn(Request<Incoming>) -> R + 'static,
@@ -71,18 +71,18 @@
         };
         let handle = Rc::clone(&handle);
         let connection = async move {
-            let answer = |request| {
+            let service = |request| {
                 let reply = handle(request);
                 async { Ok::<_, std::convert::Infallible>(reply.await) }
             };
             let builder = hyper::server::conn::http1::Builder::new();
-            drop(builder.serve_connection(FuturesIo::new(stream), service_fn(answer)).await);
+            drop(builder.serve_connection(FuturesIo::new(stream), service_fn(service)).await);
         };
         executor.spawn(connection).detach();
     }
 }
 
-/// A client that keeps connections for reuse, on one thread.
+/// An HTTP client that reuses connections; its clones share one pool, on one thread.
 #[derive(Clone, Debug, Default)]
 pub struct Client {
     executor: Rc<LocalExecutor<'static>>,
@@ -90,13 +90,13 @@
 }
 
 impl Client {
-    /// Creates a client on an executor.
+    /// Creates a client that runs its connections on `executor`.
     #[must_use]
     pub fn new(executor: Rc<LocalExecutor<'static>>) -> Self {
         Self { executor, idle: Rc::default() }
     }
 
-    /// Sends a request and returns the status and body; none where it failed.
+    /// Sends a request and returns the status and body, `None` if it failed.
     pub async fn send(&self, to: SocketAddr, method: &str, path: &str, body: &str) -> Option<(u16, Bytes)> {
         let idle = self.idle.borrow_mut().get_mut(&to).and_then(Vec::pop);
         let mut sender = match idle.filter(SendRequest::is_ready) {
@@ -120,7 +120,8 @@
         Some(sender)
     }
 
-    /// Sends one request from outside any executor, within `limit`.
+    /// Sends one request and blocks until the reply is in; returns `None` if it failed or took
+    /// longer than `limit`.
     #[must_use]
     pub fn once(
         to: SocketAddr,
@@ -139,20 +140,20 @@
     }
 }
 
-/// Binds a listener; port 0 takes a free one.
+/// Binds a listener; port 0 selects a free port.
 ///
 /// # Panics
 ///
-/// Panics where the address cannot be listened on.
+/// Panics if the address cannot be bound.
 pub(crate) fn bind(address: SocketAddr) -> TcpListener {
-    TcpListener::bind(address).unwrap_or_else(|error| panic!("{address}: {error}"))
+    TcpListener::bind(address).unwrap_or_else(|error| panic!("cannot listen on {address}: {error}"))
 }
 
-/// Returns the address that a listener got.
+/// Returns the address that a listener is bound to.
 ///
 /// # Panics
 ///
-/// Panics where the system does not say.
+/// Panics if the system does not report it.
 pub(crate) fn local(listener: &TcpListener) -> SocketAddr {
     listener.local_addr().expect("a bound listener has an address")
 }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,5 +1,5 @@
-//! The stand-in platform: two spaces of keyed values that can be listed and
-//! watched, on one or more copies, each call counted.
+//! A stand-in for the platform: two key spaces, `config` and `hosts`, that can be listed and
+//! watched at one or more replicas. All calls are counted.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,16 +19,16 @@
 use super::net;
 use super::net::Reply;
 
-/// How many bytes of values a page holds.
+/// The most bytes of values in one page of a listing; a single larger value gets its own page.
 const PAGE_BYTES: usize = 1 << 20;
 
-/// How often a waiting watch looks for changes.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+/// How often a waiting watch checks for changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 #[derive(Debug, Default)]
 struct Space {
     revision: u64,
-    /// Each change with its revision; the state at a revision is their replay.
+    /// Each change with its revision; replaying them gives the state at a revision.
     log: Vec<(u64, String, Option<Value>)>,
     compacted: u64,
 }
@@ -42,19 +42,19 @@
     started: Option<Instant>,
 }
 
-/// The stand-in platform.
+/// A handle to a running stand-in platform.
 #[derive(Clone, Debug)]
 pub struct Platform {
     state: Arc<Mutex<State>>,
-    copies: Vec<SocketAddr>,
+    replicas: Vec<SocketAddr>,
 }
 
 impl Platform {
-    /// Starts one copy of the platform at each address.
+    /// Starts one replica of the platform at each address.
     ///
     /// # Panics
     ///
-    /// Panics where an address cannot be listened on.
+    /// Panics if an address cannot be bound or a thread cannot be started.
     #[must_use]
     pub fn start(addresses: &[SocketAddr]) -> Self {
         let mut state = State { started: Some(Instant::now()), ..State::default() };
@@ -64,29 +64,30 @@
         state.down = vec![false; addresses.len()];
         state.stale = vec![BTreeMap::new(); addresses.len()];
         let state = Arc::new(Mutex::new(state));
-        let mut copies = Vec::new();
+        let mut replicas = Vec::new();
         for (number, address) in addresses.iter().enumerate() {
             let listener = net::bind(*address);
-            copies.push(net::local(&listener));
+            replicas.push(net::local(&listener));
             let state = Arc::clone(&state);
             net::serve_on_thread(listener, move || {
-                move |request| answer(Arc::clone(&state), number, request)
+                move |request| handle(Arc::clone(&state), number, request)
             });
         }
-        Self { state, copies }
+        Self { state, replicas }
     }
 
-    /// Returns where the copies listen.
+    /// Returns the addresses that the replicas listen on.
     #[must_use]
-    pub fn copies(&self) -> &[SocketAddr] {
-        &self.copies
+    pub fn replicas(&self) -> &[SocketAddr] {
+        &self.replicas
     }
 
-    /// Publishes changes as one new revision of a space, and returns it.
+    /// Publishes changes as one new revision of a key space, and returns the revision. A value
+    /// of `None` deletes its key.
     ///
     /// # Panics
     ///
-    /// Panics where the space is neither `config` nor `hosts`.
+    /// Panics if the space is neither `config` nor `hosts`.
     #[expect(clippy::must_use_candidate, reason = "most callers want the effect alone")]
     pub fn publish<K: Into<String>>(&self, space: &str, changes: Vec<(K, Option<Value>)>) -> u64 {
         let mut state = self.lock();
@@ -97,21 +98,21 @@
         revision
     }
 
-    /// Says whether a copy answers.
-    pub fn set_down(&self, copy: usize, down: bool) {
-        self.lock().down[copy] = down;
+    /// Sets whether a replica is down: it answers every call with status 503.
+    pub fn set_down(&self, replica: usize, down: bool) {
+        self.lock().down[replica] = down;
     }
 
-    /// Holds a copy at a revision of a space, or lets it go on.
-    pub fn set_stale(&self, copy: usize, space: &str, revision: Option<u64>) {
+    /// Keeps a replica at an old revision of a key space; `None` lets it catch up.
+    pub fn set_stale(&self, replica: usize, space: &str, revision: Option<u64>) {
         let mut state = self.lock();
         match revision {
-            Some(revision) => state.stale[copy].insert(space.to_owned(), revision),
-            None => state.stale[copy].remove(space),
+            Some(revision) => state.stale[replica].insert(space.to_owned(), revision),
+            None => state.stale[replica].remove(space),
         };
     }
 
-    /// Forgets the changes of a space up to now; watches from before are told.
+    /// Discards the change history of a key space up to now: watches from before get status 410.
     pub fn compact(&self, space: &str) {
         let mut state = self.lock();
         if let Some(space) = state.spaces.get_mut(space) {
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Returns how many calls were made, and over which time.
+    /// Returns the number of calls so far, and the time since the start.
     #[must_use]
     pub fn calls(&self) -> (u64, Duration) {
         let state = self.lock();
@@ -132,34 +133,36 @@
 }
 
 impl State {
-    fn revision(&self, copy: usize, space: &str) -> u64 {
+    fn revision(&self, replica: usize, space: &str) -> u64 {
         let newest = self.spaces.get(space).map_or(0, |space| space.revision);
-        self.stale[copy].get(space).copied().unwrap_or(newest).min(newest)
+        self.stale[replica].get(space).copied().unwrap_or(newest).min(newest)
     }
 }
 
-async fn answer(state: Arc<Mutex<State>>, copy: usize, request: Request<Incoming>) -> Reply {
+async fn handle(state: Arc<Mutex<State>>, replica: usize, request: Request<Incoming>) -> Reply {
     let path = request.uri().path().to_owned();
     let query = request.uri().query().unwrap_or("").to_owned();
     let down = {
         let mut state = state.lock().unwrap_or_else(PoisonError::into_inner);
         state.calls += 1;
-        state.down[copy]
+        state.down[replica]
     };
     if down {
         return net::json(503, &json!({ "error": "down" }));
     }
     let mut parts = path.trim_start_matches('/').split('/');
     match (parts.next(), parts.next(), parts.next()) {
-        (Some("v1"), Some(space @ ("config" | "hosts")), Some("list")) => list(&state, copy, space, &query),
+        (Some("v1"), Some(space @ ("config" | "hosts")), Some("list")) => {
+            list(&state, replica, space, &query)
+        }
         (Some("v1"), Some(space @ ("config" | "hosts")), Some("watch")) => {
-            watch(&state, copy, space, &query).await
+            watch(&state, replica, space, &query).await
         }
         _ => net::json(404, &json!({ "error": "no such path" })),
     }
 }
 
-fn parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
+fn query_parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     query
         .split('&')
         .filter_map(|pair| pair.split_once('='))
@@ -167,10 +170,10 @@
         .map(|(_, value)| value)
 }
 
-fn list(state: &Mutex<State>, copy: usize, name: &str, query: &str) -> Reply {
+fn list(state: &Mutex<State>, replica: usize, name: &str, query: &str) -> Reply {
     let state = state.lock().unwrap_or_else(PoisonError::into_inner);
-    let revision = state.revision(copy, name);
-    let from = parameter(query, "from").unwrap_or("");
+    let revision = state.revision(replica, name);
+    let from = query_parameter(query, "from").unwrap_or("");
     let mut items: BTreeMap<&str, &Value> = BTreeMap::new();
     for (at, key, value) in &state.spaces[name].log {
         match value {
@@ -198,35 +201,35 @@
     net::json(200, &json!({ "revision": revision, "items": page, "next": next }))
 }
 
-async fn watch(state: &Mutex<State>, copy: usize, name: &str, query: &str) -> Reply {
-    let number = |name| parameter(query, name).and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
+async fn watch(state: &Mutex<State>, replica: usize, name: &str, query: &str) -> Reply {
+    let number = |name| query_parameter(query, name).and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
     let after = number("after");
-    let until = Instant::now() + Duration::from_millis(number("wait-ms"));
+    let deadline = Instant::now() + Duration::from_millis(number("wait-ms"));
     loop {
-        if let Some(reply) = changes(state, copy, name, after, Instant::now() >= until) {
+        if let Some(reply) = changes(state, replica, name, after, Instant::now() >= deadline) {
             return reply;
         }
-        Timer::after(LOOK_EVERY).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
-fn changes(state: &Mutex<State>, copy: usize, name: &str, after: u64, last: bool) -> Option<Reply> {
+fn changes(state: &Mutex<State>, replica: usize, name: &str, after: u64, expired: bool) -> Option<Reply> {
     let state = state.lock().unwrap_or_else(PoisonError::into_inner);
-    if state.down[copy] {
+    if state.down[replica] {
         return Some(net::json(503, &json!({ "error": "down" })));
     }
     let space = &state.spaces[name];
     if after < space.compacted {
         return Some(net::json(410, &json!({ "error": "compacted" })));
     }
-    let revision = state.revision(copy, name);
+    let revision = state.revision(replica, name);
     let rows: Vec<Value> = space
         .log
         .iter()
         .filter(|(at, _, _)| *at > after && *at <= revision)
         .map(|(at, key, value)| json!({ "revision": at, "key": key, "value": value }))
         .collect();
-    if rows.is_empty() && !last {
+    if rows.is_empty() && !expired {
         return None;
     }
     Some(net::json(200, &json!({ "revision": revision, "changes": rows })))
--- a/crates/standin/src/plot.rs
+++ b/crates/standin/src/plot.rs
@@ -1,5 +1,5 @@
-//! Drawings of measured runs from the journal: what each day was worth over time, and
-//! where its worth went.
+//! Charts of measured runs from the journal: the score of each simulated day over time, and which
+//! prices reduced it.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -8,30 +8,30 @@
 use plotters::prelude::*;
 use serde_json::Value;
 
-/// Width and height of a drawing, in pixels.
+/// Width and height of a chart, in pixels.
 const SIZE: (u32, u32) = (1100, 600);
 
-/// The most prices that are drawn apart; the others are summed.
-const MOST_PRICES: usize = 6;
+/// The most prices that get a bar part of their own; the others are summed.
+const MAX_PRICES: usize = 6;
 
-/// One day as one run played it.
+/// The result of one simulated day in one run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DayRun {
-    /// When the run began, as the journal writes it; texts order as times do.
+    /// When the run started, as written in the journal; these texts sort in time order.
     pub at: String,
     /// The day's name.
     pub day: String,
-    /// What it was worth, from 0 to 1.
+    /// The score, from 0 to 1.
     pub worth: f64,
-    /// What each price took of it.
+    /// How much each price reduced the score.
     pub prices: BTreeMap<String, f64>,
 }
 
-/// Reads the days of one site from a folder of journal entries, the oldest first.
+/// Reads the day results of one site from a folder of journal entries, oldest run first.
 ///
 /// # Errors
 ///
-/// Returns why the folder or an entry cannot be read.
+/// Returns an error if the folder or an entry cannot be read, or an entry is not JSON.
 pub fn read(folder: &Path, site: &str) -> Result<Vec<DayRun>, Box<dyn Error>> {
     let mut runs = Vec::new();
     for entry in std::fs::read_dir(folder)? {
@@ -41,15 +41,15 @@
         }
         let entry: Value = serde_json::from_str(&std::fs::read_to_string(&path)?)
             .map_err(|error| format!("{}: {error}", path.display()))?;
-        runs.extend(days(&entry, site));
+        runs.extend(day_runs(&entry, site));
     }
     runs.sort_by(|a, b| a.at.cmp(&b.at));
     Ok(runs)
 }
 
-/// Returns the days of one entry that played whole standard days of a site with
-/// processor time charged.
-fn days(entry: &Value, site: &str) -> Vec<DayRun> {
+/// Returns the day results of a journal entry if it is a run of this site that played whole days
+/// with processor time charged, without the days whose names start with `fresh`.
+fn day_runs(entry: &Value, site: &str) -> Vec<DayRun> {
     let played = ["score", "run"].iter().any(|verb| entry["cmd"] == *verb);
     let charged =
         !entry["argv"].to_string().contains("--no-cpu") && !entry["argv"].to_string().contains("--until");
@@ -71,7 +71,7 @@
     all.iter().filter_map(price).filter(|(_, took)| *took > 0.0).collect()
 }
 
-/// Draws what each day was worth, run by run.
+/// Draws the score of each day, run by run.
 ///
 /// # Errors
 ///
@@ -81,7 +81,7 @@
     for run in runs {
         by_day.entry(&run.day).or_default().push(run.worth);
     }
-    let most = by_day.values().map(Vec::len).max().ok_or("no run of this site is in the journal")?;
+    let max_runs = by_day.values().map(Vec::len).max().ok_or("the journal has no run of this site")?;
     let area = SVGBackend::new(to, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
@@ -89,7 +89,7 @@
         .margin(12)
         .x_label_area_size(40)
         .y_label_area_size(50)
-        .build_cartesian_2d(1_usize..most.max(2), 0.0..1.0)?;
+        .build_cartesian_2d(1_usize..max_runs.max(2), 0.0..1.0)?;
     chart.configure_mesh().x_desc("run of the day, the oldest first").y_desc("worth").draw()?;
     for (number, (day, worths)) in by_day.into_iter().enumerate() {
         let colour = Palette99::pick(number).to_rgba();
@@ -104,8 +104,7 @@
     Ok(())
 }
 
-/// Draws where the worth of each day's newest run went: kept, not served in time, and
-/// each price.
+/// Draws a stacked bar for each day's newest run: the score, the highest prices, and the rest.
 ///
 /// # Errors
 ///
@@ -113,9 +112,9 @@
 pub fn draw_prices(runs: &[DayRun], title: &str, to: &Path) -> Result<(), Box<dyn Error>> {
     let newest: BTreeMap<&str, &DayRun> = runs.iter().map(|run| (run.day.as_str(), run)).collect();
     if newest.is_empty() {
-        return Err("no run of this site is in the journal".into());
+        return Err("the journal has no run of this site".into());
     }
-    let names = dearest(&newest);
+    let names = bar_parts(&newest);
     let area = SVGBackend::new(to, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let days = newest.len();
@@ -124,8 +123,8 @@
         .margin(12)
         .x_label_area_size(40)
         .y_label_area_size(50)
-        .build_cartesian_2d(0.0..length(days) + 2.5, 0.0..1.0)?;
-    let label = |x: &f64| newest.keys().enumerate().find(|(at, _)| (length(*at) + 0.4 - x).abs() < 0.2);
+        .build_cartesian_2d(0.0..to_f64(days) + 2.5, 0.0..1.0)?;
+    let label = |x: &f64| newest.keys().enumerate().find(|(at, _)| (to_f64(*at) + 0.4 - x).abs() < 0.2);
     chart
         .configure_mesh()
         .disable_x_mesh()
@@ -137,7 +136,7 @@
         let colour = Palette99::pick(number).mix(0.85);
         let bars = newest.values().enumerate().map(|(at, run)| {
             let (from, until) = span(run, &names, number);
-            Rectangle::new([(length(at), from), (length(at) + 0.8, until)], colour.filled())
+            Rectangle::new([(to_f64(at), from), (to_f64(at) + 0.8, until)], colour.filled())
         });
         chart
             .draw_series(bars)?
@@ -149,33 +148,33 @@
     Ok(())
 }
 
-/// The part of a bar that is left over; what was not served in time is most of it.
-const REST: &str = "late, missing, refused and small prices";
+/// The label of the remaining part of a bar, most of which is requests not served in time.
+const REMAINDER: &str = "late, missing, refused and small prices";
 
-/// Returns the parts of the bars from the bottom: the worth, the dearest prices, and
-/// the rest.
-fn dearest(runs: &BTreeMap<&str, &DayRun>) -> Vec<String> {
+/// Returns the names of the bar parts from the bottom: the score, the highest prices, and the
+/// rest.
+fn bar_parts(runs: &BTreeMap<&str, &DayRun>) -> Vec<String> {
     let mut sums: BTreeMap<&str, f64> = BTreeMap::new();
     for (name, took) in runs.values().flat_map(|run| &run.prices) {
         *sums.entry(name).or_default() += took;
     }
     let mut ranked: Vec<_> = sums.into_iter().collect();
     ranked.sort_by(|a, b| b.1.total_cmp(&a.1));
-    let dear = ranked.into_iter().take(MOST_PRICES).map(|(name, _)| name.to_owned());
-    std::iter::once("worth".to_owned()).chain(dear).chain([REST.to_owned()]).collect()
+    let highest = ranked.into_iter().take(MAX_PRICES).map(|(name, _)| name.to_owned());
+    std::iter::once("worth".to_owned()).chain(highest).chain([REMAINDER.to_owned()]).collect()
 }
 
-/// Returns where a part of a day's bar begins and ends.
+/// Returns the lower and upper end of a part of a day's bar.
 fn span(run: &DayRun, names: &[String], number: usize) -> (f64, f64) {
     let size = |name: &String| match name.as_str() {
         "worth" => run.worth.max(0.0),
         other => run.prices.get(other).copied().unwrap_or(0.0),
     };
     let from: f64 = names[..number].iter().map(size).sum();
-    let until = if names[number] == REST { 1.0 } else { from + size(&names[number]) };
+    let until = if names[number] == REMAINDER { 1.0 } else { from + size(&names[number]) };
     (from.min(1.0), until.clamp(from.min(1.0), 1.0))
 }
 
-fn length(count: usize) -> f64 {
+fn to_f64(count: usize) -> f64 {
     f64::from(u32::try_from(count).unwrap_or(u32::MAX))
 }
--- a/crates/standin/src/site_store.rs
+++ b/crates/standin/src/site_store.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the users' store, which can be away and come back from a copy of itself.
-//! `docs/PLATFORM.md` has its protocol.
+//! A stand-in for the users' store, which can fail and be restored from a backup.
+//! `docs/PLATFORM.md` describes its protocol.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,10 +21,10 @@
 use super::net;
 use super::net::Reply;
 
-/// How often a waiting watch looks for changes.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+/// How often a waiting watch checks for changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A change of the store: none where the key was taken away.
+/// One write to the store; `value` is `None` if the key was deleted.
 #[derive(Clone, Debug)]
 struct Change {
     revision: u64,
@@ -33,59 +33,59 @@
     at: Instant,
 }
 
-/// How a store is away.
+/// How a store fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outage {
-    /// It answers 503.
+    /// It answers every call with status 503.
     Down,
-    /// It takes calls and never answers them.
+    /// It accepts calls and never answers them.
     Silent,
 }
 
 #[derive(Debug, Default)]
 struct Store {
     revision: u64,
-    /// How often it came back from a copy.
+    /// Starts at 1 and grows by one with each restore from a backup.
     era: u64,
     log: Vec<Change>,
-    /// Changes up to this revision are no longer told to watches.
-    forgotten: u64,
+    /// Watches from before this revision are answered with 410.
+    compacted: u64,
     down: bool,
-    /// While set, what comes is taken and never answered, nor what waits.
+    /// While set, new calls and waiting watches are never answered.
     silent: bool,
-    /// The watches that came while it was silent.
-    swallowed: usize,
-    /// The pages that were read.
-    pages: usize,
-    /// The calls that were answered with 410.
+    /// Watches that arrived since the store went silent.
+    unanswered: usize,
+    /// Pages of whole listings that were read.
+    page_count: usize,
+    /// Calls answered with 410.
     gone: usize,
-    /// A copy to come back from once one more page was read.
-    next_copy: Option<u64>,
-    /// What was written and lost, in order.
+    /// The backup to restore after the next page is read.
+    next_backup: Option<u64>,
+    /// Writes that restores have discarded, in order.
     lost: Vec<Change>,
-    /// The revision that it last came back at.
-    restored: u64,
+    /// The revision after the last restore.
+    restored_revision: u64,
 }
 
 impl Store {
-    /// Comes back from a copy; what was written since is lost.
-    fn restore(&mut self, copy: u64) {
-        let kept = self.log.iter().take_while(|change| change.revision <= copy).count();
+    /// Restores a backup, discards the writes made since, and starts the next era.
+    fn restore(&mut self, backup: u64) {
+        let kept = self.log.iter().take_while(|change| change.revision <= backup).count();
         self.lost.extend(self.log.split_off(kept));
-        self.revision = copy.min(self.revision);
-        self.forgotten = self.forgotten.min(self.revision);
+        self.revision = backup.min(self.revision);
+        self.compacted = self.compacted.min(self.revision);
         self.era += 1;
-        self.restored = self.revision;
+        self.restored_revision = self.revision;
     }
 
-    /// Takes a write.
+    /// Appends a write at the next revision.
     fn write(&mut self, key: String, value: Option<String>) {
         self.revision += 1;
         self.log.push(Change { revision: self.revision, key, value, at: Instant::now() });
     }
 }
 
-/// The users' store.
+/// A handle to a running stand-in of the users' store.
 #[derive(Clone, Debug)]
 pub struct SiteStore {
     state: Arc<Mutex<Store>>,
@@ -93,40 +93,40 @@
 }
 
 impl SiteStore {
-    /// Starts an empty store.
+    /// Starts an empty store on a free local port.
     ///
     /// # Panics
     ///
-    /// Panics where no address can be listened on.
+    /// Panics if no local port can be bound or the thread cannot be started.
     #[must_use]
     pub fn start() -> Self {
         let listener = net::bind(SocketAddr::from(([127, 0, 0, 1], 0)));
         let address = net::local(&listener);
         let state = Arc::new(Mutex::new(Store { era: 1, ..Store::default() }));
         let shared = Arc::clone(&state);
-        net::serve_on_thread(listener, move || move |request| read(Arc::clone(&shared), request));
+        net::serve_on_thread(listener, move || move |request| handle(Arc::clone(&shared), request));
         Self { state, address }
     }
 
-    /// Returns where it listens.
+    /// Returns the address that the store listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Puts a value, or takes it away.
+    /// Writes a value, or deletes the key if `value` is `None`.
     pub fn put(&self, key: &str, value: Option<&Value>) {
         let value = value.map(|value| STANDARD.encode(value.to_string()));
         lock(&self.state).write(key.to_owned(), value);
     }
 
-    /// Returns a copy of it as it is, to come back from.
+    /// Returns a backup of the present state, for [`restore`](Self::restore): its revision.
     #[must_use]
     pub fn backup(&self) -> u64 {
         lock(&self.state).revision
     }
 
-    /// Returns a copy of it as it was `age` ago.
+    /// Returns a backup of the state `age` ago: its revision, 0 if nothing was written then.
     #[must_use]
     pub fn backup_from(&self, age: Duration) -> u64 {
         let state = lock(&self.state);
@@ -134,69 +134,70 @@
         kept.last().map_or(0, |change| change.revision)
     }
 
-    /// Comes back from a copy, in the next era: what was written since is lost.
-    pub fn restore(&self, copy: u64) {
-        lock(&self.state).restore(copy);
+    /// Restores a backup and starts the next era; writes made since the backup are lost.
+    pub fn restore(&self, backup: u64) {
+        lock(&self.state).restore(backup);
     }
 
-    /// Comes back from a copy once one more page was read.
-    pub fn restore_after_page(&self, copy: u64) {
-        lock(&self.state).next_copy = Some(copy);
+    /// Restores a backup as soon as one more page of a listing is read.
+    pub fn restore_after_page(&self, backup: u64) {
+        lock(&self.state).next_backup = Some(backup);
     }
 
-    /// Is away for a time, and comes back from a copy.
-    pub fn drill(&self, copy: u64, away: Outage, time: Duration) {
-        self.set_away(away, true);
+    /// Fails for a time, then restores a backup; blocks the caller meanwhile.
+    pub fn drill(&self, backup: u64, outage: Outage, time: Duration) {
+        self.set_outage(outage, true);
         std::thread::sleep(time);
-        self.restore(copy);
-        self.set_away(away, false);
+        self.restore(backup);
+        self.set_outage(outage, false);
     }
 
-    fn set_away(&self, away: Outage, is_away: bool) {
-        match away {
-            Outage::Down => self.set_down(is_away),
-            Outage::Silent => self.set_silent(is_away),
+    fn set_outage(&self, outage: Outage, active: bool) {
+        match outage {
+            Outage::Down => self.set_down(active),
+            Outage::Silent => self.set_silent(active),
         }
     }
 
-    /// Writes again what was lost: of each key the last, unless it was written since.
+    /// Writes the last lost value of each key again, unless the key was written since the
+    /// restore.
     pub fn rewrite_lost(&self) {
         let mut state = lock(&self.state);
         let lost = std::mem::take(&mut state.lost).into_iter();
         let newest: BTreeMap<String, Option<String>> =
             lost.map(|change| (change.key, change.value)).collect();
         for (key, value) in newest {
-            let restored = state.restored;
-            let since = state.log.iter().filter(|change| change.revision > restored);
+            let restored_revision = state.restored_revision;
+            let since = state.log.iter().filter(|change| change.revision > restored_revision);
             if since.into_iter().all(|change| change.key != key) {
                 state.write(key, value);
             }
         }
     }
 
-    /// Forgets what changed until now: watches that are behind are told so.
+    /// Discards the change history up to now: watches from before get status 410.
     pub fn compact(&self) {
         let mut state = lock(&self.state);
-        state.forgotten = state.revision;
+        state.compacted = state.revision;
     }
 
-    /// Sets whether it is down: it answers 503 then.
+    /// Sets whether the store answers every call with 503.
     pub fn set_down(&self, down: bool) {
         lock(&self.state).down = down;
     }
 
-    /// Sets whether it is silent: what it takes then, and what waits, is never
-    /// answered, also when it speaks again.
+    /// Sets whether the store is silent. Calls that arrive or wait while it is silent are never
+    /// answered, not even after it is switched back. Resets the count of unanswered watches.
     pub fn set_silent(&self, silent: bool) {
         let mut state = lock(&self.state);
         state.silent = silent;
-        state.swallowed = 0;
+        state.unanswered = 0;
     }
 
-    /// Returns how many pages were read of whole listings.
+    /// Returns how many pages of whole listings were read.
     #[must_use]
     pub fn page_count(&self) -> usize {
-        lock(&self.state).pages
+        lock(&self.state).page_count
     }
 
     /// Returns how many calls were answered with 410.
@@ -205,10 +206,10 @@
         lock(&self.state).gone
     }
 
-    /// Returns how many watches came since it went silent.
+    /// Returns how many watches arrived since the store went silent.
     #[must_use]
     pub fn unanswered(&self) -> usize {
-        lock(&self.state).swallowed
+        lock(&self.state).unanswered
     }
 }
 
@@ -216,29 +217,29 @@
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-async fn read(state: Arc<Mutex<Store>>, request: Request<Incoming>) -> Reply {
+async fn handle(state: Arc<Mutex<Store>>, request: Request<Incoming>) -> Reply {
     let query: BTreeMap<String, String> =
         serde_urlencoded::from_str(request.uri().query().unwrap_or("")).unwrap_or_default();
     let waits = query.get("waitMs").is_some_and(|wait| wait != "0");
-    if swallows(&state, usize::from(waits)) {
+    if check_silent(&state, usize::from(waits)) {
         return std::future::pending().await;
     }
     {
         let store = lock(&state);
         if store.down {
-            return answer(&store, 503, &json!({}));
+            return reply(&store, 503, &json!({}));
         }
     }
     match request.uri().path() {
-        "/-/kv-key" => one(&lock(&state), query.get("privateKey").map_or("", |key| key)),
-        "/-/kv-range" => range(&mut lock(&state), query.get("pathPrefix").map_or("", |prefix| prefix)),
+        "/-/kv-key" => read_key(&lock(&state), query.get("privateKey").map_or("", |key| key)),
+        "/-/kv-range" => read_range(&mut lock(&state), query.get("pathPrefix").map_or("", |prefix| prefix)),
         "/-/kv-watch" => watch(&state, &query).await,
-        _ => answer(&lock(&state), 404, &json!({})),
+        _ => reply(&lock(&state), 404, &json!({})),
     }
 }
 
-/// Makes an answer, which says the store's era.
-fn answer(store: &Store, status: u16, body: &Value) -> Reply {
+/// Builds a reply with the store's era in a header.
+fn reply(store: &Store, status: u16, body: &Value) -> Reply {
     let mut reply = net::json(status, body);
     if let Ok(era) = store.era.to_string().parse() {
         reply.headers_mut().insert("store-era", era);
@@ -246,16 +247,16 @@
     reply
 }
 
-/// Returns whether the store is silent, and counts the watches that it swallows.
-fn swallows(state: &Mutex<Store>, watches: usize) -> bool {
+/// Returns whether the store is silent; if so, adds `watches` to the unanswered ones.
+fn check_silent(state: &Mutex<Store>, watches: usize) -> bool {
     let mut store = lock(state);
     if store.silent {
-        store.swallowed += watches;
+        store.unanswered += watches;
     }
     store.silent
 }
 
-fn items(store: &Store) -> BTreeMap<&str, (u64, &str)> {
+fn current_items(store: &Store) -> BTreeMap<&str, (u64, &str)> {
     let mut items = BTreeMap::new();
     for change in &store.log {
         match &change.value {
@@ -266,29 +267,28 @@
     items
 }
 
-fn one(store: &Store, key: &str) -> Reply {
-    match items(store).get(key) {
+fn read_key(store: &Store, key: &str) -> Reply {
+    match current_items(store).get(key) {
         Some((revision, value)) => {
-            let at = store.revision;
-            let item =
-                json!({ "privateKey": key, "value": value, "revision": revision, "storeRevision": at });
-            answer(store, 200, &item)
+            let store_revision = store.revision;
+            let item = json!({ "privateKey": key, "value": value, "revision": revision, "storeRevision": store_revision });
+            reply(store, 200, &item)
         }
-        None => answer(store, 404, &json!({})),
+        None => reply(store, 404, &json!({})),
     }
 }
 
-fn range(store: &mut Store, prefix: &str) -> Reply {
-    store.pages += 1;
-    let found: Vec<Value> = items(store)
+fn read_range(store: &mut Store, prefix: &str) -> Reply {
+    store.page_count += 1;
+    let found: Vec<Value> = current_items(store)
         .into_iter()
         .filter(|(key, _)| key.starts_with(prefix))
         .map(|(key, (revision, value))| json!({ "privateKey": key, "value": value, "revision": revision }))
         .collect();
     let page = json!({ "items": found, "truncated": false, "storeRevision": store.revision });
-    let page = answer(store, 200, &page);
-    if let Some(copy) = store.next_copy.take() {
-        store.restore(copy);
+    let page = reply(store, 200, &page);
+    if let Some(backup) = store.next_backup.take() {
+        store.restore(backup);
     }
     page
 }
@@ -297,32 +297,33 @@
     let number = |name: &str| query.get(name).and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
     let (after, wait) = (number("after"), number("waitMs"));
     for _ in 0..=(wait / 10) {
-        if swallows(state, 0) {
+        if check_silent(state, 0) {
             return std::future::pending().await;
         }
-        if let Some(reply) = look(&mut lock(state), after) {
+        if let Some(reply) = changes_since(&mut lock(state), after) {
             return reply;
         }
-        Timer::after(LOOK_EVERY).await;
+        Timer::after(POLL_INTERVAL).await;
     }
-    // Nothing had come at the last look, so that nothing is told up to `after` alone.
+    // The last check found no change after `after`, so the reply only covers up to `after`.
     let store = lock(state);
-    answer(&store, 200, &json!({ "events": [], "storeRevision": after }))
+    reply(&store, 200, &json!({ "events": [], "storeRevision": after }))
 }
 
-/// Looks for what a watch is to be told; none while there is nothing.
-fn look(store: &mut Store, after: u64) -> Option<Reply> {
-    if after < store.forgotten || after > store.revision {
+/// Returns the reply to a watch from revision `after`, `None` while there is nothing to report.
+/// A revision that was compacted or doesn't exist yet gets status 410.
+fn changes_since(store: &mut Store, after: u64) -> Option<Reply> {
+    if after < store.compacted || after > store.revision {
         store.gone += 1;
-        return Some(answer(store, 410, &json!({})));
+        return Some(reply(store, 410, &json!({})));
     }
     let newer = store.log.iter().filter(|change| change.revision > after);
-    let newer: Vec<Value> = newer.map(event).collect();
-    let told = json!({ "events": newer, "storeRevision": store.revision });
-    (!newer.is_empty() || store.down).then(|| answer(store, 200, &told))
+    let newer: Vec<Value> = newer.map(event_json).collect();
+    let body = json!({ "events": newer, "storeRevision": store.revision });
+    (!newer.is_empty() || store.down).then(|| reply(store, 200, &body))
 }
 
-fn event(change: &Change) -> Value {
+fn event_json(change: &Change) -> Value {
     let Change { revision, key, value, .. } = change;
     match value {
         Some(value) => json!({ "privateKey": key, "value": value, "revision": revision }),
--- a/crates/standin/tests/losses.rs
+++ b/crates/standin/tests/losses.rs
@@ -1,4 +1,4 @@
-//! Where requests lost their worth, from the daemons' lines.
+//! Tests of the losses that are computed from the daemons' log lines.
 
 use serde_json::Value;
 use serde_json::json;
@@ -23,20 +23,20 @@
     })
 }
 
-fn stories(output: &str) -> Vec<RequestLoss> {
-    losses::request_losses(&losses::read(output.as_bytes()).expect("a text can be read"))
+fn losses_of(output: &str) -> Vec<RequestLoss> {
+    losses::request_losses(&losses::read(output.as_bytes()).expect("the text can be read"))
 }
 
 #[test]
-fn whole_loses_nothing() {
+fn full_answer_loses_nothing() {
     let output = line(1.0, "a", "h", &admitted(86_000))
         + &line(1.0, "a", "h", &answered("answered", "HF0000", 4, 0, 50_000));
-    let found = stories(&output);
+    let found = losses_of(&output);
     assert_eq!(found, [RequestLoss { at: 1.0, kind: Kind::Objective(100), lost: Vec::new() }]);
 }
 
 #[test]
-fn causes_told_apart() {
+fn causes_distinguished() {
     let missing = |why: &str| json!({ "kind": "shard-missing", "shard": "s/0", "why": why, "ran": true });
     let output = line(1.0, "late", "h", &admitted(86_000))
         + &line(1.0, "late", "h", &answered("answered", "HF0000", 4, 0, 200_000))
@@ -47,41 +47,45 @@
         + &line(1.2, "failed", "h", &answered("may-have-run", "HF3006", 1, 3, 80_000))
         + &line(1.3, "refused", "h", &answered("not-run", "HF2002", 0, 0, 10))
         + &line(1.4, "gone", "h", &json!({ "kind": "caller-gone", "lookup": "rush" }));
-    let mut found = stories(&output);
+    let mut found = losses_of(&output);
     found.sort_by(|a, b| a.at.total_cmp(&b.at));
     let lost: Vec<_> = found.into_iter().map(|story| story.lost).collect();
     let left_out = |why: &str| (Cause::LeftOut(why.to_owned()), 0.375);
     assert_eq!(lost[0], [(Cause::Late, 1.0)]);
-    assert_eq!(lost[1], [left_out("late"), left_out("overloaded")], "half of the square is left");
+    assert_eq!(
+        lost[1],
+        [left_out("late"), left_out("overloaded")],
+        "two shards of four lose 0.75, in two equal parts"
+    );
     assert_eq!(lost[2], [(Cause::Failed("HF3006".to_owned()), 1.0)]);
     assert_eq!(lost[3], [(Cause::Refused("HF2002".to_owned()), 1.0)]);
     assert_eq!(lost[4], [(Cause::Gone, 1.0)]);
 }
 
 #[test]
-fn handed_counts_once() {
+fn forwarded_counts_once() {
     let output = line(1.0, "a", "member", &json!({ "kind": "forward-taken", "from": "entry" }))
         + &line(1.0, "a", "member", &admitted(86_000))
         + &line(1.0, "a", "member", &answered("answered", "HF0000", 4, 0, 80_000))
         + &line(1.1, "a", "entry", &answered("answered", "HF0000", 4, 0, 120_000));
-    let found = stories(&output);
-    assert_eq!(found.len(), 1, "one request, whichever daemons had it");
-    assert_eq!(found[0].lost, [(Cause::Late, 1.0)], "what its entry took counts");
+    let found = losses_of(&output);
+    assert_eq!(found.len(), 1, "one request, however many daemons processed it");
+    assert_eq!(found[0].lost, [(Cause::Late, 1.0)], "the time at its entry daemon counts");
 }
 
 #[test]
-fn other_lines_passed_over() {
+fn other_lines_skipped() {
     let output = String::from("built in 0.1 s\nclass asked\n  1.0 machine-1 {\"message\":\"ready\"}\n");
-    assert!(stories(&output).is_empty());
+    assert!(losses_of(&output).is_empty());
     let tables = losses::by_kind(&[]);
-    assert_eq!(tables.lines().count(), 2, "a table without rows has its head");
+    assert_eq!(tables.lines().count(), 2, "a table without rows has its two header lines");
 }
 
 #[test]
-fn moments_in_order() {
+fn intervals_in_order() {
     let refused = answered("not-run", "HF2002", 0, 0, 10);
     let output = line(5.0, "b", "h", &refused) + &line(-1.0, "a", "h", &refused);
-    let table = losses::by_interval(&stories(&output), 2.0);
+    let table = losses::by_interval(&losses_of(&output), 2.0);
     let rows: Vec<&str> = table.lines().skip(2).collect();
     assert!(rows[0].starts_with("| -2.0 |"), "{table}");
     assert!(rows[1].starts_with("| 4.0 |"), "{table}");
--- a/crates/standin/tests/plot.rs
+++ b/crates/standin/tests/plot.rs
@@ -1,16 +1,16 @@
-//! Drawings from journal entries.
+//! Tests of the charts drawn from journal entries.
 
 use serde_json::Value;
 use serde_json::json;
 use standin::plot;
 
-/// Writes entries to a folder of the test's own, which it returns.
+/// Writes entries to a new temporary folder and returns its path.
 fn journal(name: &str, entries: &[Value]) -> std::path::PathBuf {
     let folder = std::env::temp_dir().join(format!("harefield-{name}-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder can be made");
+    std::fs::create_dir_all(&folder).expect("the folder can be created");
     for (number, entry) in entries.iter().enumerate() {
         let path = folder.join(format!("{number}.json"));
-        std::fs::write(path, entry.to_string()).expect("an entry can be written");
+        std::fs::write(path, entry.to_string()).expect("the entry can be written");
     }
     folder
 }
@@ -33,13 +33,17 @@
     let folder = journal("charged", &entries);
     let runs = plot::read(&folder, "here").expect("the entries are valid");
     let worths: Vec<f64> = runs.iter().map(|run| run.worth).collect();
-    assert_eq!(worths, [0.5, 0.7], "the oldest first, without what was not charged or is of another site");
-    assert_eq!(runs[0].prices.len(), 1, "prices that took nothing are left out");
-    std::fs::remove_dir_all(folder).expect("the folder can be taken away");
+    assert_eq!(
+        worths,
+        [0.5, 0.7],
+        "oldest first, without runs of other sites or without processor time charged"
+    );
+    assert_eq!(runs[0].prices.len(), 1, "prices that reduced nothing are left out");
+    std::fs::remove_dir_all(folder).expect("the folder can be removed");
 }
 
 #[test]
-fn drawings_hold_days() {
+fn charts_contain_days() {
     let entries = [entry("1", "here", 0.7, &[]), entry("2", "here", 0.8, &[])];
     let folder = journal("drawings", &entries);
     let runs = plot::read(&folder, "here").expect("the entries are valid");
@@ -49,11 +53,11 @@
     let text = |path| std::fs::read_to_string(path).expect("it was drawn");
     assert!(text(worth).contains("quiet-1"));
     assert!(text(prices).contains("machine-seconds"));
-    std::fs::remove_dir_all(folder).expect("the folder can be taken away");
+    std::fs::remove_dir_all(folder).expect("the folder can be removed");
 }
 
 #[test]
-fn nothing_to_draw() {
+fn empty_runs_rejected() {
     let to = std::env::temp_dir().join("harefield-none.svg");
     assert!(plot::draw_worth(&[], "none", &to).is_err());
     assert!(plot::draw_prices(&[], "none", &to).is_err());
