--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,42 +1,43 @@
-//! Stand-ins for what harefield meets, and a load generator; not shipped.
+//! Stand-ins for the services that harefield depends on, and a load generator, for tests and
+//! the demo; not shipped.
 //!
-//! [`Platform`] publishes resources and hosts, [`Searchers`] are upstreams that
-//! can be told to misbehave while they run, [`Layout`] writes down the two
-//! users' deployments, and [`load`] measures. Each runs on threads of its own,
-//! so that a test or a program can hold it and change it.
+//! [`Platform`] publishes resources and hosts, [`Searchers`] are upstreams whose faults can be
+//! switched while they run, [`Layout`] describes the two users' deployments, and [`load`]
+//! sends requests and measures the answers. Platforms and searchers run on their own threads,
+//! so that a test or a program can hold a handle and change them.
 
 mod admin;
 mod behaviour;
+mod crashing;
 pub mod experiment;
 pub mod fleet;
 mod layout;
 pub mod load;
 pub mod losses;
-mod mortal;
 mod net;
 mod platform;
 pub mod plot;
 mod searcher;
 mod searchers;
-mod site;
+mod signed;
 mod site_store;
 
 pub use admin::serve_admin;
 pub use behaviour::Behaviour;
 pub use behaviour::Fault;
+pub use crashing::CrashingSearcher;
+pub use crashing::CrashingSpec;
+pub use crashing::StartedRequest;
 pub use layout::Deployment;
 pub use layout::Layout;
 pub use layout::SearcherSpec;
-pub use mortal::Begun;
-pub use mortal::MortalSearcher;
-pub use mortal::MortalSpec;
 pub use net::Client;
 pub use platform::Platform;
 pub use searchers::Searchers;
 pub use searchers::Tally;
-pub use site::FATAL;
-pub use site::Manner;
-pub use site::SignedSearcher;
-pub use site::entry_at;
-pub use site_store::Away;
+pub use signed::FATAL;
+pub use signed::ReplyMode;
+pub use signed::SignedSearcher;
+pub use signed::upstream_entry;
+pub use site_store::Outage;
 pub use site_store::SiteStore;
