--- a/crates/harefield/src/daemon/mod.rs
+++ b/crates/harefield/src/daemon/mod.rs
@@ -1,6 +1,6 @@
-//! A daemon: one thread for each duty and each worker, connected by bounded channels.
+//! A daemon: the threads below, connected by bounded channels.
 //!
-//! | thread | duty |
+//! | thread | task |
 //! |---|---|
 //! | `accept` | accepts connections of callers and peers and distributes them among the workers |
 //! | `worker-N` | runs requests |
--- a/crates/harefield/src/daemon/start.rs
+++ b/crates/harefield/src/daemon/start.rs
@@ -88,7 +88,7 @@
 /// How a planned stop ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopOutcome {
-    /// All requests and connections ended by themselves.
+    /// All requests and connections ended within the stop limit.
     Complete,
     /// The stop limit passed or a second signal came while workers were still serving.
     Interrupted,
@@ -112,9 +112,9 @@
         operators: bind(settings.listen.operators)?,
     };
     let addresses = Addresses {
-        callers: local(&listeners.callers)?,
-        peers: local(&listeners.peers)?,
-        operators: local(&listeners.operators)?,
+        callers: local_address(&listeners.callers)?,
+        peers: local_address(&listeners.peers)?,
+        operators: local_address(&listeners.operators)?,
     };
     let host: HostId = settings.listen.known_as.unwrap_or(addresses.peers).to_string().into();
     logs::start(settings.log.level, Arc::clone(&host))
@@ -163,7 +163,7 @@
     TcpListener::bind(address).map_err(|source| DaemonError::Bind { address, source })
 }
 
-fn local(listener: &TcpListener) -> Result<SocketAddr, DaemonError> {
+fn local_address(listener: &TcpListener) -> Result<SocketAddr, DaemonError> {
     listener.local_addr().map_err(|source| DaemonError::System { what: "address".to_owned(), source })
 }
 
--- a/crates/harefield/src/telemetry/board.rs
+++ b/crates/harefield/src/telemetry/board.rs
@@ -35,9 +35,9 @@
 pub struct ConfigStatus {
     /// The revision in force; absent before the first.
     pub revision: Option<Revision>,
-    /// The newest revision received, valid or not.
+    /// The newest revision received from the platform, valid or not.
     pub seen: Option<Revision>,
-    /// The last rejected revision, while no newer one is in force.
+    /// The newest rejected revision, while it is newer than the one in force.
     pub refused: Option<Revision>,
     /// Why it was rejected.
     pub faults: Vec<ResourceError>,
--- a/crates/harefield/src/telemetry/trace.rs
+++ b/crates/harefield/src/telemetry/trace.rs
@@ -30,8 +30,8 @@
 }
 
 impl<C: Clock> Trace<C> {
-    /// Creates the trace of a request, or of no request; without `detail`, events that
-    /// [`Event::is_detail`] are left out.
+    /// Creates the trace of a request, or of no request; without `detail`, events for
+    /// which [`Event::is_detail`] is true are left out.
     #[must_use]
     pub fn new(
         request: Option<RequestId>,
