--- a/crates/harefield/src/telemetry/board.rs
+++ b/crates/harefield/src/telemetry/board.rs
@@ -10,8 +10,6 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::store::Store;
-use super::tally::LookupStatus;
 use crate::adapters::metrics::Metrics;
 use crate::domain::code::Code;
 use crate::domain::event::Event;
@@ -25,6 +23,8 @@
 use crate::domain::resources::ResourceError;
 use crate::domain::resources::ResourceSet;
 use crate::domain::revision::Revision;
+use super::store::Store;
+use super::tally::LookupStatus;
 
 /// At this many counted accounts, those that the active configuration no longer has are dropped.
 const MAX_ACCOUNTS: usize = 4096;
@@ -35,9 +35,9 @@
 pub struct ConfigStatus {
     /// The revision in force; absent before the first.
     pub revision: Option<Revision>,
-    /// The newest revision received, valid or not.
+    /// The newest revision received from the platform, valid or not.
     pub seen: Option<Revision>,
-    /// The last rejected revision, while no newer one is in force.
+    /// The newest rejected revision, while it is newer than the one in force.
     pub refused: Option<Revision>,
     /// Why it was rejected.
     pub faults: Vec<ResourceError>,
