--- a/crates/harefield/src/telemetry/board.rs
+++ b/crates/harefield/src/telemetry/board.rs
@@ -10,6 +10,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use super::store::Store;
+use super::tally::LookupStatus;
 use crate::adapters::metrics::Metrics;
 use crate::domain::code::Code;
 use crate::domain::event::Event;
@@ -23,8 +25,6 @@
 use crate::domain::resources::ResourceError;
 use crate::domain::resources::ResourceSet;
 use crate::domain::revision::Revision;
-use super::store::Store;
-use super::tally::LookupStatus;
 
 /// At this many counted accounts, those that the active configuration no longer has are dropped.
 const MAX_ACCOUNTS: usize = 4096;
