--- a/crates/harefield/tests/soak/callers.rs
+++ b/crates/harefield/tests/soak/callers.rs
@@ -13,39 +13,39 @@
 use rand::rngs::StdRng;
 
 use crate::client::Connection;
-use crate::client::Ending;
+use crate::client::RequestOutcome;
+use crate::cluster::Cluster;
 use crate::configuration::STEADY_KEY;
 use crate::configuration::key_of;
-use crate::ledger::Fatal;
+use crate::ledger::FatalRequest;
 use crate::ledger::KeyUse;
 use crate::ledger::Ledger;
 use crate::ledger::Request;
 use crate::ledger::Route;
-use crate::world::World;
 
 /// What a caller says it waits.
 const DEADLINE: Duration = Duration::from_millis(1500);
 
 /// How long it waits in truth: a daemon may not hold a request longer than its
 /// route's 1,000 ms and half a second; the rest is for a busy machine.
-const WAIT: Duration = Duration::from_millis(3500);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(3500);
 
 /// The most requests that are sent on one connection.
-const MOST_KEPT: u32 = 20;
+const MAX_REUSE: u32 = 20;
 
 /// How often each daemon is asked for the version in force.
-const WATCH_EVERY: Duration = Duration::from_millis(120);
+const WATCH_INTERVAL: Duration = Duration::from_millis(120);
 
 /// What all callers share.
 #[derive(Clone, Debug)]
-pub(crate) struct Calling {
-    pub world: Arc<World>,
+pub(crate) struct CallerContext {
+    pub cluster: Arc<Cluster>,
     pub ledger: Arc<Ledger>,
     pub done: Arc<AtomicBool>,
     pub seed: u64,
 }
 
-impl Calling {
+impl CallerContext {
     /// Starts callers of any daemon, one for each daemon that asks for the version in
     /// force, one whose requests end upstreams, and one that shows keys old and new.
     pub fn start(&self, callers: u64) -> Vec<JoinHandle<()>> {
@@ -53,15 +53,15 @@
             let this = self.clone();
             std::thread::spawn(move || this.call(number))
         });
-        let watchers = (0..self.world.nodes.len()).map(|node| {
+        let watchers = (0..self.cluster.nodes.len()).map(|node| {
             let this = self.clone();
-            std::thread::spawn(move || this.watch(node))
+            std::thread::spawn(move || this.poll_version(node))
         });
         let this = self.clone();
-        let ending = std::thread::spawn(move || this.end_upstreams());
+        let fatal = std::thread::spawn(move || this.send_fatal());
         let this = self.clone();
-        let keys = std::thread::spawn(move || this.show_keys());
-        any.chain(watchers).chain([ending, keys]).collect()
+        let keys = std::thread::spawn(move || this.send_keys());
+        any.chain(watchers).chain([fatal, keys]).collect()
     }
 
     fn is_done(&self) -> bool {
@@ -70,22 +70,22 @@
 
     fn call(&self, number: u64) {
         let mut random = StdRng::seed_from_u64(self.seed ^ (number + 1).wrapping_mul(0x9e37_79b9));
-        let mut asked = 0;
+        let mut count = 0;
         while !self.is_done() {
-            let daemon = random.random_range(0..self.world.nodes.len());
-            let Some(mut connection) = Connection::open(self.world.nodes[daemon].callers) else {
+            let daemon = random.random_range(0..self.cluster.nodes.len());
+            let Some(mut connection) = Connection::open(self.cluster.nodes[daemon].callers) else {
                 std::thread::sleep(Duration::from_millis(20));
                 continue;
             };
-            for _ in 0..random.random_range(1..=MOST_KEPT) {
+            for _ in 0..random.random_range(1..=MAX_REUSE) {
                 let route = match random.random_range(0..10) {
                     0..6 => Route::All,
                     6..8 => Route::One,
                     _ => Route::Once,
                 };
-                asked += 1;
-                let id = format!("c{number}n{asked}");
-                if self.is_done() || !self.ask(&mut connection, daemon, route, id) {
+                count += 1;
+                let id = format!("c{number}n{count}");
+                if self.is_done() || !self.send_request(&mut connection, daemon, route, id) {
                     break;
                 }
                 std::thread::sleep(Duration::from_millis(random.random_range(2..25)));
@@ -94,67 +94,68 @@
     }
 
     /// Lets two requests that end who runs them come again and again, at any daemon.
-    fn end_upstreams(&self) {
+    fn send_fatal(&self) {
         let mut random = StdRng::seed_from_u64(self.seed.rotate_left(13));
-        let mut asked = 0;
+        let mut count = 0;
         while !self.is_done() {
             std::thread::sleep(Duration::from_millis(random.random_range(200..1200)));
-            let daemon = random.random_range(0..self.world.nodes.len());
+            let daemon = random.random_range(0..self.cluster.nodes.len());
             let path = if random.random_bool(0.5) { "/all/fatal" } else { "/one/fatal" };
-            let Some(mut connection) = Connection::open(self.world.nodes[daemon].callers) else { continue };
-            asked += 1;
-            let id = format!("f{asked}");
-            self.ledger.pages().fatal.push(Fatal { id: id.clone(), path, daemon });
-            connection.ask(&head(path, &id), WAIT);
+            let Some(mut connection) = Connection::open(self.cluster.nodes[daemon].callers) else { continue };
+            count += 1;
+            let id = format!("f{count}");
+            self.ledger.observations().fatal.push(FatalRequest { id: id.clone(), path, daemon });
+            connection.send(&head(path, &id), RESPONSE_TIMEOUT);
         }
     }
 
     /// Shows the keys of the last few versions, some of which were taken away, to any daemon.
-    fn show_keys(&self) {
+    fn send_keys(&self) {
         let mut random = StdRng::seed_from_u64(self.seed.rotate_left(29));
-        let mut asked = 0;
+        let mut count = 0;
         while !self.is_done() {
             std::thread::sleep(Duration::from_millis(random.random_range(40..160)));
-            let daemon = random.random_range(0..self.world.nodes.len());
-            let version = self.world.version().saturating_sub(random.random_range(0..5));
-            let Some(mut connection) = Connection::open(self.world.nodes[daemon].callers) else { continue };
-            asked += 1;
+            let daemon = random.random_range(0..self.cluster.nodes.len());
+            let version = self.cluster.version().saturating_sub(random.random_range(0..5));
+            let Some(mut connection) = Connection::open(self.cluster.nodes[daemon].callers) else { continue };
+            count += 1;
             let sent = Instant::now();
-            let ending = connection.ask(&head_with(&key_of(version), "/one/x", &format!("k{asked}")), WAIT);
-            let shown = KeyUse { version, daemon, sent, ended: Instant::now(), ending };
-            self.ledger.pages().keys.push(shown);
+            let outcome = connection
+                .send(&head_with(&key_of(version), "/one/x", &format!("k{count}")), RESPONSE_TIMEOUT);
+            let key_use = KeyUse { version, daemon, sent, ended: Instant::now(), outcome };
+            self.ledger.observations().keys.push(key_use);
         }
     }
 
-    fn watch(&self, daemon: usize) {
-        let mut asked = 0;
+    fn poll_version(&self, daemon: usize) {
+        let mut count = 0;
         while !self.is_done() {
-            std::thread::sleep(WATCH_EVERY);
-            asked += 1;
-            if let Some(mut connection) = Connection::open(self.world.nodes[daemon].callers) {
-                self.ask(&mut connection, daemon, Route::Version, format!("w{daemon}n{asked}"));
+            std::thread::sleep(WATCH_INTERVAL);
+            count += 1;
+            if let Some(mut connection) = Connection::open(self.cluster.nodes[daemon].callers) {
+                self.send_request(&mut connection, daemon, Route::Version, format!("w{daemon}n{count}"));
             }
         }
     }
 
     /// Sends one request; returns whether the connection may carry another.
-    fn ask(&self, connection: &mut Connection, daemon: usize, route: Route, id: String) -> bool {
+    fn send_request(&self, connection: &mut Connection, daemon: usize, route: Route, id: String) -> bool {
         let path = match route {
             Route::All => "/all/x",
             Route::One => "/one/x",
             Route::Once => "/one/once/x",
             Route::Version => "/version/x",
         };
-        let node = &self.world.nodes[daemon];
-        let (life, sent) = (node.life(), Instant::now());
-        let ending = connection.ask(&head(path, &id), WAIT);
-        let kept = match &ending {
-            Ending::Answered(answer) => !answer.header("connection").eq_ignore_ascii_case("close"),
+        let node = &self.cluster.nodes[daemon];
+        let (incarnation, sent) = (node.incarnation(), Instant::now());
+        let outcome = connection.send(&head(path, &id), RESPONSE_TIMEOUT);
+        let reusable = match &outcome {
+            RequestOutcome::Answered(answer) => !answer.header("connection").eq_ignore_ascii_case("close"),
             _ => false,
         };
-        let request = Request { id, route, daemon, life, sent, ended: Instant::now(), ending };
-        self.ledger.pages().requests.push(request);
-        kept
+        let request = Request { id, route, daemon, incarnation, sent, ended: Instant::now(), outcome };
+        self.ledger.observations().requests.push(request);
+        reusable
     }
 }
 
--- a/crates/harefield/tests/soak/checks/extra.rs
+++ b/crates/harefield/tests/soak/checks/extra_load.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use super::Broken;
 use super::Checks;
+use super::Violation;
 use super::float;
-use crate::world::SLACK;
+use crate::cluster::EXTRA_SLACK;
 
 /// The window of the extra load.
 const WINDOW: Duration = Duration::from_secs(10);
@@ -25,7 +25,7 @@
 
 impl Checks<'_> {
     /// What is sent again stays within a share of the requests and the slack.
-    pub(super) fn extra_load(&mut self) {
+    pub(super) fn check_load(&mut self) {
         let mut by_service: BTreeMap<&str, Vec<Arrival>> = BTreeMap::new();
         for runs in self.runs.values() {
             let first = self.first_runs(runs);
@@ -37,9 +37,9 @@
         }
         for (service, mut arrivals) in by_service {
             arrivals.sort_unstable();
-            if let Some((extra, needed)) = over_bound(&arrivals) {
-                let what = format!("{service}: {extra} beside {needed}");
-                self.broken.push(Broken { promise: "extra load", what });
+            if let Some((extra, needed)) = first_excess(&arrivals) {
+                let detail = format!("{service}: {extra} beside {needed}");
+                self.violations.push(Violation { promise: "extra load", detail });
             }
         }
     }
@@ -48,8 +48,8 @@
     fn first_runs(&self, runs: &[(String, Instant)]) -> BTreeMap<&str, Instant> {
         let mut first = BTreeMap::new();
         for (name, at) in runs {
-            let held = first.entry(self.service_of(name)).or_insert(*at);
-            *held = (*held).min(*at);
+            let earliest = first.entry(self.service_of(name)).or_insert(*at);
+            *earliest = (*earliest).min(*at);
         }
         first
     }
@@ -57,7 +57,7 @@
 
 /// Returns how many arrivals are extra and how many needed at the first moment at
 /// which the window holds too many extra ones; none where it never does.
-fn over_bound(arrivals: &[Arrival]) -> Option<(usize, usize)> {
+fn first_excess(arrivals: &[Arrival]) -> Option<(usize, usize)> {
     let mut from = 0;
     for (at, newest) in arrivals.iter().enumerate() {
         while newest.at - arrivals[from].at > WINDOW {
@@ -65,7 +65,7 @@
         }
         let extra = arrivals[from..=at].iter().filter(|arrival| arrival.extra).count();
         let needed = needed_until(newest.at, &arrivals[..=at]);
-        if float(extra) > EXTRA_SHARE * float(needed) + SLACK {
+        if float(extra) > EXTRA_SHARE * float(needed) + EXTRA_SLACK {
             return Some((extra, needed));
         }
     }
@@ -76,6 +76,7 @@
 /// those of the window before count too.
 fn needed_until(moment: Instant, arrivals: &[Arrival]) -> usize {
     let earliest = moment.checked_sub(WINDOW * 2);
-    let counts = |held: &&Arrival| !held.extra && earliest.is_none_or(|earliest| held.at >= earliest);
+    let counts =
+        |arrival: &&Arrival| !arrival.extra && earliest.is_none_or(|earliest| arrival.at >= earliest);
     arrivals.iter().filter(counts).count()
 }
--- a/crates/harefield/tests/soak/checks/mod.rs
+++ b/crates/harefield/tests/soak/checks/mod.rs
@@ -6,8 +6,8 @@
 
 mod accounts;
 mod answers;
-mod extra;
-mod harm;
+mod extra_load;
+mod fatal;
 mod runs;
 mod versions;
 
@@ -16,68 +16,68 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::client::Ending;
-use crate::ledger::Pages;
+use crate::client::RequestOutcome;
+use crate::cluster::Upstream;
+use crate::ledger::Observations;
 use crate::ledger::Request;
-use crate::world::Upstream;
 
 /// Within this time a configuration is in force and no work reaches an upstream that
 /// is leaving.
-const IN_FORCE: Duration = Duration::from_secs(3);
+const ACTIVATION_LIMIT: Duration = Duration::from_secs(3);
 
 /// How long after a disturbance a daemon may act on what it missed.
-const AFTER: Duration = Duration::from_secs(2);
+const CATCH_UP_TIME: Duration = Duration::from_secs(2);
 
 /// A promise that was broken.
 #[derive(Clone, Debug)]
-pub(crate) struct Broken {
+pub(crate) struct Violation {
     pub promise: &'static str,
-    pub what: String,
+    pub detail: String,
 }
 
 /// Everything that the checks go by.
 pub(crate) struct Checks<'a> {
-    pages: &'a Pages,
+    observations: &'a Observations,
     upstreams: &'a BTreeMap<String, Upstream>,
     /// Where each request ran, and when.
     runs: HashMap<String, Vec<(String, Instant)>>,
-    broken: Vec<Broken>,
+    violations: Vec<Violation>,
 }
 
 impl<'a> Checks<'a> {
     /// Gathers what the upstreams ran.
-    pub fn new(pages: &'a Pages, upstreams: &'a BTreeMap<String, Upstream>) -> Self {
+    pub fn new(observations: &'a Observations, upstreams: &'a BTreeMap<String, Upstream>) -> Self {
         let mut runs: HashMap<String, Vec<(String, Instant)>> = HashMap::new();
         for (name, upstream) in upstreams {
             for (at, id) in upstream.inner.arrivals() {
                 runs.entry(id).or_default().push((name.clone(), at));
             }
         }
-        Self { pages, upstreams, runs, broken: Vec::new() }
+        Self { observations, upstreams, runs, violations: Vec::new() }
     }
 
     /// Checks everything; returns what was broken.
-    pub fn all(mut self, calm: Instant) -> Vec<Broken> {
-        for request in &self.pages.requests {
-            self.answer(request);
-            self.runs_of(request);
-            self.cut(request);
-            self.not_withheld(request);
+    pub fn run(mut self, calm: Instant) -> Vec<Violation> {
+        for request in &self.observations.requests {
+            self.check_answer(request);
+            self.check_runs(request);
+            self.check_completion(request);
+            self.check_withheld(request);
         }
-        self.versions();
-        self.named();
-        self.keys();
-        self.leaving();
-        self.extra_load();
-        self.harm();
-        self.foreign();
-        self.recovery(calm);
-        self.broken
+        self.check_versions();
+        self.check_accounts();
+        self.check_keys();
+        self.check_leaving();
+        self.check_load();
+        self.check_fatal();
+        self.check_foreign();
+        self.check_recovery(calm);
+        self.violations
     }
 
-    fn note(&mut self, promise: &'static str, request: &Request, what: &str) {
-        let what = format!("{} {:?} at daemon {}: {what}", request.id, request.route, request.daemon);
-        self.broken.push(Broken { promise, what });
+    fn report(&mut self, promise: &'static str, request: &Request, detail: &str) {
+        let detail = format!("{} {:?} at daemon {}: {detail}", request.id, request.route, request.daemon);
+        self.violations.push(Violation { promise, detail });
     }
 
     /// Returns the service that an upstream is of; empty where there is no such one.
@@ -86,14 +86,13 @@
     }
 
     /// Once all is calm, requests are served.
-    fn recovery(&mut self, calm: Instant) {
-        let after: Vec<&Request> = self.pages.requests.iter().filter(|r| r.sent > calm).collect();
-        let good =
-            |request: &&&Request| matches!(&request.ending, Ending::Answered(answer) if answer.status == 200);
-        let served = after.iter().filter(good).count();
+    fn check_recovery(&mut self, calm: Instant) {
+        let after: Vec<&Request> = self.observations.requests.iter().filter(|r| r.sent > calm).collect();
+        let is_served = |request: &&&Request| matches!(&request.outcome, RequestOutcome::Answered(answer) if answer.status == 200);
+        let served = after.iter().filter(is_served).count();
         if served * 10 < after.len() * 9 || after.is_empty() {
-            let what = format!("{served} of {} requests are served when all is calm", after.len());
-            self.broken.push(Broken { promise: "recovery", what });
+            let detail = format!("{served} of {} requests are served when all is calm", after.len());
+            self.violations.push(Violation { promise: "recovery", detail });
         }
     }
 }
--- a/crates/harefield/tests/soak/client.rs
+++ b/crates/harefield/tests/soak/client.rs
@@ -24,21 +24,21 @@
 impl Answer {
     /// Returns a header's value; empty where there is none.
     pub fn header(&self, name: &str) -> &str {
-        self.headers.iter().find(|(held, _)| held == name).map_or("", |(_, value)| value)
+        self.headers.iter().find(|(held_name, _)| held_name == name).map_or("", |(_, value)| value)
     }
 }
 
 /// What became of a request.
 #[derive(Clone, Debug)]
-pub(crate) enum Ending {
+pub(crate) enum RequestOutcome {
     /// It was answered.
     Answered(Answer),
     /// The connection ended before a whole answer.
-    Cut,
+    Disconnected,
     /// Nothing came in time.
-    Silent,
+    TimedOut,
     /// What came is no answer.
-    Garbled,
+    Malformed,
 }
 
 /// A caller's connection.
@@ -46,7 +46,7 @@
 pub(crate) struct Connection {
     stream: TcpStream,
     /// Bytes that came and belong to no answer yet.
-    ahead: Vec<u8>,
+    unread: Vec<u8>,
 }
 
 impl Connection {
@@ -54,63 +54,63 @@
     pub fn open(to: SocketAddr) -> Option<Self> {
         let stream = TcpStream::connect_timeout(&to, CONNECT_LIMIT).ok()?;
         stream.set_nodelay(true).ok()?;
-        Some(Self { stream, ahead: Vec::new() })
+        Some(Self { stream, unread: Vec::new() })
     }
 
     /// Sends a request and awaits its answer.
-    pub fn ask(&mut self, head: &str, limit: Duration) -> Ending {
-        if !self.ahead.is_empty() {
-            return Ending::Garbled;
+    pub fn send(&mut self, head: &str, limit: Duration) -> RequestOutcome {
+        if !self.unread.is_empty() {
+            return RequestOutcome::Malformed;
         }
         let timed = self.stream.set_read_timeout(Some(limit));
         if timed.is_err() || self.stream.write_all(head.as_bytes()).is_err() {
-            return Ending::Cut;
+            return RequestOutcome::Disconnected;
         }
         let mut bytes = Vec::new();
         loop {
             match parse(&bytes) {
-                Parsed::Whole(answer, length) => {
-                    self.ahead = bytes.split_off(length);
-                    return Ending::Answered(answer);
+                Parsed::Complete(answer, length) => {
+                    self.unread = bytes.split_off(length);
+                    return RequestOutcome::Answered(answer);
                 }
-                Parsed::Garbled => return Ending::Garbled,
-                Parsed::Short => {}
+                Parsed::Malformed => return RequestOutcome::Malformed,
+                Parsed::Incomplete => {}
             }
             let mut chunk = [0; CHUNK];
             match self.stream.read(&mut chunk) {
-                Ok(0) => return Ending::Cut,
+                Ok(0) => return RequestOutcome::Disconnected,
                 Ok(count) => bytes.extend_from_slice(&chunk[..count]),
                 Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                    return Ending::Silent;
+                    return RequestOutcome::TimedOut;
                 }
-                Err(_) => return Ending::Cut,
+                Err(_) => return RequestOutcome::Disconnected,
             }
         }
     }
 }
 
 enum Parsed {
-    Whole(Answer, usize),
-    Short,
-    Garbled,
+    Complete(Answer, usize),
+    Incomplete,
+    Malformed,
 }
 
 fn parse(bytes: &[u8]) -> Parsed {
     let Some(end) = bytes.windows(4).position(|four| four == b"\r\n\r\n") else {
         let begins = bytes.len() < 8 || bytes.starts_with(b"HTTP/1.1");
-        return if begins { Parsed::Short } else { Parsed::Garbled };
+        return if begins { Parsed::Incomplete } else { Parsed::Malformed };
     };
-    let Ok(head) = std::str::from_utf8(&bytes[..end]) else { return Parsed::Garbled };
+    let Ok(head) = std::str::from_utf8(&bytes[..end]) else { return Parsed::Malformed };
     let mut lines = head.split("\r\n");
     let status = lines.next().and_then(|line| line.strip_prefix("HTTP/1.1 ")?.get(..3)?.parse().ok());
-    let Some(status) = status else { return Parsed::Garbled };
+    let Some(status) = status else { return Parsed::Malformed };
     let pair = |line: &str| line.split_once(": ").map(|(n, v)| (n.to_ascii_lowercase(), v.to_owned()));
     let mut answer = Answer { status, headers: lines.filter_map(pair).collect(), body: Vec::new() };
-    let Ok(length) = answer.header("content-length").parse::<usize>() else { return Parsed::Garbled };
+    let Ok(length) = answer.header("content-length").parse::<usize>() else { return Parsed::Malformed };
     let whole = end + 4 + length;
     if bytes.len() < whole {
-        return Parsed::Short;
+        return Parsed::Incomplete;
     }
     answer.body = bytes[end + 4..whole].to_vec();
-    Parsed::Whole(answer, whole)
+    Parsed::Complete(answer, whole)
 }
--- a/crates/harefield/tests/soak/world.rs
+++ b/crates/harefield/tests/soak/cluster.rs
@@ -24,27 +24,27 @@
 use crate::locked::lock;
 use crate::node::Node;
 use crate::proxy;
-use crate::proxy::Opened;
+use crate::proxy::OpenedProxy;
 use crate::proxy::Proxy;
 
 /// The availability zones; the first two are of one region.
 pub(crate) const ZONES: [&str; 3] = ["z1", "z2", "z3"];
 
 /// How many records a merged answer keeps.
-pub(crate) const RECORDS: usize = 4;
+pub(crate) const RESULT_LIMIT: usize = 4;
 
 /// The least share of the shards that makes an answer.
-pub(crate) const LEAST_SHARE: f64 = 0.6;
+pub(crate) const MIN_SHARE: f64 = 0.6;
 
 /// The most upstreams that one request of a caller may be sent to, for each shard.
-pub(crate) const ATTEMPTS: usize = 2;
+pub(crate) const MAX_ATTEMPTS: usize = 2;
 
 /// What the fleet may send to one service on top of a fifth of its requests, in
 /// requests within ten seconds.
-pub(crate) const SLACK: f64 = 50.0;
+pub(crate) const EXTRA_SLACK: f64 = 50.0;
 
 /// What another writer does to an entry so that it is no upstream's.
-pub(crate) const SPOILS: [fn(&mut Value); 5] = [
+pub(crate) const CORRUPTIONS: [fn(&mut Value); 5] = [
     |entry| *entry = Value::Null,
     |entry| entry["zone"] = Value::Null,
     |entry| entry["slots"] = "two".into(),
@@ -53,13 +53,13 @@
 ];
 
 /// The name of a foreign entry begins so.
-pub(crate) const FOREIGN: &str = "i-foreign";
+pub(crate) const FOREIGN_PREFIX: &str = "i-foreign";
 
 /// How many daemons the others ask at the start.
-const SEEDS: usize = 3;
+const SEED_DAEMONS: usize = 3;
 
 /// How many upstreams take requests that are not merged.
-const PLAIN: usize = 3;
+const PLAIN_UPSTREAMS: usize = 3;
 
 /// One upstream.
 #[derive(Clone, Debug)]
@@ -73,7 +73,7 @@
 
 /// Everything that runs.
 #[derive(Debug)]
-pub(crate) struct World {
+pub(crate) struct Cluster {
     pub nodes: Vec<Node>,
     pub store: SiteStore,
     /// Every upstream that ever was.
@@ -82,44 +82,45 @@
     present: Mutex<Vec<String>>,
     shards: Mutex<Vec<String>>,
     version: AtomicU64,
-    named: AtomicU64,
-    serving: Sender<Opened>,
+    next_number: AtomicU64,
+    proxy_thread: Sender<OpenedProxy>,
     /// Where upstreams say that they run what they do not outlive.
-    ending: (Sender<String>, Receiver<String>),
+    crashes: (Sender<String>, Receiver<String>),
     program: PathBuf,
 }
 
-impl World {
+impl Cluster {
     /// Starts as many daemons with their stand-ins; settings and logs go to `folder`.
     pub fn start(daemons: usize, shards: usize, program: &Path, folder: &Path, ledger: &Ledger) -> Self {
-        let (store, serving) = (SiteStore::start(), proxy::start());
-        let open = |number| Node::open(number, &store, &serving, folder);
+        let (store, proxy_thread) = (SiteStore::start(), proxy::start());
+        let open = |number| Node::open(number, &store, &proxy_thread, folder);
         let nodes: Vec<Node> = (0..daemons).map(open).collect();
-        let seeds: Vec<SocketAddr> = nodes.iter().take(SEEDS).map(|node| node.peers.address()).collect();
+        let seeds: Vec<SocketAddr> =
+            nodes.iter().take(SEED_DAEMONS).map(|node| node.peers.address()).collect();
         for node in &nodes {
             node.write_settings(&seeds);
         }
-        let world = Self {
+        let cluster = Self {
             nodes,
             store,
             upstreams: Mutex::default(),
             present: Mutex::default(),
             shards: Mutex::default(),
             version: AtomicU64::new(0),
-            named: AtomicU64::new(0),
-            serving,
-            ending: async_channel::unbounded(),
+            next_number: AtomicU64::new(0),
+            proxy_thread,
+            crashes: async_channel::unbounded(),
             program: program.to_owned(),
         };
-        for number in 0..PLAIN {
-            world.add("plain", ZONES[number % ZONES.len()], &[5]);
+        for number in 0..PLAIN_UPSTREAMS {
+            cluster.add("plain", ZONES[number % ZONES.len()], &[5]);
         }
-        let first = world.make_shards(shards);
-        world.publish(Some(first), ledger);
-        for node in &world.nodes {
+        let first = cluster.make_shards(shards);
+        cluster.publish(Some(first), ledger);
+        for node in &cluster.nodes {
             node.start(program);
         }
-        world
+        cluster
     }
 
     /// Starts the process of a daemon again.
@@ -133,13 +134,13 @@
     }
 
     /// Awaits the next upstream that does not outlive what it runs, until none may come.
-    pub fn next_ending(&self) -> Option<String> {
-        self.ending.1.recv_blocking().ok()
+    pub fn next_crash(&self) -> Option<String> {
+        self.crashes.1.recv_blocking().ok()
     }
 
     /// Says that no more upstreams end by what they run.
-    pub fn stop_endings(&self) {
-        self.ending.0.close();
+    pub fn close_crashes(&self) {
+        self.crashes.0.close();
     }
 
     /// Returns the names of the upstreams that are listed and not leaving.
@@ -154,21 +155,21 @@
 
     /// Starts an upstream and lists it; returns its name.
     pub fn add(&self, service: &str, zone: &'static str, records: &[u8]) -> String {
-        let number = self.named.fetch_add(1, Ordering::SeqCst);
+        let number = self.next_number.fetch_add(1, Ordering::SeqCst);
         let name = format!("i-{number}");
         let inner = SignedSearcher::start(&name, records);
-        inner.set_fatal(self.ending.0.clone());
-        let proxy = Proxy::open(inner.address(), &self.serving);
+        inner.set_fatal(self.crashes.0.clone());
+        let proxy = Proxy::open(inner.address(), &self.proxy_thread);
         let service = service.to_owned();
         let upstream = Upstream { inner, service, zone, records: records.to_vec(), proxy };
         lock(&self.upstreams).insert(name.clone(), upstream);
         lock(&self.present).push(name.clone());
-        self.list(&name, "ready");
+        self.put_entry(&name, "ready");
         name
     }
 
     /// Lists an upstream in a state.
-    pub fn list(&self, name: &str, state: &str) {
+    pub fn put_entry(&self, name: &str, state: &str) {
         if let Some(upstream) = self.upstream(name) {
             let entry = entry_at(upstream.proxy.address(), upstream.zone, &upstream.service, state);
             self.store.put(&upstream.inner.key(), Some(&entry));
@@ -176,33 +177,33 @@
     }
 
     /// Lists something that is no upstream, at an address where one would be reached.
-    pub fn list_foreign(&self, number: usize, spoil: usize) {
-        let name = format!("{FOREIGN}-{number}");
+    pub fn put_foreign(&self, number: usize, corruption: usize) {
+        let name = format!("{FOREIGN_PREFIX}-{number}");
         let address = lock(&self.upstreams).values().next().map(|held| held.proxy.address());
         let Some(address) = address else { return };
         let mut entry = entry_at(address, ZONES[0], "plain", "ready");
-        SPOILS[spoil](&mut entry);
+        CORRUPTIONS[corruption](&mut entry);
         self.store.put(&format!("servers/{name}"), Some(&entry));
     }
 
     /// Writes something else over the entry of an upstream.
-    pub fn spoil(&self, name: &str, spoil: usize) {
+    pub fn corrupt(&self, name: &str, corruption: usize) {
         if let Some(upstream) = self.upstream(name) {
             let mut entry = entry_at(upstream.proxy.address(), upstream.zone, &upstream.service, "ready");
-            SPOILS[spoil](&mut entry);
+            CORRUPTIONS[corruption](&mut entry);
             self.store.put(&upstream.inner.key(), Some(&entry));
         }
     }
 
     /// Takes an upstream off the list.
-    pub fn unlist(&self, name: &str) {
+    pub fn remove_entry(&self, name: &str) {
         if let Some(upstream) = self.upstream(name) {
             self.store.put(&upstream.inner.key(), None);
         }
     }
 
     /// Notes that an upstream is leaving; returns whether it was present.
-    pub fn take_leave(&self, name: &str) -> bool {
+    pub fn remove_present(&self, name: &str) -> bool {
         let mut present = lock(&self.present);
         let before = present.len();
         present.retain(|held| held != name);
@@ -211,7 +212,7 @@
 
     /// Starts the upstreams of a new set of shards; returns its services.
     pub fn make_shards(&self, count: usize) -> Vec<String> {
-        let set = self.named.fetch_add(1, Ordering::SeqCst);
+        let set = self.next_number.fetch_add(1, Ordering::SeqCst);
         let services: Vec<String> = (0..count).map(|shard| format!("s{set}-{shard}")).collect();
         for (shard, service) in services.iter().enumerate() {
             let high = u8::try_from(shard * 7 % 200 + 10).unwrap_or(u8::MAX);
@@ -225,16 +226,20 @@
     /// Publishes a new version, with another set of shards where one is given;
     /// returns the set that it takes the place of.
     pub fn publish(&self, shards: Option<Vec<String>>, ledger: &Ledger) -> Vec<String> {
-        let mut held = lock(&self.shards);
-        let before = held.clone();
+        let mut current = lock(&self.shards);
+        let before = current.clone();
         if let Some(shards) = shards {
-            *held = shards;
+            *current = shards;
         }
         let version = self.version.fetch_add(1, Ordering::SeqCst) + 1;
         self.add(&format!("version-{version}"), ZONES[0], &[1]);
-        let config = configuration(version, &held, &services(&lock(&self.upstreams)));
+        let config = configuration(version, &current, &services(&lock(&self.upstreams)));
         self.store.put("op/config", Some(&config));
-        ledger.pages().published.push(Published { version, at: Instant::now(), shards: held.clone() });
+        ledger.observations().published.push(Published {
+            version,
+            at: Instant::now(),
+            shards: current.clone(),
+        });
         before
     }
 
@@ -249,15 +254,15 @@
     }
 
     /// Ends every process.
-    pub fn end(&self) {
+    pub fn kill_daemons(&self) {
         self.nodes.iter().for_each(Node::kill);
     }
 }
 
 /// A soak that panics leaves no process behind.
-impl Drop for World {
+impl Drop for Cluster {
     fn drop(&mut self) {
-        self.end();
+        self.kill_daemons();
     }
 }
 
--- a/crates/harefield/tests/soak/configuration.rs
+++ b/crates/harefield/tests/soak/configuration.rs
@@ -5,9 +5,9 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::world::ATTEMPTS;
-use crate::world::LEAST_SHARE;
-use crate::world::RECORDS;
+use crate::cluster::MAX_ATTEMPTS;
+use crate::cluster::MIN_SHARE;
+use crate::cluster::RESULT_LIMIT;
 
 /// The connections that each upstream takes.
 const CONNECTIONS: u64 = 26;
@@ -30,7 +30,7 @@
 pub(crate) const STEADY: &str = "steady";
 
 /// The two accounts that keys move between; each begins so.
-pub(crate) const TURN: &str = "turn-";
+pub(crate) const ROTATING_PREFIX: &str = "turn-";
 
 /// Returns the key that comes with a version, moves to another account with the next one, and
 /// is taken away with the one after.
@@ -42,15 +42,15 @@
     let keys = [key_of(version), key_of(version.saturating_sub(1))];
     [
         json!({ "name": STEADY, "apiKeys": [STEADY_KEY], "ratePerS": 0 }),
-        json!({ "name": format!("{TURN}{}", version % 2), "apiKeys": keys, "priority": 1, "ratePerS": 0 }),
+        json!({ "name": format!("{ROTATING_PREFIX}{}", version % 2), "apiKeys": keys, "priority": 1, "ratePerS": 0 }),
     ]
 }
 
 fn routes(version: u64, shards: &[String]) -> [Value; 4] {
     let mut all = route("all", "/all/", "safe", 1);
     all["fanoutServices"] = json!(shards);
-    all["resultLimit"] = json!(RECORDS);
-    all["oldestVersion"] = json!(LEAST_SHARE);
+    all["resultLimit"] = json!(RESULT_LIMIT);
+    all["oldestVersion"] = json!(MIN_SHARE);
     let own = format!("version-{version}");
     [
         all,
@@ -68,7 +68,7 @@
 fn route(name: &str, path: &str, kind: &str, priority: u64) -> Value {
     json!({
         "name": name, "host": "x.example", "pathPrefix": path, "kind": kind, "timeoutMs": 1000,
-        "targetLatencyMs": 300, "priority": priority, "attempts": ATTEMPTS,
+        "targetLatencyMs": 300, "priority": priority, "attempts": MAX_ATTEMPTS,
     })
 }
 
--- a/crates/harefield/tests/soak/draw.rs
+++ b/crates/harefield/tests/soak/draw.rs
@@ -8,7 +8,7 @@
 use rand::seq::index::sample;
 use standin::Manner as Conduct;
 
-use crate::proxy::Manner;
+use crate::proxy::LinkMode;
 
 /// How an upstream may behave for a while.
 const CONDUCTS: [Conduct; 5] =
@@ -26,41 +26,41 @@
     /// A daemon is told to reload.
     Reload(usize),
     /// A daemon's way to the store is disturbed.
-    StoreLink(usize, Link),
+    StoreLink(usize, LinkFault),
     /// The store is away.
     StoreDown,
     /// The store takes what comes and never answers it, also when it speaks again.
     StoreSilent,
     /// The store forgets its past.
-    StoreForgets,
+    StoreCompacts,
     /// The way to a daemon is disturbed for the others.
-    PeerLink(usize, Link),
+    PeerLink(usize, LinkFault),
     /// The way to an upstream is disturbed.
-    UpstreamLink(String, Link),
+    UpstreamLink(String, LinkFault),
     /// An upstream behaves in another way, and is slow by some time.
     Conduct(String, Conduct, Duration),
     /// An upstream says that it leaves, and another one takes its place.
     Drain(String),
     /// An upstream is gone at once, and another one takes its place.
-    Vanish(String),
+    Remove(String),
     /// A new version of the configuration is published.
-    Change,
+    Publish,
     /// The same, with a new set of as many shards.
     Reshard(usize),
 }
 
 /// What is done to a way.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Link {
+pub(crate) enum LinkFault {
     /// Its proxy does this for a while.
-    Is(Manner),
+    Mode(LinkMode),
     /// All its connections end.
     Reset,
 }
 
 /// One thing of a storm: after a pause, a fault for a time.
 #[derive(Clone, Debug)]
-pub(crate) struct Stroke {
+pub(crate) struct StormEvent {
     pub pause: Duration,
     pub fault: Fault,
     pub time: Duration,
@@ -69,19 +69,19 @@
 /// Draws changes in series beside a store that goes silent, unless it is `spared`, and
 /// none, some or all of the daemons killed at one moment and started again. A silence may
 /// be longer than the 4 s that a watch waits, and changes go on after it.
-pub(crate) fn draw_storm(random: &mut StdRng, nodes: usize, spared: bool) -> Vec<Stroke> {
-    let mut span = |least: u64, most: u64| Duration::from_millis(random.random_range(least..most));
-    let silence = Stroke { pause: span(0, 500), fault: Fault::StoreSilent, time: span(500, 6000) };
+pub(crate) fn draw_storm(random: &mut StdRng, nodes: usize, spared: bool) -> Vec<StormEvent> {
+    let mut span = |min: u64, max: u64| Duration::from_millis(random.random_range(min..max));
+    let silence = StormEvent { pause: span(0, 500), fault: Fault::StoreSilent, time: span(500, 6000) };
     let (pause, time) = (span(0, 1500), span(200, 1000));
-    let mut strokes = if spared { Vec::new() } else { vec![silence] };
+    let mut events = if spared { Vec::new() } else { vec![silence] };
     let killed = random.random_range(0..=nodes);
-    let kill = |node| Stroke { pause, fault: Fault::Kill(node), time };
-    strokes.extend(sample(random, nodes, killed).into_iter().map(kill));
+    let kill = |node| StormEvent { pause, fault: Fault::Kill(node), time };
+    events.extend(sample(random, nodes, killed).into_iter().map(kill));
     for _ in 0..random.random_range(4..12) {
         let pause = Duration::from_millis(random.random_range(0..8000));
-        strokes.push(Stroke { pause, fault: Fault::Change, time: Duration::ZERO });
+        events.push(StormEvent { pause, fault: Fault::Publish, time: Duration::ZERO });
     }
-    strokes
+    events
 }
 
 /// Draws what goes wrong next, at one of so many daemons or one of the upstreams
@@ -106,13 +106,13 @@
         5 => Fault::Reload(node),
         6 | 7 => Fault::StoreLink(node, draw_link(random)),
         8 => Fault::StoreDown,
-        9 => Fault::StoreForgets,
+        9 => Fault::StoreCompacts,
         10 | 11 => Fault::PeerLink(node, draw_link(random)),
         12..15 => Fault::UpstreamLink(upstream, draw_link(random)),
         15..18 => draw_conduct(random, upstream),
         18 | 19 => Fault::Drain(upstream),
-        20 => Fault::Vanish(upstream),
-        21 | 22 => Fault::Change,
+        20 => Fault::Remove(upstream),
+        21 | 22 => Fault::Publish,
         _ => Fault::Reshard(random.random_range(4..9)),
     }
 }
@@ -122,13 +122,13 @@
     Fault::Conduct(upstream, *CONDUCTS.choose(random).unwrap_or(&Conduct::Good), delay)
 }
 
-fn draw_link(random: &mut StdRng) -> Link {
+fn draw_link(random: &mut StdRng) -> LinkFault {
     match random.random_range(0..6) {
-        0 => Link::Reset,
-        1 => Link::Is(Manner::Refuse),
-        2 => Link::Is(Manner::Delay(Duration::from_millis(random.random_range(5..150)))),
-        3 => Link::Is(Manner::Silent { there: true, back: false }),
-        4 => Link::Is(Manner::Silent { there: false, back: true }),
-        _ => Link::Is(Manner::Silent { there: true, back: true }),
+        0 => LinkFault::Reset,
+        1 => LinkFault::Mode(LinkMode::Refuse),
+        2 => LinkFault::Mode(LinkMode::Delay(Duration::from_millis(random.random_range(5..150)))),
+        3 => LinkFault::Mode(LinkMode::Silent { requests: true, responses: false }),
+        4 => LinkFault::Mode(LinkMode::Silent { requests: false, responses: true }),
+        _ => LinkFault::Mode(LinkMode::Silent { requests: true, responses: true }),
     }
 }
--- a/crates/harefield/tests/soak/drills.rs
+++ b/crates/harefield/tests/soak/drills.rs
@@ -11,7 +11,7 @@
 
 use crate::draw::Fault;
 use crate::faults::Faults;
-use crate::ledger::Kind;
+use crate::ledger::Scope;
 
 /// One drill.
 #[derive(Clone, Copy, Debug)]
@@ -22,16 +22,16 @@
     /// How long it is away.
     time: Duration,
     /// How long after its return operators and upstreams write again.
-    again: Duration,
+    rewrite_delay: Duration,
     /// Whether all daemons are killed beside it.
-    kills: bool,
+    kills_all: bool,
 }
 
 fn draw(random: &mut StdRng) -> Drill {
-    let mut span = |least: u64, most: u64| Duration::from_millis(random.random_range(least..most));
-    let (age, time, again) = (span(0, 8000), span(100, 2500), span(0, 1500));
+    let mut span = |min: u64, max: u64| Duration::from_millis(random.random_range(min..max));
+    let (age, time, rewrite_delay) = (span(0, 8000), span(100, 2500), span(0, 1500));
     let away = if random.random_bool(0.5) { Away::Silent } else { Away::Down };
-    Drill { age, away, time, again, kills: random.random_bool(0.2) }
+    Drill { age, away, time, rewrite_delay, kills_all: random.random_bool(0.2) }
 }
 
 /// Says whether a seed's store comes back from copies: where its storms leave it well, it
@@ -54,7 +54,7 @@
             self.drill(drill);
             for _ in 0..random.random_range(0..4) {
                 std::thread::sleep(Duration::from_millis(random.random_range(300..4000)));
-                self.world.publish(None, &self.ledger);
+                self.cluster.publish(None, &self.ledger);
             }
         }
     }
@@ -65,17 +65,17 @@
     /// one hides that.
     pub fn run_slow_day(&self, seed: u64, until: Instant) {
         let mut random = StdRng::seed_from_u64(seed.rotate_left(31));
-        let mut change_after = |least: u64, most: u64| {
-            std::thread::sleep(Duration::from_millis(random.random_range(least..most)));
-            self.world.publish(None, &self.ledger);
+        let mut change_after = |min: u64, max: u64| {
+            std::thread::sleep(Duration::from_millis(random.random_range(min..max)));
+            self.cluster.publish(None, &self.ledger);
         };
-        let mut drawn = StdRng::seed_from_u64(!seed.rotate_left(31));
+        let mut drill_random = StdRng::seed_from_u64(!seed.rotate_left(31));
         while Instant::now() < until {
             for _ in 0..7 {
                 change_after(900, 1300);
             }
-            let age = Duration::from_millis(drawn.random_range(5000..8000));
-            let drill = Drill { age, kills: false, ..draw(&mut drawn) };
+            let age = Duration::from_millis(drill_random.random_range(5000..8000));
+            let drill = Drill { age, kills_all: false, ..draw(&mut drill_random) };
             println!("slow day: drill {drill:?}");
             self.drill(drill);
             for _ in 0..3 {
@@ -85,14 +85,14 @@
     }
 
     fn drill(&self, drill: Drill) {
-        let Drill { age, away, time, again, kills } = drill;
-        self.during(Kind::Store, || {
-            let killing = kills.then(|| self.kill_all(time));
-            let store = &self.world.store;
+        let Drill { age, away, time, rewrite_delay, kills_all } = drill;
+        self.during(Scope::Store, || {
+            let restarts = kills_all.then(|| self.kill_daemons(time));
+            let store = &self.cluster.store;
             store.drill(store.copy_of(age), away, time);
-            std::thread::sleep(again);
+            std::thread::sleep(rewrite_delay);
             store.write_again();
-            for kill in killing.into_iter().flatten() {
+            for kill in restarts.into_iter().flatten() {
                 kill.join().expect("a daemon starts again");
             }
         });
@@ -102,23 +102,23 @@
     /// beside a drill.
     pub fn end_day(&self, seed: u64) {
         let mut random = StdRng::seed_from_u64(seed.rotate_left(43));
-        self.world.publish(None, &self.ledger);
+        self.cluster.publish(None, &self.ledger);
         if has_drills(seed) && random.random_bool(0.5) {
-            self.drill(Drill { kills: true, ..draw(&mut random) });
+            self.drill(Drill { kills_all: true, ..draw(&mut random) });
             return;
         }
         let time = Duration::from_millis(random.random_range(100..1500));
-        for kill in self.kill_all(time) {
+        for kill in self.kill_daemons(time) {
             kill.join().expect("a daemon starts again");
         }
     }
 
     /// Kills all daemons at one moment; they start again after a time.
-    fn kill_all(&self, time: Duration) -> Vec<std::thread::JoinHandle<()>> {
+    fn kill_daemons(&self, time: Duration) -> Vec<std::thread::JoinHandle<()>> {
         let kill = |node| {
             let this = self.clone();
-            std::thread::spawn(move || this.carry_out(Fault::Kill(node), time))
+            std::thread::spawn(move || this.apply(Fault::Kill(node), time))
         };
-        (0..self.world.nodes.len()).map(kill).collect()
+        (0..self.cluster.nodes.len()).map(kill).collect()
     }
 }
--- a/crates/harefield/tests/soak/faults.rs
+++ b/crates/harefield/tests/soak/faults.rs
@@ -14,37 +14,37 @@
 use rustix::process::Signal;
 use standin::Manner as Conduct;
 
+use crate::cluster::CORRUPTIONS;
+use crate::cluster::Cluster;
 use crate::draw::Fault;
-use crate::draw::Link;
-use crate::draw::Stroke;
+use crate::draw::LinkFault;
+use crate::draw::StormEvent;
 use crate::draw::draw;
 use crate::draw::draw_storm;
-use crate::ledger::Kind;
 use crate::ledger::Leaving;
 use crate::ledger::Ledger;
+use crate::ledger::Scope;
 use crate::node::Node;
-use crate::proxy::Manner;
+use crate::proxy::LinkMode;
 use crate::proxy::Proxy;
-use crate::world::SPOILS;
-use crate::world::World;
 
 /// How long a daemon is given after its start or wake before it is counted as well.
-const SETTLE: Duration = Duration::from_secs(2);
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 
 /// How long it is calm after a storm: what it disturbed is checked then.
-const CALM: Duration = Duration::from_secs(3);
+const CALM_TIME: Duration = Duration::from_secs(3);
 
 /// How long a planned stop may take: the limit of 5.5 s, and a busy machine.
 const STOP_LIMIT: Duration = Duration::from_secs(8);
 
 /// How long an upstream serves on after it said that it leaves: longer than the 3 s
 /// within which work must no longer reach it, so that what comes late is seen.
-const SERVES_ON: Duration = Duration::from_secs(7);
+const DRAIN_TIME: Duration = Duration::from_secs(7);
 
 /// Draws and carries out what goes wrong.
 #[derive(Clone, Debug)]
 pub(crate) struct Faults {
-    pub world: Arc<World>,
+    pub cluster: Arc<Cluster>,
     pub ledger: Arc<Ledger>,
 }
 
@@ -54,99 +54,99 @@
     pub fn run_storms(&self, seed: u64, until: Instant) {
         let mut random = StdRng::seed_from_u64(!seed);
         while Instant::now() < until {
-            let strokes = draw_storm(&mut random, self.world.nodes.len(), spares_silence(seed));
+            let events = draw_storm(&mut random, self.cluster.nodes.len(), skips_silence(seed));
             let under_way: Vec<JoinHandle<()>> =
-                strokes.into_iter().map(|stroke| self.strike(stroke)).collect();
-            for stroke in under_way {
-                stroke.join().expect("a stroke ends");
+                events.into_iter().map(|event| self.start_event(event)).collect();
+            for event in under_way {
+                event.join().expect("a stroke ends");
             }
-            std::thread::sleep(CALM);
+            std::thread::sleep(CALM_TIME);
         }
     }
 
-    fn strike(&self, stroke: Stroke) -> JoinHandle<()> {
-        println!("storm {:?} after {:?} for {:?}", stroke.fault, stroke.pause, stroke.time);
+    fn start_event(&self, event: StormEvent) -> JoinHandle<()> {
+        println!("storm {:?} after {:?} for {:?}", event.fault, event.pause, event.time);
         let this = self.clone();
         std::thread::spawn(move || {
-            std::thread::sleep(stroke.pause);
-            this.carry_out(stroke.fault, stroke.time);
+            std::thread::sleep(event.pause);
+            this.apply(event.fault, event.time);
         })
     }
 
     /// Lets things go wrong until `until`; returns what is still under way.
     pub fn run(&self, seed: u64, until: Instant) -> Vec<JoinHandle<()>> {
         let mut random = StdRng::seed_from_u64(seed);
-        let spared = spares_store(seed);
+        let skip_store = skips_store(seed);
         let mut under_way = Vec::new();
         while Instant::now() < until {
-            let fault = draw(&mut random, self.world.nodes.len(), &self.world.present(), spared);
+            let fault = draw(&mut random, self.cluster.nodes.len(), &self.cluster.present(), skip_store);
             let time = Duration::from_millis(random.random_range(100..2200));
             println!("fault {fault:?} for {time:?}");
             let this = self.clone();
-            under_way.push(std::thread::spawn(move || this.carry_out(fault, time)));
+            under_way.push(std::thread::spawn(move || this.apply(fault, time)));
             std::thread::sleep(Duration::from_millis(random.random_range(30..600)));
         }
         under_way
     }
 
-    pub(crate) fn carry_out(&self, fault: Fault, time: Duration) {
+    pub(crate) fn apply(&self, fault: Fault, time: Duration) {
         match fault {
-            Fault::Kill(node) => self.on_process(node, Kind::Daemon(node), |held| {
+            Fault::Kill(node) => self.on_process(node, Scope::Daemon(node), |held| {
                 held.kill();
                 std::thread::sleep(time);
-                self.world.restart(held);
-                std::thread::sleep(SETTLE);
+                self.cluster.restart(held);
+                std::thread::sleep(SETTLE_TIME);
             }),
-            Fault::Pause(node) => self.on_process(node, Kind::Daemon(node), |held| {
+            Fault::Pause(node) => self.on_process(node, Scope::Daemon(node), |held| {
                 held.signal(Signal::STOP);
                 std::thread::sleep(time);
                 held.signal(Signal::CONT);
-                std::thread::sleep(SETTLE);
+                std::thread::sleep(SETTLE_TIME);
             }),
-            Fault::Stop(node) => self.on_process(node, Kind::Stop(node), |held| {
+            Fault::Stop(node) => self.on_process(node, Scope::Stop(node), |held| {
                 held.signal(Signal::TERM);
                 if !held.await_end(STOP_LIMIT) {
                     println!("daemon {node} did not end in time");
                     held.kill();
                 }
                 std::thread::sleep(time);
-                self.world.restart(held);
-                std::thread::sleep(SETTLE);
+                self.cluster.restart(held);
+                std::thread::sleep(SETTLE_TIME);
             }),
-            Fault::Reload(node) => self.world.nodes[node].signal(Signal::HUP),
+            Fault::Reload(node) => self.cluster.nodes[node].signal(Signal::HUP),
             Fault::StoreLink(node, link) => {
-                self.on_link(Kind::StoreLink(node), &self.world.nodes[node].store, link, time);
+                self.on_link(Scope::StoreLink(node), &self.cluster.nodes[node].store, link, time);
             }
-            Fault::StoreDown => self.during(Kind::Store, || {
-                self.world.store.set_down(true);
+            Fault::StoreDown => self.during(Scope::Store, || {
+                self.cluster.store.set_down(true);
                 std::thread::sleep(time);
-                self.world.store.set_down(false);
+                self.cluster.store.set_down(false);
             }),
-            Fault::StoreSilent => self.during(Kind::Store, || {
-                self.world.store.set_silent(true);
+            Fault::StoreSilent => self.during(Scope::Store, || {
+                self.cluster.store.set_silent(true);
                 std::thread::sleep(time);
-                self.world.store.set_silent(false);
+                self.cluster.store.set_silent(false);
             }),
-            Fault::StoreForgets => self.world.store.forget(),
+            Fault::StoreCompacts => self.cluster.store.forget(),
             Fault::PeerLink(node, link) => {
-                self.on_link(Kind::Peers, &self.world.nodes[node].peers, link, time);
+                self.on_link(Scope::Peers, &self.cluster.nodes[node].peers, link, time);
             }
             Fault::UpstreamLink(name, link) => {
-                if let Some(upstream) = self.world.upstream(&name) {
-                    self.on_link(Kind::Upstreams, &upstream.proxy, link, time);
+                if let Some(upstream) = self.cluster.upstream(&name) {
+                    self.on_link(Scope::Upstreams, &upstream.proxy, link, time);
                 }
             }
             Fault::Conduct(name, conduct, delay) => {
-                if let Some(upstream) = self.world.upstream(&name) {
+                if let Some(upstream) = self.cluster.upstream(&name) {
                     upstream.inner.set(conduct, delay);
                     std::thread::sleep(time);
                     upstream.inner.set(Conduct::Good, Duration::ZERO);
                 }
             }
             Fault::Drain(name) => self.replace(&name, true),
-            Fault::Vanish(name) => self.replace(&name, false),
-            Fault::Change => {
-                self.world.publish(None, &self.ledger);
+            Fault::Remove(name) => self.replace(&name, false),
+            Fault::Publish => {
+                self.cluster.publish(None, &self.ledger);
             }
             Fault::Reshard(count) => self.reshard(count, time),
         }
@@ -162,16 +162,16 @@
             if Instant::now() >= until {
                 return;
             }
-            self.world.list_foreign(number, random.random_range(0..SPOILS.len()));
-            let present = self.world.present();
+            self.cluster.put_foreign(number, random.random_range(0..CORRUPTIONS.len()));
+            let present = self.cluster.present();
             let Some(name) = present.choose(&mut random).filter(|_| random.random_bool(0.3)) else {
                 continue;
             };
-            self.during(Kind::Upstreams, || {
-                self.world.spoil(name, random.random_range(0..SPOILS.len()));
+            self.during(Scope::Upstreams, || {
+                self.cluster.corrupt(name, random.random_range(0..CORRUPTIONS.len()));
                 std::thread::sleep(Duration::from_millis(random.random_range(100..1200)));
-                if self.world.present().contains(name) {
-                    self.world.list(name, "ready");
+                if self.cluster.present().contains(name) {
+                    self.cluster.put_entry(name, "ready");
                 }
             });
         }
@@ -179,110 +179,111 @@
 
     /// Ends upstreams that do not outlive what they run; another one takes the place of
     /// each after some time.
-    pub fn run_endings(&self, seed: u64) {
+    pub fn run_crashes(&self, seed: u64) {
         let mut random = StdRng::seed_from_u64(seed.rotate_left(7));
         let mut under_way = Vec::new();
-        while let Some(name) = self.world.next_ending() {
-            let gone = Duration::from_millis(random.random_range(300..1800));
+        while let Some(name) = self.cluster.next_crash() {
+            let downtime = Duration::from_millis(random.random_range(300..1800));
             let this = self.clone();
-            under_way.push(std::thread::spawn(move || this.end_upstream(&name, gone)));
+            under_way.push(std::thread::spawn(move || this.crash_upstream(&name, downtime)));
         }
         for ending in under_way {
             ending.join().expect("an upstream ends");
         }
     }
 
-    fn end_upstream(&self, name: &str, gone: Duration) {
-        let Some(upstream) = self.world.upstream(name) else { return };
-        self.during(Kind::Upstreams, || {
+    fn crash_upstream(&self, name: &str, downtime: Duration) {
+        let Some(upstream) = self.cluster.upstream(name) else { return };
+        self.during(Scope::Upstreams, || {
             upstream.proxy.end();
-            std::thread::sleep(gone);
-            if self.world.take_leave(name) {
-                self.world.add(&upstream.service, upstream.zone, &upstream.records);
+            std::thread::sleep(downtime);
+            if self.cluster.remove_present(name) {
+                self.cluster.add(&upstream.service, upstream.zone, &upstream.records);
             }
-            self.world.unlist(name);
+            self.cluster.remove_entry(name);
         });
     }
 
     /// Does something to a daemon's process, unless something is done to it.
-    fn on_process(&self, node: usize, kind: Kind, act: impl FnOnce(&Node)) {
-        let held = &self.world.nodes[node];
+    fn on_process(&self, node: usize, scope: Scope, act: impl FnOnce(&Node)) {
+        let held = &self.cluster.nodes[node];
         if held.busy.swap(true, Ordering::SeqCst) {
             return;
         }
-        self.during(kind, || act(held));
+        self.during(scope, || act(held));
         held.busy.store(false, Ordering::SeqCst);
     }
 
-    fn on_link(&self, kind: Kind, proxy: &Proxy, link: Link, time: Duration) {
-        self.during(kind, || match link {
-            Link::Is(manner) => {
-                proxy.set(manner);
+    fn on_link(&self, scope: Scope, proxy: &Proxy, link: LinkFault, time: Duration) {
+        self.during(scope, || match link {
+            LinkFault::Mode(mode) => {
+                proxy.set(mode);
                 std::thread::sleep(time);
-                proxy.set(Manner::Pass);
+                proxy.set(LinkMode::Pass);
             }
-            Link::Reset => proxy.reset(),
+            LinkFault::Reset => proxy.reset(),
         });
     }
 
-    pub(crate) fn during(&self, kind: Kind, act: impl FnOnce()) {
-        let number = self.ledger.begin(kind);
+    pub(crate) fn during(&self, scope: Scope, act: impl FnOnce()) {
+        let number = self.ledger.begin(scope);
         act();
         self.ledger.end(number);
     }
 
     /// Lets an upstream leave, by its own word or without any, and another one of
     /// its service take its place.
-    fn replace(&self, name: &str, says: bool) {
-        let Some(upstream) = self.world.upstream(name) else { return };
+    fn replace(&self, name: &str, announced: bool) {
+        let Some(upstream) = self.cluster.upstream(name) else { return };
         // What belongs to one version alone has no replica.
-        if upstream.service.starts_with("version-") || !self.world.take_leave(name) {
+        if upstream.service.starts_with("version-") || !self.cluster.remove_present(name) {
             return;
         }
-        self.world.add(&upstream.service, upstream.zone, &upstream.records);
-        if says {
+        self.cluster.add(&upstream.service, upstream.zone, &upstream.records);
+        if announced {
             std::thread::sleep(Duration::from_millis(300));
             self.leave(&[name.to_owned()]);
         } else {
-            upstream.proxy.set(Manner::Refuse);
+            upstream.proxy.set(LinkMode::Refuse);
             upstream.proxy.reset();
-            self.world.unlist(name);
+            self.cluster.remove_entry(name);
         }
     }
 
     fn leave(&self, names: &[String]) {
         for name in names {
-            self.world.list(name, "draining");
-            self.ledger.pages().leaving.push(Leaving { id: name.clone(), at: Instant::now() });
+            self.cluster.put_entry(name, "draining");
+            self.ledger.observations().leaving.push(Leaving { id: name.clone(), at: Instant::now() });
         }
-        std::thread::sleep(SERVES_ON);
+        std::thread::sleep(DRAIN_TIME);
         for name in names {
-            self.world.unlist(name);
+            self.cluster.remove_entry(name);
         }
     }
 
     fn reshard(&self, count: usize, time: Duration) {
-        let next = self.world.make_shards(count);
+        let next = self.cluster.make_shards(count);
         std::thread::sleep(time);
-        let before = self.world.publish(Some(next), &self.ledger);
+        let replaced = self.cluster.publish(Some(next), &self.ledger);
         // The old upstreams leave once the new version is due everywhere.
         std::thread::sleep(Duration::from_secs(3));
-        let of_before = |name: &String| {
-            self.world.upstream(name).is_some_and(|upstream| before.contains(&upstream.service))
+        let is_replaced = |name: &String| {
+            self.cluster.upstream(name).is_some_and(|upstream| replaced.contains(&upstream.service))
         };
-        let leaving: Vec<String> = self.world.present().into_iter().filter(of_before).collect();
-        let leaving: Vec<String> = leaving.into_iter().filter(|name| self.world.take_leave(name)).collect();
+        let leaving: Vec<String> = self.cluster.present().into_iter().filter(is_replaced).collect();
+        let leaving: Vec<String> =
+            leaving.into_iter().filter(|name| self.cluster.remove_present(name)).collect();
         self.leave(&leaving);
     }
 }
 
 /// Says whether a seed spares the store what is not a storm: every other one does.
-fn spares_store(seed: u64) -> bool {
+fn skips_store(seed: u64) -> bool {
     seed.is_multiple_of(2)
 }
 
 /// Says whether a seed's storms leave the store well: every fourth one's do, so that what
 /// must hold within seconds of its word can be checked at all times.
-fn spares_silence(seed: u64) -> bool {
+fn skips_silence(seed: u64) -> bool {
     seed.is_multiple_of(4)
 }
--- a/crates/harefield/tests/soak/ledger.rs
+++ b/crates/harefield/tests/soak/ledger.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::client::Ending;
+use crate::client::RequestOutcome;
 use crate::locked::lock;
 
 /// What a request asks for.
@@ -29,15 +29,15 @@
     /// The daemon that it was sent to.
     pub daemon: usize,
     /// Which of that daemon's processes.
-    pub life: u64,
+    pub incarnation: u64,
     pub sent: Instant,
     pub ended: Instant,
-    pub ending: Ending,
+    pub outcome: RequestOutcome,
 }
 
 /// What a disturbance strikes, for the checks that make allowance for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Kind {
+pub(crate) enum Scope {
     /// A daemon was paused or killed.
     Daemon(usize),
     /// A daemon is stopped as planned.
@@ -55,7 +55,7 @@
 /// A time in which something was disturbed.
 #[derive(Clone, Debug)]
 pub(crate) struct Disturbance {
-    pub kind: Kind,
+    pub scope: Scope,
     pub from: Instant,
     /// Open until it is over.
     pub until: Option<Instant>,
@@ -79,7 +79,7 @@
 
 /// A request that ends the upstreams that run it.
 #[derive(Clone, Debug)]
-pub(crate) struct Fatal {
+pub(crate) struct FatalRequest {
     pub id: String,
     pub path: &'static str,
     pub daemon: usize,
@@ -92,21 +92,21 @@
     pub daemon: usize,
     pub sent: Instant,
     pub ended: Instant,
-    pub ending: Ending,
+    pub outcome: RequestOutcome,
 }
 
 /// Everything that was written down.
 #[derive(Debug, Default)]
-pub(crate) struct Pages {
+pub(crate) struct Observations {
     pub requests: Vec<Request>,
     pub disturbances: Vec<Disturbance>,
     pub published: Vec<Published>,
     pub leaving: Vec<Leaving>,
-    pub fatal: Vec<Fatal>,
+    pub fatal: Vec<FatalRequest>,
     pub keys: Vec<KeyUse>,
 }
 
-impl Pages {
+impl Observations {
     /// Says whether anything of the kinds chosen was disturbed between two
     /// moments, or within `after` before.
     pub fn disturbed(
@@ -114,34 +114,34 @@
         from: Instant,
         until: Instant,
         after: Duration,
-        of: impl Fn(Kind) -> bool,
+        of: impl Fn(Scope) -> bool,
     ) -> bool {
         let touches = |d: &Disturbance| d.from <= until && d.until.is_none_or(|end| end + after >= from);
-        self.disturbances.iter().any(|d| of(d.kind) && touches(d))
+        self.disturbances.iter().any(|d| of(d.scope) && touches(d))
     }
 }
 
 /// What all threads write to.
 #[derive(Debug, Default)]
 pub(crate) struct Ledger {
-    pages: Mutex<Pages>,
+    observations: Mutex<Observations>,
 }
 
 impl Ledger {
     /// Returns everything that was written down until now.
-    pub fn pages(&self) -> MutexGuard<'_, Pages> {
-        lock(&self.pages)
+    pub fn observations(&self) -> MutexGuard<'_, Observations> {
+        lock(&self.observations)
     }
 
     /// Notes that a disturbance begins; returns its number.
-    pub fn begin(&self, kind: Kind) -> usize {
-        let mut pages = self.pages();
-        pages.disturbances.push(Disturbance { kind, from: Instant::now(), until: None });
-        pages.disturbances.len() - 1
+    pub fn begin(&self, scope: Scope) -> usize {
+        let mut observations = self.observations();
+        observations.disturbances.push(Disturbance { scope, from: Instant::now(), until: None });
+        observations.disturbances.len() - 1
     }
 
     /// Notes that a disturbance is over.
     pub fn end(&self, number: usize) {
-        self.pages().disturbances[number].until = Some(Instant::now());
+        self.observations().disturbances[number].until = Some(Instant::now());
     }
 }
--- a/crates/harefield/tests/soak/main.rs
+++ b/crates/harefield/tests/soak/main.rs
@@ -10,6 +10,7 @@
 mod callers;
 mod checks;
 mod client;
+mod cluster;
 mod configuration;
 mod draw;
 mod drills;
@@ -19,7 +20,6 @@
 mod node;
 mod proxy;
 mod run;
-mod world;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -29,7 +29,7 @@
 use lexopt::Parser;
 use lexopt::ValueExt;
 
-use crate::run::Soak;
+use crate::run::SoakOptions;
 use crate::run::play;
 
 const HELP: &str = "\
@@ -44,7 +44,7 @@
 ";
 
 /// The seeds that broke a promise once, with their causes.
-const SEEDS: &str = include_str!("seeds.txt");
+const KNOWN_SEEDS: &str = include_str!("seeds.txt");
 
 /// The seed that is played as a slow day in the short run.
 const SLOW_SEED: u64 = 3;
@@ -52,7 +52,7 @@
 type Failure = Box<dyn std::error::Error>;
 
 fn main() -> Result<ExitCode, Failure> {
-    let Some((first, seeds)) = read()? else {
+    let Some((first, seeds)) = parse_arguments()? else {
         print!("{HELP}");
         return Ok(ExitCode::SUCCESS);
     };
@@ -60,13 +60,13 @@
     for seed in seeds.iter().copied() {
         let folder = first.folder.join(format!("seed-{seed}"));
         let slow = first.slow || (is_short() && seed == SLOW_SEED);
-        let soak = Soak { seed, slow, folder: folder.clone(), ..first.clone() };
+        let soak = SoakOptions { seed, slow, folder: folder.clone(), ..first.clone() };
         let report = play(&soak);
         println!("seed {seed}: {} of {} requests served", report.served, report.requests);
-        for broken in &report.broken {
-            println!("seed {seed}: BROKEN {broken}");
+        for violation in &report.violations {
+            println!("seed {seed}: BROKEN {violation}");
         }
-        if report.broken.is_empty() {
+        if report.violations.is_empty() {
             std::fs::remove_dir_all(&folder)?;
         } else {
             failed.push(seed);
@@ -88,15 +88,15 @@
 }
 
 /// Returns the seeds that broke a promise once.
-fn kept() -> Result<Vec<u64>, Failure> {
-    let lines = SEEDS.lines().filter(|line| !line.starts_with('#'));
+fn known_seeds() -> Result<Vec<u64>, Failure> {
+    let lines = KNOWN_SEEDS.lines().filter(|line| !line.starts_with('#'));
     let numbers = lines.map(|line| line.split(' ').next().unwrap_or("").parse());
     Ok(numbers.collect::<Result<_, _>>()?)
 }
 
-fn read() -> Result<Option<(Soak, Vec<u64>)>, Failure> {
+fn parse_arguments() -> Result<Option<(SoakOptions, Vec<u64>)>, Failure> {
     let short = is_short();
-    let mut soak = Soak {
+    let mut soak = SoakOptions {
         seed: 1,
         slow: false,
         time: Duration::from_secs(if short { 5 } else { 12 }),
@@ -108,13 +108,13 @@
     };
     // The second seed's store is well but for its silences.
     let mut count = if short { SLOW_SEED } else { 1 };
-    let mut only_kept = false;
+    let mut only_known = false;
     let mut parser = Parser::from_env();
     while let Some(argument) = parser.next()? {
         match argument {
             Arg::Long("seed") => soak.seed = parser.value()?.parse()?,
             Arg::Long("slow") => soak.slow = true,
-            Arg::Long("kept") => only_kept = true,
+            Arg::Long("kept") => only_known = true,
             Arg::Long("skip") => drop(parser.value()?),
             Arg::Long("count") => count = parser.value()?.parse()?,
             Arg::Long("seconds") => soak.time = Duration::from_secs(parser.value()?.parse()?),
@@ -135,6 +135,6 @@
     if soak.daemons == 0 || soak.shards == 0 || soak.callers == 0 {
         return Err("--daemons, --callers and --shards must be at least 1".into());
     }
-    let seeds = if only_kept { kept()? } else { (soak.seed..soak.seed + count).collect() };
+    let seeds = if only_known { known_seeds()? } else { (soak.seed..soak.seed + count).collect() };
     Ok(Some((soak, seeds)))
 }
--- a/crates/harefield/tests/soak/node.rs
+++ b/crates/harefield/tests/soak/node.rs
@@ -22,17 +22,17 @@
 use rustix::process::kill_process;
 use standin::SiteStore;
 
+use crate::cluster::EXTRA_SLACK;
+use crate::cluster::ZONES;
 use crate::locked::lock;
-use crate::proxy::Opened;
+use crate::proxy::OpenedProxy;
 use crate::proxy::Proxy;
-use crate::world::SLACK;
-use crate::world::ZONES;
 
 /// How many daemons dial the upstreams of an index.
 const CELL_SIZE: usize = 3;
 
 /// How long one question whether a daemon is ready may take.
-const READY_WAIT: Duration = Duration::from_secs(1);
+const READY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// One daemon.
 #[derive(Debug)]
@@ -49,7 +49,7 @@
     /// Before the store, for this daemon alone.
     pub store: Proxy,
     /// Counts its processes.
-    life: AtomicU64,
+    incarnation: AtomicU64,
     /// Whether something is done to its process.
     pub busy: AtomicBool,
 }
@@ -57,7 +57,7 @@
 impl Node {
     /// Opens the proxies before a daemon and the store; settings and logs go to
     /// `folder`.
-    pub fn open(number: usize, store: &SiteStore, serving: &Sender<Opened>, folder: &Path) -> Self {
+    pub fn open(number: usize, store: &SiteStore, proxy_thread: &Sender<OpenedProxy>, folder: &Path) -> Self {
         let [callers, peers, operators] = addresses(number);
         Self {
             number,
@@ -66,9 +66,9 @@
             log: folder.join(format!("daemon-{number}.log")),
             callers,
             operators,
-            peers: Proxy::open(peers, serving),
-            store: Proxy::open(store.address(), serving),
-            life: AtomicU64::new(0),
+            peers: Proxy::open(peers, proxy_thread),
+            store: Proxy::open(store.address(), proxy_thread),
+            incarnation: AtomicU64::new(0),
             busy: AtomicBool::new(false),
         }
     }
@@ -83,7 +83,7 @@
              [listen]\ncallers = \"{callers}\"\npeers = \"{peers}\"\nknown-as = \"{}\"\noperators = \"{operators}\"\n\
              [platform]\nkind = \"store\"\naddresses = [\"{}\"]\nwatch-ms = 4000\nreaders = 1\n\
              [peers]\nseeds = [{}]\nexchange-ms = 1000\njoin-ms = 2000\ndaemons = 5\n\
-             [routing]\nextra-load = 0.2\nextra-slack = {SLACK}\ncell-size = {CELL_SIZE}\n\
+             [routing]\nextra-load = 0.2\nextra-slack = {EXTRA_SLACK}\ncell-size = {CELL_SIZE}\n\
              [stop]\nlinger-ms = 500\nlimit-ms = 5500\n[events]\ndetail-every = 1\n",
             self.peers.address(),
             self.store.address(),
@@ -93,8 +93,8 @@
     }
 
     /// Returns the number of the process that runs now.
-    pub fn life(&self) -> u64 {
-        self.life.load(Ordering::SeqCst)
+    pub fn incarnation(&self) -> u64 {
+        self.incarnation.load(Ordering::SeqCst)
     }
 
     /// Starts its process, unless one runs.
@@ -103,7 +103,7 @@
         if child.is_some() {
             return;
         }
-        self.life.fetch_add(1, Ordering::SeqCst);
+        self.incarnation.fetch_add(1, Ordering::SeqCst);
         let log = File::options().create(true).append(true).open(&self.log).expect("the log can be opened");
         let errors = log.try_clone().expect("the log can be shared");
         let started = Command::new(program)
@@ -149,17 +149,17 @@
 
     /// Says whether its process says that it is ready.
     pub fn is_ready(&self) -> bool {
-        let asked = standin::Client::once(self.operators, "GET", "/ready", "", READY_WAIT);
-        asked.is_some_and(|(status, _)| status == 200)
+        let reply = standin::Client::once(self.operators, "GET", "/ready", "", READY_TIMEOUT);
+        reply.is_some_and(|(status, _)| status == 200)
     }
 }
 
 /// Returns the addresses of a daemon, which it keeps over restarts: loopback ones of
 /// this soak alone, on ports that no connection is opened from.
 fn addresses(number: usize) -> [SocketAddr; 3] {
-    let own = std::process::id();
+    let process = std::process::id();
     let octet = |number: u32| u8::try_from(number % 250 + 1).unwrap_or(1);
     let last = octet(u32::try_from(number).unwrap_or(0));
-    let ip = Ipv4Addr::new(127, octet(own / 250), octet(own), last);
+    let ip = Ipv4Addr::new(127, octet(process / 250), octet(process), last);
     [7100, 7200, 7300].map(|port| SocketAddr::from((ip, port)))
 }
--- a/crates/harefield/tests/soak/proxy.rs
+++ b/crates/harefield/tests/soak/proxy.rs
@@ -22,14 +22,14 @@
 use crate::locked::lock;
 
 /// How often held bytes look whether they may go on.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Bytes read at a time.
 const CHUNK: usize = 16 << 10;
 
 /// What a proxy does to what goes through it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Manner {
+pub(crate) enum LinkMode {
     /// It hands everything on.
     #[default]
     Pass,
@@ -38,9 +38,9 @@
     /// It holds bytes in some directions, and new connections with them.
     Silent {
         /// Whether what callers send is held.
-        there: bool,
+        requests: bool,
         /// Whether what is answered is held.
-        back: bool,
+        responses: bool,
     },
     /// It closes new connections at once.
     Refuse,
@@ -48,7 +48,7 @@
 
 #[derive(Debug)]
 struct State {
-    manner: Manner,
+    mode: LinkMode,
     target: SocketAddr,
     /// Closed and replaced to end all connections.
     alive: (Sender<()>, Receiver<()>),
@@ -65,31 +65,31 @@
 
 /// A proxy's listener on its way to the thread that serves it.
 #[derive(Debug)]
-pub(crate) struct Opened {
+pub(crate) struct OpenedProxy {
     listener: TcpListener,
     proxy: Proxy,
 }
 
 #[derive(Clone, Copy)]
-enum Way {
-    There,
-    Back,
+enum Direction {
+    ToTarget,
+    ToCaller,
 }
 
 impl Proxy {
     /// Opens a proxy before an address, on the thread that serves all proxies.
-    pub fn open(target: SocketAddr, serving: &Sender<Opened>) -> Self {
+    pub fn open(target: SocketAddr, proxy_thread: &Sender<OpenedProxy>) -> Self {
         let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a port is free");
         let address = listener.local_addr().expect("it is bound");
         let state = State {
-            manner: Manner::Pass,
+            mode: LinkMode::Pass,
             target,
             alive: async_channel::bounded(1),
             listening: async_channel::bounded(1),
         };
         let proxy = Self { state: Arc::new(Mutex::new(state)), address };
-        let opened = Opened { listener, proxy: proxy.clone() };
-        serving.send_blocking(opened).expect("the proxies' thread runs");
+        let opened = OpenedProxy { listener, proxy: proxy.clone() };
+        proxy_thread.send_blocking(opened).expect("the proxies' thread runs");
         proxy
     }
 
@@ -99,8 +99,8 @@
     }
 
     /// Sets what it does from now on.
-    pub fn set(&self, manner: Manner) {
-        self.lock().manner = manner;
+    pub fn set(&self, mode: LinkMode) {
+        self.lock().mode = mode;
     }
 
     /// Ends all connections.
@@ -120,8 +120,8 @@
         lock(&self.state)
     }
 
-    fn manner(&self) -> Manner {
-        self.lock().manner
+    fn mode(&self) -> LinkMode {
+        self.lock().mode
     }
 
     async fn serve(self, listener: TcpListener, executor: Rc<LocalExecutor<'static>>) {
@@ -130,10 +130,10 @@
         let accepting = async {
             loop {
                 let Ok((stream, _)) = listener.accept().await else {
-                    Timer::after(LOOK_EVERY).await;
+                    Timer::after(POLL_INTERVAL).await;
                     continue;
                 };
-                executor.spawn(self.clone().carry(stream)).detach();
+                executor.spawn(self.clone().forward(stream)).detach();
             }
         };
         let ended = async {
@@ -142,32 +142,32 @@
         accepting.or(ended).await;
     }
 
-    async fn carry(self, caller: Async<TcpStream>) {
-        if self.manner() == Manner::Refuse {
+    async fn forward(self, caller: Async<TcpStream>) {
+        if self.mode() == LinkMode::Refuse {
             return;
         }
         let (target, alive) = {
             let state = self.lock();
             (state.target, state.alive.1.clone())
         };
-        let carried = async {
-            self.pause(Way::There).await;
+        let forwarding = async {
+            self.pause(Direction::ToTarget).await;
             let Ok(upstream) = Async::<TcpStream>::connect(target).await else { return };
-            let there = self.copy(&caller, &upstream, Way::There);
-            let back = self.copy(&upstream, &caller, Way::Back);
-            futures_lite::future::zip(there, back).await;
+            let outbound = self.copy(&caller, &upstream, Direction::ToTarget);
+            let inbound = self.copy(&upstream, &caller, Direction::ToCaller);
+            futures_lite::future::zip(outbound, inbound).await;
         };
         let ended = async {
             let _ = alive.recv().await;
         };
-        carried.or(ended).await;
+        forwarding.or(ended).await;
     }
 
-    async fn copy(&self, from: &Async<TcpStream>, to: &Async<TcpStream>, way: Way) {
+    async fn copy(&self, from: &Async<TcpStream>, to: &Async<TcpStream>, direction: Direction) {
         let (mut reader, mut writer) = (from, to);
         let mut chunk = vec![0; CHUNK];
         while let Ok(count) = reader.read(&mut chunk).await {
-            self.pause(way).await;
+            self.pause(direction).await;
             if count == 0 || writer.write_all(&chunk[..count]).await.is_err() {
                 break;
             }
@@ -176,32 +176,32 @@
         let _ = to.get_ref().shutdown(std::net::Shutdown::Write);
     }
 
-    async fn pause(&self, way: Way) {
+    async fn pause(&self, direction: Direction) {
         loop {
-            let held = match (self.manner(), way) {
-                (Manner::Delay(time), _) => {
+            let held = match (self.mode(), direction) {
+                (LinkMode::Delay(time), _) => {
                     Timer::after(time).await;
                     return;
                 }
-                (Manner::Silent { there, .. }, Way::There) => there,
-                (Manner::Silent { back, .. }, Way::Back) => back,
-                (Manner::Pass | Manner::Refuse, _) => false,
+                (LinkMode::Silent { requests, .. }, Direction::ToTarget) => requests,
+                (LinkMode::Silent { responses, .. }, Direction::ToCaller) => responses,
+                (LinkMode::Pass | LinkMode::Refuse, _) => false,
             };
             if !held {
                 return;
             }
-            Timer::after(LOOK_EVERY).await;
+            Timer::after(POLL_INTERVAL).await;
         }
     }
 }
 
 /// Starts the thread that serves all proxies.
-pub(crate) fn start() -> Sender<Opened> {
-    let (sender, opened) = async_channel::unbounded::<Opened>();
+pub(crate) fn start() -> Sender<OpenedProxy> {
+    let (sender, opened) = async_channel::unbounded::<OpenedProxy>();
     let serve = move || {
         let executor: Rc<LocalExecutor<'static>> = Rc::default();
         let accept = async {
-            while let Ok(Opened { listener, proxy }) = opened.recv().await {
+            while let Ok(OpenedProxy { listener, proxy }) = opened.recv().await {
                 executor.spawn(proxy.serve(listener, Rc::clone(&executor))).detach();
             }
         };
--- a/crates/harefield/tests/soak/run.rs
+++ b/crates/harefield/tests/soak/run.rs
@@ -8,25 +8,25 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::callers::Calling;
+use crate::callers::CallerContext;
 use crate::checks::Checks;
-use crate::client::Ending;
+use crate::client::RequestOutcome;
+use crate::cluster::Cluster;
 use crate::faults::Faults;
 use crate::ledger::Ledger;
-use crate::world::World;
 
 /// How long the daemons may take to be ready at first.
 const READY_LIMIT: Duration = Duration::from_secs(20);
 
 /// How long all is calm at the end before requests must be served again.
-const CALM: Duration = Duration::from_secs(5);
+const CALM_TIME: Duration = Duration::from_secs(5);
 
 /// How long they are watched then.
-const WATCHED: Duration = Duration::from_secs(2);
+const OBSERVED_TIME: Duration = Duration::from_secs(2);
 
 /// What a soak is told.
 #[derive(Clone, Debug)]
-pub(crate) struct Soak {
+pub(crate) struct SoakOptions {
     /// Everything is drawn from it.
     pub seed: u64,
     /// Whether nothing but the store's drills goes wrong, among few changes.
@@ -53,7 +53,7 @@
     /// How many of them were answered with success.
     pub served: usize,
     /// Each promise that was broken, with where.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 /// Plays one soak.
@@ -61,39 +61,39 @@
 /// # Panics
 ///
 /// Panics where the daemons' program is not there, or does not get ready.
-pub(crate) fn play(soak: &Soak) -> Report {
+pub(crate) fn play(soak: &SoakOptions) -> Report {
     std::fs::create_dir_all(&soak.folder).expect("the folder can be made");
     let ledger: Arc<Ledger> = Arc::default();
-    let world = World::start(soak.daemons, soak.shards, &soak.program, &soak.folder, &ledger);
-    let world = Arc::new(world);
+    let cluster = Cluster::start(soak.daemons, soak.shards, &soak.program, &soak.folder, &ledger);
+    let cluster = Arc::new(cluster);
     let done = Arc::new(AtomicBool::new(false));
-    await_ready(&world, &soak.folder);
-    let calling = Calling {
-        world: Arc::clone(&world),
+    await_ready(&cluster, &soak.folder);
+    let context = CallerContext {
+        cluster: Arc::clone(&cluster),
         ledger: Arc::clone(&ledger),
         done: Arc::clone(&done),
         seed: soak.seed,
     };
-    let callers = calling.start(soak.callers);
-    let faults = Faults { world: Arc::clone(&world), ledger: Arc::clone(&ledger) };
+    let callers = context.start(soak.callers);
+    let faults = Faults { cluster: Arc::clone(&cluster), ledger: Arc::clone(&ledger) };
     let until = Instant::now() + soak.time;
-    let (seed, endings) = (soak.seed, faults.clone());
-    let endings = std::thread::spawn(move || endings.run_endings(seed));
+    let (seed, crashes) = (soak.seed, faults.clone());
+    let crashes = std::thread::spawn(move || crashes.run_crashes(seed));
     if soak.slow {
         faults.run_slow_day(soak.seed, until);
     } else {
         run_faults(&faults, soak.seed, until);
     }
-    let calm = Instant::now() + CALM;
-    std::thread::sleep(CALM + WATCHED);
+    let calm = Instant::now() + CALM_TIME;
+    std::thread::sleep(CALM_TIME + OBSERVED_TIME);
     done.store(true, Ordering::SeqCst);
     for caller in callers {
         caller.join().expect("callers end");
     }
-    world.stop_endings();
-    endings.join().expect("what ends upstreams ends");
-    world.end();
-    judge(&world, &ledger, calm)
+    cluster.close_crashes();
+    crashes.join().expect("what ends upstreams ends");
+    cluster.kill_daemons();
+    check(&cluster, &ledger, calm)
 }
 
 /// Lets all kinds of things go wrong until `until`, and ends what is under way then.
@@ -112,22 +112,25 @@
     faults.end_day(seed);
 }
 
-fn await_ready(world: &World, folder: &Path) {
+fn await_ready(cluster: &Cluster, folder: &Path) {
     let until = Instant::now() + READY_LIMIT;
-    while !world.is_ready() {
+    while !cluster.is_ready() {
         assert!(Instant::now() < until, "the daemons are not ready; see {}", folder.display());
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
-fn judge(world: &World, ledger: &Ledger, calm: Instant) -> Report {
-    let pages = ledger.pages();
-    let upstreams = world.upstreams();
-    let broken = Checks::new(&pages, &upstreams).all(calm);
-    let good = |ending: &Ending| matches!(ending, Ending::Answered(answer) if answer.status == 200);
+fn check(cluster: &Cluster, ledger: &Ledger, calm: Instant) -> Report {
+    let observations = ledger.observations();
+    let upstreams = cluster.upstreams();
+    let violations = Checks::new(&observations, &upstreams).run(calm);
+    let is_served = |outcome: &RequestOutcome| matches!(outcome, RequestOutcome::Answered(answer) if answer.status == 200);
     Report {
-        requests: pages.requests.len(),
-        served: pages.requests.iter().filter(|request| good(&request.ending)).count(),
-        broken: broken.iter().map(|broken| format!("{}: {}", broken.promise, broken.what)).collect(),
+        requests: observations.requests.len(),
+        served: observations.requests.iter().filter(|request| is_served(&request.outcome)).count(),
+        violations: violations
+            .iter()
+            .map(|violation| format!("{}: {}", violation.promise, violation.detail))
+            .collect(),
     }
 }
