--- a/crates/harefield/tests/soak/callers.rs
+++ b/crates/harefield/tests/soak/callers.rs
@@ -1,5 +1,5 @@
-//! Callers: they send requests on kept connections to whichever daemon, and write
-//! down what became of each.
+//! Callers, which send requests to any daemon on reused connections and record the outcome
+//! of each.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -13,7 +13,7 @@
 use rand::rngs::StdRng;
 
 use crate::client::Connection;
-use crate::client::RequestOutcome;
+use crate::client::Outcome;
 use crate::cluster::Cluster;
 use crate::configuration::STEADY_KEY;
 use crate::configuration::key_of;
@@ -23,20 +23,20 @@
 use crate::ledger::Request;
 use crate::ledger::Route;
 
-/// What a caller says it waits.
+/// The remaining time that a caller states in its requests.
 const DEADLINE: Duration = Duration::from_millis(1500);
 
-/// How long it waits in truth: a daemon may not hold a request longer than its
-/// route's 1,000 ms and half a second; the rest is for a busy machine.
+/// How long a caller really waits for a response. A daemon may not hold a request longer
+/// than its route's 1,000 ms plus half a second; the rest allows for a busy machine.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(3500);
 
-/// The most requests that are sent on one connection.
+/// The maximum number of requests sent on one connection.
 const MAX_REUSE: u32 = 20;
 
-/// How often each daemon is asked for the version in force.
+/// The interval at which each daemon is queried for its active configuration version.
 const WATCH_INTERVAL: Duration = Duration::from_millis(120);
 
-/// What all callers share.
+/// The state that all callers share.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerContext {
     pub cluster: Arc<Cluster>,
@@ -46,8 +46,8 @@
 }
 
 impl CallerContext {
-    /// Starts callers of any daemon, one for each daemon that asks for the version in
-    /// force, one whose requests end upstreams, and one that shows keys old and new.
+    /// Starts `callers` callers that send to any daemon, one per daemon that polls its active
+    /// version, one that sends fatal requests, and one that uses old and new API keys.
     pub fn start(&self, callers: u64) -> Vec<JoinHandle<()>> {
         let any = (0..callers).map(|number| {
             let this = self.clone();
@@ -93,7 +93,8 @@
         }
     }
 
-    /// Lets two requests that end who runs them come again and again, at any daemon.
+    /// Repeatedly sends one of two requests that crash the upstreams that run them, to any
+    /// daemon.
     fn send_fatal(&self) {
         let mut random = StdRng::seed_from_u64(self.seed.rotate_left(13));
         let mut count = 0;
@@ -109,7 +110,8 @@
         }
     }
 
-    /// Shows the keys of the last few versions, some of which were taken away, to any daemon.
+    /// Sends requests to any daemon with the API keys of the last few versions, some of which
+    /// have been revoked.
     fn send_keys(&self) {
         let mut random = StdRng::seed_from_u64(self.seed.rotate_left(29));
         let mut count = 0;
@@ -138,7 +140,7 @@
         }
     }
 
-    /// Sends one request; returns whether the connection may carry another.
+    /// Sends one request and records its outcome; returns whether the connection can be reused.
     fn send_request(&self, connection: &mut Connection, daemon: usize, route: Route, id: String) -> bool {
         let path = match route {
             Route::All => "/all/x",
@@ -150,7 +152,7 @@
         let (incarnation, sent) = (node.incarnation(), Instant::now());
         let outcome = connection.send(&head(path, &id), RESPONSE_TIMEOUT);
         let reusable = match &outcome {
-            RequestOutcome::Answered(answer) => !answer.header("connection").eq_ignore_ascii_case("close"),
+            Outcome::Answered(answer) => !answer.header("connection").eq_ignore_ascii_case("close"),
             _ => false,
         };
         let request = Request { id, route, daemon, incarnation, sent, ended: Instant::now(), outcome };
--- a/crates/harefield/tests/soak/checks/accounts.rs
+++ b/crates/harefield/tests/soak/checks/accounts.rs
@@ -1,18 +1,19 @@
-//! Requests run for the account of their key, and not for one that was taken away.
+//! Checks that requests run for the client account of their API key, and that revoked keys
+//! are refused.
 
 use std::time::Duration;
 
 use super::ACTIVATION_LIMIT;
 use super::Checks;
 use super::Violation;
-use crate::client::RequestOutcome;
+use crate::client::Outcome;
 use crate::configuration::ROTATING_PREFIX;
 use crate::configuration::STEADY;
 use crate::ledger::KeyUse;
 use crate::ledger::Scope;
 
 impl Checks<'_> {
-    /// Upstreams are told whose request it is, and are shown no key.
+    /// Upstreams receive the client account of each request, and never its API key.
     pub(super) fn check_accounts(&mut self) {
         for (name, upstream) in self.upstreams {
             for head in upstream.inner.heads() {
@@ -28,16 +29,15 @@
         }
     }
 
-    /// A key that was taken away opens nothing after seconds; one that is in force is known,
-    /// however new it is.
+    /// A revoked key is refused within seconds; an active key is accepted, however new it is.
     pub(super) fn check_keys(&mut self) {
         for key_use in &self.observations.keys {
-            let RequestOutcome::Answered(answer) = &key_use.outcome else { continue };
+            let Outcome::Answered(answer) = &key_use.outcome else { continue };
             if answer.status == 200 && self.is_revoked(key_use) {
-                self.report_key("key taken away", key_use, answer.status);
+                self.report_key("revoked key", key_use, answer.status);
             }
             if answer.status == 401 && self.is_active(key_use) {
-                self.report_key("key in force", key_use, answer.status);
+                self.report_key("active key", key_use, answer.status);
             }
         }
     }
@@ -51,8 +51,8 @@
             && !self.was_disturbed(revoked, key_use.sent, |scope| excused.contains(&scope))
     }
 
-    /// Says whether a key was in force all the time, and the store came back from no copy that
-    /// may lack it.
+    /// Returns whether a key was active throughout the request, and the store was not disturbed
+    /// since the key was added: a store restored from an older copy may lack it.
     fn is_active(&self, key_use: &KeyUse) -> bool {
         let published = |version| self.observations.published.iter().find(move |p| p.version == version);
         let Some(added) = published(key_use.version).filter(|published| published.at < key_use.sent) else {
@@ -65,7 +65,8 @@
     }
 
     fn report_key(&mut self, promise: &'static str, key_use: &KeyUse, status: u16) {
-        let detail = format!("{status} for the key of {} at daemon {}", key_use.version, key_use.daemon);
+        let detail =
+            format!("{status} for the key of version {} at daemon {}", key_use.version, key_use.daemon);
         self.violations.push(Violation { promise, detail });
     }
 }
--- a/crates/harefield/tests/soak/checks/answers.rs
+++ b/crates/harefield/tests/soak/checks/answers.rs
@@ -1,11 +1,11 @@
-//! Callers get the answers that their own requests made.
+//! Checks that callers get the answers to their own requests.
 
 use std::collections::BTreeSet;
 
 use super::Checks;
 use super::float;
 use crate::client::Answer;
-use crate::client::RequestOutcome;
+use crate::client::Outcome;
 use crate::cluster::MIN_SHARE;
 use crate::cluster::RESULT_LIMIT;
 use crate::cluster::Upstream;
@@ -13,15 +13,15 @@
 use crate::ledger::Request;
 use crate::ledger::Route;
 
-/// Bytes of a record, as the stand-ins make them of one.
+/// The size of a record in bytes; a simulated upstream repeats one byte this many times.
 const RECORD_BYTES: usize = 16;
 
 impl Checks<'_> {
-    /// Each caller gets the whole answer to its own request, truly described.
+    /// Each caller gets the whole answer to its own request, with correct headers.
     pub(super) fn check_answer(&mut self, request: &Request) {
-        let RequestOutcome::Answered(answer) = &request.outcome else {
-            if matches!(request.outcome, RequestOutcome::Malformed) {
-                self.report("own answer", request, "what came is no answer");
+        let Outcome::Answered(answer) = &request.outcome else {
+            if matches!(request.outcome, Outcome::Malformed) {
+                self.report("own answer", request, "the response is malformed");
             }
             return;
         };
@@ -45,7 +45,7 @@
         if id != request.id {
             return Err(format!("a signature of another request: {signature}"));
         }
-        self.upstreams.get(name).ok_or_else(|| format!("a signature of nobody: {signature}"))
+        self.upstreams.get(name).ok_or_else(|| format!("a signature of an unknown upstream: {signature}"))
     }
 
     fn check_single(&self, request: &Request, answer: &Answer) -> Result<(), String> {
@@ -69,20 +69,21 @@
         records.sort_unstable_by(|a, b| b.cmp(a));
         records.truncate(RESULT_LIMIT);
         if answer.body != body_of(&records) {
-            return Err("the body is not what its parts make".to_owned());
+            return Err("the body does not match its parts".to_owned());
         }
         let missing = answer.header("missing-parts").parse().unwrap_or(0);
         self.check_coverage(&services, missing)
     }
 
-    /// Some version has just these shards and as many missing, and they are enough.
+    /// Some version has exactly these shards plus the number of missing ones, and the shards
+    /// reach the minimum share.
     fn check_coverage(&self, services: &BTreeSet<String>, missing: usize) -> Result<(), String> {
         let fits = |version: &&Published| {
             services.iter().all(|service| version.shards.contains(service))
                 && version.shards.len() == services.len() + missing
         };
         let version = self.observations.published.iter().find(fits);
-        let version = version.ok_or("no version has these shards and as many missing")?;
+        let version = version.ok_or("no version has these shards and this many missing ones")?;
         if float(services.len()) < MIN_SHARE * float(version.shards.len()) {
             return Err("too few shards".to_owned());
         }
@@ -90,7 +91,7 @@
     }
 }
 
-/// Returns the body that upstreams with some records make.
+/// Returns the body of an answer with these records.
 fn body_of(records: &[u8]) -> Vec<u8> {
     records.iter().flat_map(|byte| [*byte; RECORD_BYTES]).collect()
 }
--- a/crates/harefield/tests/soak/checks/extra_load.rs
+++ b/crates/harefield/tests/soak/checks/extra_load.rs
@@ -1,4 +1,4 @@
-//! What is sent again stays within its bounds.
+//! Checks that the extra load from retries and hedges stays within its bound.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,22 +9,22 @@
 use super::float;
 use crate::cluster::EXTRA_SLACK;
 
-/// The window of the extra load.
+/// The window over which extra load is counted.
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// The extra load allowed, as a share of the requests.
+/// The allowed extra load, as a share of the requests.
 const EXTRA_SHARE: f64 = 0.2;
 
-/// What ran at an upstream of a service.
+/// A request that ran at an upstream of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Arrival {
     at: Instant,
-    /// Whether the service had run the same request before.
+    /// Whether the service had already run the same request.
     extra: bool,
 }
 
 impl Checks<'_> {
-    /// What is sent again stays within a share of the requests and the slack.
+    /// The extra load of each service stays within a share of its requests plus the slack.
     pub(super) fn check_load(&mut self) {
         let mut by_service: BTreeMap<&str, Vec<Arrival>> = BTreeMap::new();
         for runs in self.runs.values() {
@@ -38,7 +38,7 @@
         for (service, mut arrivals) in by_service {
             arrivals.sort_unstable();
             if let Some((extra, needed)) = first_excess(&arrivals) {
-                let detail = format!("{service}: {extra} beside {needed}");
+                let detail = format!("{service}: {extra} extra requests beside {needed} first ones");
                 self.violations.push(Violation { promise: "extra load", detail });
             }
         }
@@ -55,8 +55,8 @@
     }
 }
 
-/// Returns how many arrivals are extra and how many needed at the first moment at
-/// which the window holds too many extra ones; none where it never does.
+/// Returns the number of extra arrivals and of first arrivals at the first moment at which the
+/// window holds too many extra ones; `None` if that never happens.
 fn first_excess(arrivals: &[Arrival]) -> Option<(usize, usize)> {
     let mut from = 0;
     for (at, newest) in arrivals.iter().enumerate() {
@@ -72,8 +72,8 @@
     None
 }
 
-/// Returns how many arrivals up to a moment pay for what is extra in its window:
-/// those of the window before count too.
+/// Returns the number of first arrivals that set the bound of the extra load at a moment: those
+/// of the current window and of the one before.
 fn needed_until(moment: Instant, arrivals: &[Arrival]) -> usize {
     let earliest = moment.checked_sub(WINDOW * 2);
     let counts =
--- a/crates/harefield/tests/soak/checks/fatal.rs
+++ b/crates/harefield/tests/soak/checks/fatal.rs
@@ -1,36 +1,37 @@
-//! A request that ends the upstreams that run it is found and withheld; no other one is.
+//! Checks that a request that crashes the upstreams that run it is identified and no longer
+//! sent, and that no other request is withheld.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use super::Checks;
 use super::Violation;
-use crate::client::RequestOutcome;
+use crate::client::Outcome;
 use crate::ledger::FatalRequest;
 use crate::ledger::Request;
 use crate::ledger::Scope;
 
-/// Within this time after the third end every daemon in touch knows of it; one that was
-/// disturbed counts as in touch after as long.
+/// The time after the third crash within which every connected daemon must know of it. A daemon
+/// that was disturbed counts as connected again after the same time.
 const PROPAGATION_LIMIT: Duration = Duration::from_secs(4);
 
-/// How many times it may be sent after that.
+/// How many times a fatal request may be sent after that.
 const MAX_LATE: usize = 3;
 
-/// What requests that are withheld are answered.
+/// The result code in the answer to a withheld request.
 const WITHHELD: &[u8] = b"HF2014";
 
 impl Checks<'_> {
-    /// Requests that others answer are not withheld for what ends upstreams beside them.
+    /// Harmless requests are not withheld because of fatal requests that run at the same time.
     pub(super) fn check_withheld(&mut self, request: &Request) {
-        if let RequestOutcome::Answered(answer) = &request.outcome
+        if let Outcome::Answered(answer) = &request.outcome
             && answer.body.windows(WITHHELD.len()).any(|bytes| bytes == WITHHELD)
         {
-            self.report("innocent", request, "withheld");
+            self.report("harmless request", request, "withheld");
         }
     }
 
-    /// Once three upstreams ended under a request, it is sent to few more.
+    /// A request that crashed three upstreams is sent only a few more times.
     pub(super) fn check_fatal(&mut self) {
         for path in ["/all/fatal", "/one/fatal"] {
             let mut runs: Vec<(Instant, &FatalRequest)> = Vec::new();
@@ -45,15 +46,17 @@
             };
             let count = runs.iter().filter(late).count();
             if count > MAX_LATE {
-                let detail =
-                    format!("{path}: sent {count} times after all had to know, {} in all", runs.len());
-                self.violations.push(Violation { promise: "harm", detail });
+                let detail = format!(
+                    "{path}: sent {count} times after every daemon had to know, {} in all",
+                    runs.len()
+                );
+                self.violations.push(Violation { promise: "fatal request", detail });
             }
         }
     }
 
-    /// Says whether the daemon that took a request may not know what was found: it was
-    /// disturbed, or what daemons say to each other, or all have started again since.
+    /// Returns whether the daemon that received a request may lack the report of the crashes: it
+    /// or the connections among daemons were disturbed, or all daemons have restarted since.
     fn may_lack_report(&self, fatal: &FatalRequest, third: Instant, at: Instant) -> bool {
         let own = |scope| matches!(scope, Scope::Peers) || scope == Scope::Daemon(fatal.daemon);
         let stopped = |scope| scope == Scope::Stop(fatal.daemon);
--- a/crates/harefield/tests/soak/checks/mod.rs
+++ b/crates/harefield/tests/soak/checks/mod.rs
@@ -1,8 +1,8 @@
-//! The promises, checked against what callers and upstreams saw.
+//! Checks the promises to callers and upstreams against what both observed.
 //!
-//! `accounts` is about whose requests run, `answers` about what callers were told, `runs` about where their requests ran,
-//! `versions` about how soon a change is in force, `extra` about load beyond the
-//! requests, `harm` about requests that end upstreams.
+//! `accounts` checks the accounts and keys of requests, `answers` the contents of answers,
+//! `runs` where and how often requests ran, `versions` how soon a change takes effect,
+//! `extra_load` the load from retries and hedges, and `fatal` the requests that crash upstreams.
 
 mod accounts;
 mod answers;
@@ -16,36 +16,36 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::client::RequestOutcome;
+use crate::client::Outcome;
 use crate::cluster::Upstream;
 use crate::ledger::Observations;
 use crate::ledger::Request;
 
-/// Within this time a configuration is in force and no work reaches an upstream that
-/// is leaving.
+/// The time within which a configuration must be active, and after which no work may reach an
+/// upstream that is leaving.
 const ACTIVATION_LIMIT: Duration = Duration::from_secs(3);
 
-/// How long after a disturbance a daemon may act on what it missed.
+/// How long after a disturbance a daemon may take to catch up on what it missed.
 const CATCH_UP_TIME: Duration = Duration::from_secs(2);
 
-/// A promise that was broken.
+/// A broken promise, and where it was broken.
 #[derive(Clone, Debug)]
 pub(crate) struct Violation {
     pub promise: &'static str,
     pub detail: String,
 }
 
-/// Everything that the checks go by.
+/// The input of the checks and the violations found so far.
 pub(crate) struct Checks<'a> {
     observations: &'a Observations,
     upstreams: &'a BTreeMap<String, Upstream>,
-    /// Where each request ran, and when.
+    /// The upstreams that each request ran at, and when, by the request's id.
     runs: HashMap<String, Vec<(String, Instant)>>,
     violations: Vec<Violation>,
 }
 
 impl<'a> Checks<'a> {
-    /// Gathers what the upstreams ran.
+    /// Collects the requests that the upstreams ran.
     pub fn new(observations: &'a Observations, upstreams: &'a BTreeMap<String, Upstream>) -> Self {
         let mut runs: HashMap<String, Vec<(String, Instant)>> = HashMap::new();
         for (name, upstream) in upstreams {
@@ -56,7 +56,7 @@
         Self { observations, upstreams, runs, violations: Vec::new() }
     }
 
-    /// Checks everything; returns what was broken.
+    /// Runs all checks and returns the violations.
     pub fn run(mut self, calm: Instant) -> Vec<Violation> {
         for request in &self.observations.requests {
             self.check_answer(request);
@@ -80,24 +80,24 @@
         self.violations.push(Violation { promise, detail });
     }
 
-    /// Returns the service that an upstream is of; empty where there is no such one.
+    /// Returns the service of an upstream, or an empty string if there is no such upstream.
     fn service_of(&self, name: &str) -> &'a str {
         self.upstreams.get(name).map_or("", |upstream| upstream.service.as_str())
     }
 
-    /// Once all is calm, requests are served.
+    /// At least nine tenths of the requests are served once no faults are injected.
     fn check_recovery(&mut self, calm: Instant) {
         let after: Vec<&Request> = self.observations.requests.iter().filter(|r| r.sent > calm).collect();
-        let is_served = |request: &&&Request| matches!(&request.outcome, RequestOutcome::Answered(answer) if answer.status == 200);
+        let is_served = |request: &&&Request| matches!(&request.outcome, Outcome::Answered(answer) if answer.status == 200);
         let served = after.iter().filter(is_served).count();
         if served * 10 < after.len() * 9 || after.is_empty() {
-            let detail = format!("{served} of {} requests are served when all is calm", after.len());
+            let detail = format!("{served} of {} requests were served after the faults ended", after.len());
             self.violations.push(Violation { promise: "recovery", detail });
         }
     }
 }
 
-/// Returns a count as a number that shares can be taken of.
+/// Converts a count for the computation of shares.
 fn float(count: usize) -> f64 {
     f64::from(u32::try_from(count).unwrap_or(u32::MAX))
 }
--- a/crates/harefield/tests/soak/checks/runs.rs
+++ b/crates/harefield/tests/soak/checks/runs.rs
@@ -1,4 +1,4 @@
-//! Requests run where and as often as they may, and come to an end.
+//! Checks that requests run only where and as often as allowed, and are completed in time.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -7,7 +7,7 @@
 use super::CATCH_UP_TIME;
 use super::Checks;
 use super::Violation;
-use crate::client::RequestOutcome;
+use crate::client::Outcome;
 use crate::cluster::FOREIGN_PREFIX;
 use crate::cluster::MAX_ATTEMPTS;
 use crate::ledger::Request;
@@ -15,10 +15,10 @@
 use crate::ledger::Scope;
 
 impl Checks<'_> {
-    /// What is said not to have run ran nowhere; nothing runs more often than it may.
+    /// A request reported as not run ran nowhere, and no request runs more often than allowed.
     pub(super) fn check_runs(&mut self, request: &Request) {
         let runs = self.runs.get(&request.id).cloned().unwrap_or_default();
-        if let RequestOutcome::Answered(answer) = &request.outcome
+        if let Outcome::Answered(answer) = &request.outcome
             && [503, 429, 408, 421].contains(&answer.status)
             && !runs.is_empty()
         {
@@ -40,27 +40,28 @@
         }
     }
 
-    /// Nobody is sent to for an entry that is no upstream's.
+    /// No request is sent for an invalid entry of another writer.
     pub(super) fn check_foreign(&mut self) {
         let misdirected = self.upstreams.values().flat_map(|upstream| upstream.inner.mistaken());
         let count = misdirected.filter(|name| name.starts_with(FOREIGN_PREFIX)).count();
         if count > 0 {
-            let detail = format!("{count} requests for entries of other writers");
+            let detail = format!("{count} requests sent for entries of other writers");
             self.violations.push(Violation { promise: "foreign entries", detail });
         }
     }
 
-    /// No daemon cuts a request that it passed on, nor holds one past its time.
+    /// No daemon disconnects a caller whose request it sent to an upstream, or holds a request
+    /// past its time limit.
     pub(super) fn check_completion(&mut self, request: &Request) {
         let own = |scope| scope == Scope::Daemon(request.daemon);
         if self.observations.disturbed(request.sent, request.ended, Duration::ZERO, own) {
             return;
         }
         match request.outcome {
-            RequestOutcome::Disconnected if self.runs.contains_key(&request.id) => {
-                self.report("planned stop", request, "cut after it was passed on");
+            Outcome::Disconnected if self.runs.contains_key(&request.id) => {
+                self.report("graceful shutdown", request, "disconnected after it was sent to an upstream");
             }
-            RequestOutcome::TimedOut => self.report("answered in time", request, "no answer"),
+            Outcome::TimedOut => self.report("answered in time", request, "no answer"),
             _ => {}
         }
     }
--- a/crates/harefield/tests/soak/checks/versions.rs
+++ b/crates/harefield/tests/soak/checks/versions.rs
@@ -1,4 +1,4 @@
-//! A published change is in force in time, and stays.
+//! Checks that a published change takes effect in time and isn't reverted.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,13 +8,13 @@
 use super::CATCH_UP_TIME;
 use super::Checks;
 use super::Violation;
-use crate::client::RequestOutcome;
+use crate::client::Outcome;
 use crate::ledger::Request;
 use crate::ledger::Route;
 use crate::ledger::Scope;
 
 impl Checks<'_> {
-    /// A configuration is in force within seconds, and no process goes back.
+    /// A configuration is active within seconds, and no process returns to an older one.
     pub(super) fn check_versions(&mut self) {
         let mut newest: HashMap<(usize, u64), (u64, Instant)> = HashMap::new();
         let mut requests: Vec<&Request> =
@@ -41,20 +41,21 @@
         let own = [Scope::Store, Scope::StoreLink(request.daemon), Scope::Daemon(request.daemon)];
         let excused = |scope| own.contains(&scope);
         if version < due.version && !self.was_disturbed(due.at, request.sent, excused) {
-            let detail = format!("version {version} where {} is due", due.version);
-            self.report("in force", request, &detail);
+            let detail = format!("version {version} after version {} had to be active", due.version);
+            self.report("activation", request, &detail);
         }
     }
 
     fn version_of(&self, request: &Request) -> Option<u64> {
-        let RequestOutcome::Answered(answer) = &request.outcome else { return None };
+        let Outcome::Answered(answer) = &request.outcome else { return None };
         let (name, _) = answer.header("server-seal").split_once('.')?;
         self.upstreams.get(name)?.service.strip_prefix("version-")?.parse().ok()
     }
 
-    /// Says whether anything of the kinds chosen was disturbed between a word of the
-    /// store and a moment, within the time that its word takes to be in force. That time
-    /// runs from the return of a store that was away: nobody waits for lost answers.
+    /// Returns whether anything in the scopes selected by `of` was disturbed between a `change`
+    /// in the store and `until`, within the time that a change may take to become active. After
+    /// an outage of the store that time runs from its return: no daemon may wait any longer for
+    /// answers that were lost.
     pub(super) fn was_disturbed(&self, change: Instant, until: Instant, of: impl Fn(Scope) -> bool) -> bool {
         let from = change.max(until.checked_sub(ACTIVATION_LIMIT).unwrap_or(change));
         let is_store = |scope| matches!(scope, Scope::Store | Scope::StoreLink(_));
@@ -64,12 +65,12 @@
             || self.observations.disturbed(from, until, CATCH_UP_TIME, other)
     }
 
-    /// An upstream that is leaving gets no new work after seconds.
+    /// An upstream that is leaving gets no new work after a few seconds.
     pub(super) fn check_leaving(&mut self) {
         for leaving in &self.observations.leaving {
             let Some(upstream) = self.upstreams.get(&leaving.id) else { continue };
             for (at, id) in upstream.inner.arrivals() {
-                // A daemon that was paused asks before it sends, so none is excused.
+                // A daemon that was paused confirms its state before it sends, so it isn't excused.
                 let excused = |scope| matches!(scope, Scope::Store | Scope::StoreLink(_));
                 let late = at > leaving.at + ACTIVATION_LIMIT;
                 if late && !self.was_disturbed(leaving.at, at, excused) {
--- a/crates/harefield/tests/soak/client.rs
+++ b/crates/harefield/tests/soak/client.rs
@@ -1,4 +1,4 @@
-//! A caller's connection: one request at a time, and what became of each.
+//! An HTTP client connection of a caller: sends one request at a time and returns its outcome.
 
 use std::io::ErrorKind;
 use std::io::Read;
@@ -7,13 +7,13 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// How long opening a connection may take.
+/// The timeout for opening a connection.
 const CONNECT_LIMIT: Duration = Duration::from_secs(1);
 
-/// Bytes read at a time.
+/// The size of the read buffer in bytes.
 const CHUNK: usize = 16 << 10;
 
-/// An answer as it came.
+/// A response as received.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Answer {
     pub status: u16,
@@ -22,68 +22,68 @@
 }
 
 impl Answer {
-    /// Returns a header's value; empty where there is none.
+    /// Returns a header's value, or an empty string if it is absent.
     pub fn header(&self, name: &str) -> &str {
-        self.headers.iter().find(|(held_name, _)| held_name == name).map_or("", |(_, value)| value)
+        self.headers.iter().find(|(other, _)| other == name).map_or("", |(_, value)| value)
     }
 }
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Clone, Debug)]
-pub(crate) enum RequestOutcome {
-    /// It was answered.
+pub(crate) enum Outcome {
+    /// A whole response was received.
     Answered(Answer),
-    /// The connection ended before a whole answer.
+    /// The connection was closed before a whole response.
     Disconnected,
-    /// Nothing came in time.
+    /// A read timed out before a whole response.
     TimedOut,
-    /// What came is no answer.
+    /// The bytes received are not a valid response.
     Malformed,
 }
 
-/// A caller's connection.
+/// A connection to a daemon's listener for callers.
 #[derive(Debug)]
 pub(crate) struct Connection {
     stream: TcpStream,
-    /// Bytes that came and belong to no answer yet.
+    /// Bytes received beyond the last response; any are an error when the next request is sent.
     unread: Vec<u8>,
 }
 
 impl Connection {
-    /// Opens a connection; none where that fails.
+    /// Opens a connection, or returns `None` if that fails.
     pub fn open(to: SocketAddr) -> Option<Self> {
         let stream = TcpStream::connect_timeout(&to, CONNECT_LIMIT).ok()?;
         stream.set_nodelay(true).ok()?;
         Some(Self { stream, unread: Vec::new() })
     }
 
-    /// Sends a request and awaits its answer.
-    pub fn send(&mut self, head: &str, limit: Duration) -> RequestOutcome {
+    /// Sends a request and waits for its response; `limit` bounds each read.
+    pub fn send(&mut self, head: &str, limit: Duration) -> Outcome {
         if !self.unread.is_empty() {
-            return RequestOutcome::Malformed;
+            return Outcome::Malformed;
         }
         let timed = self.stream.set_read_timeout(Some(limit));
         if timed.is_err() || self.stream.write_all(head.as_bytes()).is_err() {
-            return RequestOutcome::Disconnected;
+            return Outcome::Disconnected;
         }
         let mut bytes = Vec::new();
         loop {
             match parse(&bytes) {
                 Parsed::Complete(answer, length) => {
                     self.unread = bytes.split_off(length);
-                    return RequestOutcome::Answered(answer);
+                    return Outcome::Answered(answer);
                 }
-                Parsed::Malformed => return RequestOutcome::Malformed,
+                Parsed::Malformed => return Outcome::Malformed,
                 Parsed::Incomplete => {}
             }
             let mut chunk = [0; CHUNK];
             match self.stream.read(&mut chunk) {
-                Ok(0) => return RequestOutcome::Disconnected,
+                Ok(0) => return Outcome::Disconnected,
                 Ok(count) => bytes.extend_from_slice(&chunk[..count]),
                 Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                    return RequestOutcome::TimedOut;
+                    return Outcome::TimedOut;
                 }
-                Err(_) => return RequestOutcome::Disconnected,
+                Err(_) => return Outcome::Disconnected,
             }
         }
     }
--- a/crates/harefield/tests/soak/cluster.rs
+++ b/crates/harefield/tests/soak/cluster.rs
@@ -1,5 +1,5 @@
-//! The world of a soak: daemons as processes, a store, upstreams, and a proxy before
-//! each of them.
+//! The cluster under test: daemon processes, a simulated store, simulated upstreams, and a
+//! proxy in front of each.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -27,23 +27,23 @@
 use crate::proxy::OpenedProxy;
 use crate::proxy::Proxy;
 
-/// The availability zones; the first two are of one region.
+/// The availability zones; the first two belong to one region.
 pub(crate) const ZONES: [&str; 3] = ["z1", "z2", "z3"];
 
-/// How many records a merged answer keeps.
+/// The number of records that a merged answer keeps.
 pub(crate) const RESULT_LIMIT: usize = 4;
 
-/// The least share of the shards that makes an answer.
+/// The minimum share of the shards that an answer must cover.
 pub(crate) const MIN_SHARE: f64 = 0.6;
 
-/// The most upstreams that one request of a caller may be sent to, for each shard.
+/// The maximum number of upstreams per shard that one caller's request may be sent to.
 pub(crate) const MAX_ATTEMPTS: usize = 2;
 
-/// What the fleet may send to one service on top of a fifth of its requests, in
-/// requests within ten seconds.
+/// The number of extra requests that the fleet may send to one service within ten seconds, on
+/// top of a fifth of the service's requests.
 pub(crate) const EXTRA_SLACK: f64 = 50.0;
 
-/// What another writer does to an entry so that it is no upstream's.
+/// The ways in which another writer makes an entry invalid as an upstream's.
 pub(crate) const CORRUPTIONS: [fn(&mut Value); 5] = [
     |entry| *entry = Value::Null,
     |entry| entry["zone"] = Value::Null,
@@ -52,16 +52,16 @@
     |entry| entry["state"] = "resting".into(),
 ];
 
-/// The name of a foreign entry begins so.
+/// The prefix of the names of entries that another writer adds.
 pub(crate) const FOREIGN_PREFIX: &str = "i-foreign";
 
-/// How many daemons the others ask at the start.
+/// The number of daemons that serve the others as gossip seeds at the start.
 const SEED_DAEMONS: usize = 3;
 
-/// How many upstreams take requests that are not merged.
+/// The number of upstreams for requests that are not merged.
 const PLAIN_UPSTREAMS: usize = 3;
 
-/// One upstream.
+/// A simulated upstream with the proxy in front of it.
 #[derive(Clone, Debug)]
 pub(crate) struct Upstream {
     pub inner: SignedSearcher,
@@ -71,26 +71,26 @@
     pub proxy: Proxy,
 }
 
-/// Everything that runs.
+/// The daemons, the store and the upstreams of a soak.
 #[derive(Debug)]
 pub(crate) struct Cluster {
     pub nodes: Vec<Node>,
     pub store: SiteStore,
-    /// Every upstream that ever was.
+    /// Every upstream that was ever started.
     upstreams: Mutex<BTreeMap<String, Upstream>>,
-    /// Those that are listed and not leaving.
+    /// The upstreams that are registered and not leaving.
     present: Mutex<Vec<String>>,
     shards: Mutex<Vec<String>>,
     version: AtomicU64,
     next_number: AtomicU64,
     proxy_thread: Sender<OpenedProxy>,
-    /// Where upstreams say that they run what they do not outlive.
+    /// Where an upstream sends its name when it runs a fatal request.
     crashes: (Sender<String>, Receiver<String>),
     program: PathBuf,
 }
 
 impl Cluster {
-    /// Starts as many daemons with their stand-ins; settings and logs go to `folder`.
+    /// Starts the store, the upstreams and the daemons; settings and logs go to `folder`.
     pub fn start(daemons: usize, shards: usize, program: &Path, folder: &Path, ledger: &Ledger) -> Self {
         let (store, proxy_thread) = (SiteStore::start(), proxy::start());
         let open = |number| Node::open(number, &store, &proxy_thread, folder);
@@ -123,37 +123,37 @@
         cluster
     }
 
-    /// Starts the process of a daemon again.
+    /// Restarts the process of a daemon.
     pub fn restart(&self, node: &Node) {
         node.start(&self.program);
     }
 
-    /// Returns every upstream that ever was, by its name.
+    /// Returns every upstream that was ever started, by name.
     pub fn upstreams(&self) -> BTreeMap<String, Upstream> {
         lock(&self.upstreams).clone()
     }
 
-    /// Awaits the next upstream that does not outlive what it runs, until none may come.
+    /// Waits for the next upstream that runs a fatal request; `None` after `close_crashes`.
     pub fn next_crash(&self) -> Option<String> {
         self.crashes.1.recv_blocking().ok()
     }
 
-    /// Says that no more upstreams end by what they run.
+    /// Closes the channel of fatal requests: no more upstreams are crashed.
     pub fn close_crashes(&self) {
         self.crashes.0.close();
     }
 
-    /// Returns the names of the upstreams that are listed and not leaving.
+    /// Returns the names of the upstreams that are registered and not leaving.
     pub fn present(&self) -> Vec<String> {
         lock(&self.present).clone()
     }
 
-    /// Returns an upstream.
+    /// Returns the upstream of a name, also if it has left.
     pub fn upstream(&self, name: &str) -> Option<Upstream> {
         lock(&self.upstreams).get(name).cloned()
     }
 
-    /// Starts an upstream and lists it; returns its name.
+    /// Starts an upstream and registers it in the store; returns its name.
     pub fn add(&self, service: &str, zone: &'static str, records: &[u8]) -> String {
         let number = self.next_number.fetch_add(1, Ordering::SeqCst);
         let name = format!("i-{number}");
@@ -168,7 +168,7 @@
         name
     }
 
-    /// Lists an upstream in a state.
+    /// Writes the entry of an upstream, in a state, to the store.
     pub fn put_entry(&self, name: &str, state: &str) {
         if let Some(upstream) = self.upstream(name) {
             let entry = entry_at(upstream.proxy.address(), upstream.zone, &upstream.service, state);
@@ -176,17 +176,17 @@
         }
     }
 
-    /// Lists something that is no upstream, at an address where one would be reached.
+    /// Writes an invalid entry of another writer, with an address that reaches an upstream.
     pub fn put_foreign(&self, number: usize, corruption: usize) {
         let name = format!("{FOREIGN_PREFIX}-{number}");
-        let address = lock(&self.upstreams).values().next().map(|held| held.proxy.address());
+        let address = lock(&self.upstreams).values().next().map(|upstream| upstream.proxy.address());
         let Some(address) = address else { return };
         let mut entry = entry_at(address, ZONES[0], "plain", "ready");
         CORRUPTIONS[corruption](&mut entry);
         self.store.put(&format!("servers/{name}"), Some(&entry));
     }
 
-    /// Writes something else over the entry of an upstream.
+    /// Overwrites the entry of an upstream with an invalid one.
     pub fn corrupt(&self, name: &str, corruption: usize) {
         if let Some(upstream) = self.upstream(name) {
             let mut entry = entry_at(upstream.proxy.address(), upstream.zone, &upstream.service, "ready");
@@ -195,22 +195,22 @@
         }
     }
 
-    /// Takes an upstream off the list.
+    /// Deletes the entry of an upstream from the store.
     pub fn remove_entry(&self, name: &str) {
         if let Some(upstream) = self.upstream(name) {
             self.store.put(&upstream.inner.key(), None);
         }
     }
 
-    /// Notes that an upstream is leaving; returns whether it was present.
+    /// Records that an upstream is leaving; returns whether it was present.
     pub fn remove_present(&self, name: &str) -> bool {
         let mut present = lock(&self.present);
         let before = present.len();
-        present.retain(|held| held != name);
+        present.retain(|other| other != name);
         present.len() < before
     }
 
-    /// Starts the upstreams of a new set of shards; returns its services.
+    /// Starts the upstreams of a new set of shards; returns their services.
     pub fn make_shards(&self, count: usize) -> Vec<String> {
         let set = self.next_number.fetch_add(1, Ordering::SeqCst);
         let services: Vec<String> = (0..count).map(|shard| format!("s{set}-{shard}")).collect();
@@ -223,8 +223,8 @@
         services
     }
 
-    /// Publishes a new version, with another set of shards where one is given;
-    /// returns the set that it takes the place of.
+    /// Publishes a new version of the configuration, with a new set of shards if one is
+    /// given; returns the previous set.
     pub fn publish(&self, shards: Option<Vec<String>>, ledger: &Ledger) -> Vec<String> {
         let mut current = lock(&self.shards);
         let before = current.clone();
@@ -243,23 +243,23 @@
         before
     }
 
-    /// Returns the newest version.
+    /// Returns the newest version that was published.
     pub fn version(&self) -> u64 {
         self.version.load(Ordering::SeqCst)
     }
 
-    /// Says whether every daemon says that it is ready.
+    /// Returns whether every daemon reports that it is ready.
     pub fn is_ready(&self) -> bool {
         self.nodes.iter().all(Node::is_ready)
     }
 
-    /// Ends every process.
+    /// Kills every daemon.
     pub fn kill_daemons(&self) {
         self.nodes.iter().for_each(Node::kill);
     }
 }
 
-/// A soak that panics leaves no process behind.
+/// Kills the daemons also when the soak panics.
 impl Drop for Cluster {
     fn drop(&mut self) {
         self.kill_daemons();
--- a/crates/harefield/tests/soak/configuration.rs
+++ b/crates/harefield/tests/soak/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration as the users' operators publish it.
+//! Builds the configuration, in the form that the users' operators publish.
 
 use std::collections::BTreeSet;
 
@@ -9,11 +9,11 @@
 use crate::cluster::MIN_SHARE;
 use crate::cluster::RESULT_LIMIT;
 
-/// The connections that each upstream takes.
+/// The connection limit of each upstream.
 const CONNECTIONS: u64 = 26;
 
-/// Returns a version of the configuration, with the shards of its merged route and
-/// every service that there is.
+/// Returns a version of the configuration, with these shards on its merged route and
+/// all services.
 pub(crate) fn configuration(version: u64, shards: &[String], services: &BTreeSet<&str>) -> Value {
     let services: Vec<Value> =
         services.iter().map(|name| json!({ "name": name, "connectionLimit": CONNECTIONS })).collect();
@@ -23,17 +23,17 @@
     })
 }
 
-/// The key that most callers show, of the account `steady`.
+/// The API key that most callers use; it belongs to the account [`STEADY`].
 pub(crate) const STEADY_KEY: &str = "steady-key";
 
-/// The account that most callers are of.
+/// The client account of most callers.
 pub(crate) const STEADY: &str = "steady";
 
-/// The two accounts that keys move between; each begins so.
+/// The name prefix of the two accounts that keys move between.
 pub(crate) const ROTATING_PREFIX: &str = "turn-";
 
-/// Returns the key that comes with a version, moves to another account with the next one, and
-/// is taken away with the one after.
+/// Returns the API key that is introduced by a version, moves to another account with the
+/// next version, and is revoked with the one after that.
 pub(crate) fn key_of(version: u64) -> String {
     format!("key-of-{version}")
 }
--- a/crates/harefield/tests/soak/draw.rs
+++ b/crates/harefield/tests/soak/draw.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, as it is drawn from the seed.
+//! Draws the faults of a run from its seed.
 
 use std::time::Duration;
 
@@ -10,55 +10,56 @@
 
 use crate::proxy::LinkMode;
 
-/// How an upstream may behave for a while.
+/// The reply modes that an upstream may be switched to for a while.
 const CONDUCTS: [Conduct; 5] =
     [Conduct::Shed, Conduct::Fail, Conduct::Crossed, Conduct::Unsigned, Conduct::Good];
 
-/// One thing that goes wrong.
+/// A fault to inject.
 #[derive(Clone, Debug)]
 pub(crate) enum Fault {
-    /// A daemon is killed, and starts again.
+    /// A daemon is killed and restarted.
     Kill(usize),
-    /// A daemon is paused.
+    /// A daemon is paused with SIGSTOP and resumed.
     Pause(usize),
-    /// A daemon is stopped as planned, and starts again.
+    /// A daemon is shut down gracefully and restarted.
     Stop(usize),
-    /// A daemon is told to reload.
+    /// A daemon reloads its settings on SIGHUP.
     Reload(usize),
-    /// A daemon's way to the store is disturbed.
+    /// The connections of one daemon to the store are disturbed.
     StoreLink(usize, LinkFault),
-    /// The store is away.
+    /// The store answers 503.
     StoreDown,
-    /// The store takes what comes and never answers it, also when it speaks again.
+    /// The store accepts calls without answering; calls that it accepted then stay
+    /// unanswered after it recovers.
     StoreSilent,
-    /// The store forgets its past.
+    /// The store drops its history, so that watches that are behind have to start over.
     StoreCompacts,
-    /// The way to a daemon is disturbed for the others.
+    /// The connections of the other daemons to a daemon are disturbed.
     PeerLink(usize, LinkFault),
-    /// The way to an upstream is disturbed.
+    /// The connections to an upstream are disturbed.
     UpstreamLink(String, LinkFault),
-    /// An upstream behaves in another way, and is slow by some time.
+    /// An upstream replies in another mode, with an added delay.
     Conduct(String, Conduct, Duration),
-    /// An upstream says that it leaves, and another one takes its place.
+    /// An upstream announces that it is leaving, and another one replaces it.
     Drain(String),
-    /// An upstream is gone at once, and another one takes its place.
+    /// An upstream disappears without an announcement, and another one replaces it.
     Remove(String),
     /// A new version of the configuration is published.
     Publish,
-    /// The same, with a new set of as many shards.
+    /// A new version of the configuration is published, with a new set of this many shards.
     Reshard(usize),
 }
 
-/// What is done to a way.
+/// A fault of the connections through a proxy.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum LinkFault {
-    /// Its proxy does this for a while.
+    /// The proxy runs in this mode for a while.
     Mode(LinkMode),
-    /// All its connections end.
+    /// All connections through the proxy are closed.
     Reset,
 }
 
-/// One thing of a storm: after a pause, a fault for a time.
+/// One event of a storm: after a pause, a fault that lasts for a time.
 #[derive(Clone, Debug)]
 pub(crate) struct StormEvent {
     pub pause: Duration,
@@ -66,14 +67,15 @@
     pub time: Duration,
 }
 
-/// Draws changes in series beside a store that goes silent, unless it is `spared`, and
-/// none, some or all of the daemons killed at one moment and started again. A silence may
-/// be longer than the 4 s that a watch waits, and changes go on after it.
-pub(crate) fn draw_storm(random: &mut StdRng, nodes: usize, spared: bool) -> Vec<StormEvent> {
+/// Draws a storm: a series of configuration changes, a silence of the store unless
+/// `skip_silence` is set, and the kill and restart of none, some or all of the daemons at
+/// the same moment. A silence may be longer than the 4 s that a watch waits, and changes may
+/// follow it.
+pub(crate) fn draw_storm(random: &mut StdRng, nodes: usize, skip_silence: bool) -> Vec<StormEvent> {
     let mut span = |min: u64, max: u64| Duration::from_millis(random.random_range(min..max));
     let silence = StormEvent { pause: span(0, 500), fault: Fault::StoreSilent, time: span(500, 6000) };
     let (pause, time) = (span(0, 1500), span(200, 1000));
-    let mut events = if spared { Vec::new() } else { vec![silence] };
+    let mut events = if skip_silence { Vec::new() } else { vec![silence] };
     let killed = random.random_range(0..=nodes);
     let kill = |node| StormEvent { pause, fault: Fault::Kill(node), time };
     events.extend(sample(random, nodes, killed).into_iter().map(kill));
@@ -84,13 +86,14 @@
     events
 }
 
-/// Draws what goes wrong next, at one of so many daemons or one of the upstreams
-/// present. Where the store is `spared`, it stays well, as does the way to it: what
-/// must hold within seconds of its word can be checked at all times then.
-pub(crate) fn draw(random: &mut StdRng, nodes: usize, present: &[String], spared: bool) -> Fault {
+/// Draws the next fault, at one of `nodes` daemons or one of the upstreams `present`. With
+/// `skip_store` the store and the connections to it stay available: properties that must
+///
+/// hold within seconds of a write to the store can then be checked at all times.
+pub(crate) fn draw(random: &mut StdRng, nodes: usize, present: &[String], skip_store: bool) -> Fault {
     loop {
         let fault = draw_any(random, nodes, present);
-        if !(spared && matches!(fault, Fault::StoreLink(..) | Fault::StoreDown)) {
+        if !(skip_store && matches!(fault, Fault::StoreLink(..) | Fault::StoreDown)) {
             return fault;
         }
     }
--- a/crates/harefield/tests/soak/drills.rs
+++ b/crates/harefield/tests/soak/drills.rs
@@ -1,5 +1,6 @@
-//! Drills of the store, which is away for a moment and comes back from a copy, and kills of
-//! all daemons at one moment; drawn apart from what else goes wrong.
+//! Recovery drills, in which the store is unavailable for a moment and is restored from an
+//! older copy, and simultaneous kills of all daemons. Both use random generators of their
+//! own, so that the other faults of a seed stay the same.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -13,17 +14,17 @@
 use crate::faults::Faults;
 use crate::ledger::Scope;
 
-/// One drill.
+/// One restore of the store from an older copy.
 #[derive(Clone, Copy, Debug)]
 struct Drill {
-    /// How old the copy is.
+    /// The age of the copy.
     age: Duration,
     away: Away,
-    /// How long it is away.
+    /// How long the store is unavailable.
     time: Duration,
-    /// How long after its return operators and upstreams write again.
+    /// The delay from the restore until operators and upstreams write again what was lost.
     rewrite_delay: Duration,
-    /// Whether all daemons are killed beside it.
+    /// Whether all daemons are killed at the same time.
     kills_all: bool,
 }
 
@@ -34,14 +35,14 @@
     Drill { age, away, time, rewrite_delay, kills_all: random.random_bool(0.2) }
 }
 
-/// Says whether a seed's store comes back from copies: where its storms leave it well, it
-/// stays well.
+/// Returns whether a seed's store is restored from copies: a store that the seed's storms
+/// leave alone isn't.
 fn has_drills(seed: u64) -> bool {
     !seed.is_multiple_of(4)
 }
 
 impl Faults {
-    /// Lets drills come until `until`, beside changes in series.
+    /// Runs drills until `until`, with a series of configuration changes after each.
     pub fn run_drills(&self, seed: u64, until: Instant) {
         let mut random = StdRng::seed_from_u64(seed.rotate_left(17));
         while has_drills(seed) {
@@ -59,10 +60,10 @@
         }
     }
 
-    /// Plays a slow day until `until`: changes one after the other, a copy that lacks most of
-    /// them, and then changes that are seconds apart. Whoever goes by the store's counter
-    /// misses those, as writes bring it back to what it was; where changes are many, the next
-    /// one hides that.
+    /// Runs a slow day until `until`: a series of configuration changes, a restore from a copy
+    /// that lacks most of them, and then changes that are seconds apart. A daemon that relies
+    /// on the store's revision counter misses the later changes, because their writes bring
+    /// the counter back to its earlier value. With frequent changes the next one hides this.
     pub fn run_slow_day(&self, seed: u64, until: Instant) {
         let mut random = StdRng::seed_from_u64(seed.rotate_left(31));
         let mut change_after = |min: u64, max: u64| {
@@ -93,13 +94,13 @@
             std::thread::sleep(rewrite_delay);
             store.write_again();
             for kill in restarts.into_iter().flatten() {
-                kill.join().expect("a daemon starts again");
+                kill.join().expect("a restart's thread panicked");
             }
         });
     }
 
-    /// Ends the day: all daemons are killed at one moment, right after a change, on some seeds
-    /// beside a drill.
+    /// Ends the run of faults: kills all daemons at the same moment, right after a
+    /// configuration change, and with some seeds during a drill.
     pub fn end_day(&self, seed: u64) {
         let mut random = StdRng::seed_from_u64(seed.rotate_left(43));
         self.cluster.publish(None, &self.ledger);
@@ -109,11 +110,11 @@
         }
         let time = Duration::from_millis(random.random_range(100..1500));
         for kill in self.kill_daemons(time) {
-            kill.join().expect("a daemon starts again");
+            kill.join().expect("a restart's thread panicked");
         }
     }
 
-    /// Kills all daemons at one moment; they start again after a time.
+    /// Kills all daemons at the same moment and restarts them after `time`.
     fn kill_daemons(&self, time: Duration) -> Vec<std::thread::JoinHandle<()>> {
         let kill = |node| {
             let this = self.clone();
--- a/crates/harefield/tests/soak/faults.rs
+++ b/crates/harefield/tests/soak/faults.rs
@@ -1,5 +1,4 @@
-//! Doing what goes wrong: one thing after the other, each on a thread of its own, so
-//! that they overlap.
+//! Injects faults one after the other, each on a thread of its own, so that they overlap.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -28,20 +27,21 @@
 use crate::proxy::LinkMode;
 use crate::proxy::Proxy;
 
-/// How long a daemon is given after its start or wake before it is counted as well.
+/// How long after a start or resume a daemon still counts as disturbed.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
 
-/// How long it is calm after a storm: what it disturbed is checked then.
+/// The pause after a storm, in which the checks cover what the storm disturbed.
 const CALM_TIME: Duration = Duration::from_secs(3);
 
-/// How long a planned stop may take: the limit of 5.5 s, and a busy machine.
+/// How long a graceful shutdown may take: the daemon's limit of 5.5 s, plus an allowance for
+/// a busy machine.
 const STOP_LIMIT: Duration = Duration::from_secs(8);
 
-/// How long an upstream serves on after it said that it leaves: longer than the 3 s
-/// within which work must no longer reach it, so that what comes late is seen.
+/// How long an upstream keeps serving after it announced that it is leaving: longer than the
+/// 3 s after which no work may reach it, so that late requests are seen.
 const DRAIN_TIME: Duration = Duration::from_secs(7);
 
-/// Draws and carries out what goes wrong.
+/// Draws and injects faults.
 #[derive(Clone, Debug)]
 pub(crate) struct Faults {
     pub cluster: Arc<Cluster>,
@@ -49,8 +49,8 @@
 }
 
 impl Faults {
-    /// Lets storms come until `until`, with some calm after each, drawn apart from what
-    /// else goes wrong: a seed goes on drawing that as it did.
+    /// Runs storms until `until`, with a calm period after each. They use a random generator of
+    /// their own, so that a seed's other faults stay the same.
     pub fn run_storms(&self, seed: u64, until: Instant) {
         let mut random = StdRng::seed_from_u64(!seed);
         while Instant::now() < until {
@@ -58,7 +58,7 @@
             let under_way: Vec<JoinHandle<()>> =
                 events.into_iter().map(|event| self.start_event(event)).collect();
             for event in under_way {
-                event.join().expect("a stroke ends");
+                event.join().expect("a storm event's thread panicked");
             }
             std::thread::sleep(CALM_TIME);
         }
@@ -73,7 +73,7 @@
         })
     }
 
-    /// Lets things go wrong until `until`; returns what is still under way.
+    /// Injects random faults until `until`; returns the threads of those still under way.
     pub fn run(&self, seed: u64, until: Instant) -> Vec<JoinHandle<()>> {
         let mut random = StdRng::seed_from_u64(seed);
         let skip_store = skips_store(seed);
@@ -91,26 +91,26 @@
 
     pub(crate) fn apply(&self, fault: Fault, time: Duration) {
         match fault {
-            Fault::Kill(node) => self.on_process(node, Scope::Daemon(node), |held| {
-                held.kill();
+            Fault::Kill(node) => self.on_process(node, Scope::Daemon(node), |target| {
+                target.kill();
                 std::thread::sleep(time);
-                self.cluster.restart(held);
+                self.cluster.restart(target);
                 std::thread::sleep(SETTLE_TIME);
             }),
-            Fault::Pause(node) => self.on_process(node, Scope::Daemon(node), |held| {
-                held.signal(Signal::STOP);
+            Fault::Pause(node) => self.on_process(node, Scope::Daemon(node), |target| {
+                target.signal(Signal::STOP);
                 std::thread::sleep(time);
-                held.signal(Signal::CONT);
+                target.signal(Signal::CONT);
                 std::thread::sleep(SETTLE_TIME);
             }),
-            Fault::Stop(node) => self.on_process(node, Scope::Stop(node), |held| {
-                held.signal(Signal::TERM);
-                if !held.await_end(STOP_LIMIT) {
-                    println!("daemon {node} did not end in time");
-                    held.kill();
+            Fault::Stop(node) => self.on_process(node, Scope::Stop(node), |target| {
+                target.signal(Signal::TERM);
+                if !target.await_end(STOP_LIMIT) {
+                    println!("daemon {node} did not exit in time");
+                    target.kill();
                 }
                 std::thread::sleep(time);
-                self.cluster.restart(held);
+                self.cluster.restart(target);
                 std::thread::sleep(SETTLE_TIME);
             }),
             Fault::Reload(node) => self.cluster.nodes[node].signal(Signal::HUP),
@@ -152,9 +152,9 @@
         }
     }
 
-    /// Lets another writer put entries into the store until `until`: ones that are none, and
-    /// some over those of upstreams, which write theirs again. Drawn apart from what else goes
-    /// wrong.
+    /// Acts as another writer to the store until `until`: adds invalid entries and overwrites
+    /// some entries of upstreams, which then write theirs again. Uses a random generator of its
+    /// own.
     pub fn run_foreign(&self, seed: u64, until: Instant) {
         let mut random = StdRng::seed_from_u64(seed.rotate_left(29));
         for number in 0.. {
@@ -177,8 +177,8 @@
         }
     }
 
-    /// Ends upstreams that do not outlive what they run; another one takes the place of
-    /// each after some time.
+    /// Crashes the upstreams that run a fatal request; each is replaced by another one after
+    /// some time.
     pub fn run_crashes(&self, seed: u64) {
         let mut random = StdRng::seed_from_u64(seed.rotate_left(7));
         let mut under_way = Vec::new();
@@ -188,7 +188,7 @@
             under_way.push(std::thread::spawn(move || this.crash_upstream(&name, downtime)));
         }
         for ending in under_way {
-            ending.join().expect("an upstream ends");
+            ending.join().expect("the thread that crashes an upstream panicked");
         }
     }
 
@@ -204,14 +204,14 @@
         });
     }
 
-    /// Does something to a daemon's process, unless something is done to it.
+    /// Injects a fault into a daemon's process, unless one is already under way there.
     fn on_process(&self, node: usize, scope: Scope, act: impl FnOnce(&Node)) {
-        let held = &self.cluster.nodes[node];
-        if held.busy.swap(true, Ordering::SeqCst) {
+        let target = &self.cluster.nodes[node];
+        if target.busy.swap(true, Ordering::SeqCst) {
             return;
         }
-        self.during(scope, || act(held));
-        held.busy.store(false, Ordering::SeqCst);
+        self.during(scope, || act(target));
+        target.busy.store(false, Ordering::SeqCst);
     }
 
     fn on_link(&self, scope: Scope, proxy: &Proxy, link: LinkFault, time: Duration) {
@@ -231,11 +231,11 @@
         self.ledger.end(number);
     }
 
-    /// Lets an upstream leave, by its own word or without any, and another one of
-    /// its service take its place.
+    /// Replaces an upstream by another one of its service. The old one leaves with an
+    /// announcement if `announced`, otherwise at once.
     fn replace(&self, name: &str, announced: bool) {
         let Some(upstream) = self.cluster.upstream(name) else { return };
-        // What belongs to one version alone has no replica.
+        // The upstream of a configuration version has no replica.
         if upstream.service.starts_with("version-") || !self.cluster.remove_present(name) {
             return;
         }
@@ -265,7 +265,7 @@
         let next = self.cluster.make_shards(count);
         std::thread::sleep(time);
         let replaced = self.cluster.publish(Some(next), &self.ledger);
-        // The old upstreams leave once the new version is due everywhere.
+        // The old upstreams leave once the new version must be active everywhere.
         std::thread::sleep(Duration::from_secs(3));
         let is_replaced = |name: &String| {
             self.cluster.upstream(name).is_some_and(|upstream| replaced.contains(&upstream.service))
@@ -277,13 +277,14 @@
     }
 }
 
-/// Says whether a seed spares the store what is not a storm: every other one does.
+/// Returns whether a seed keeps the store available outside of storms and drills: every second
+/// seed does.
 fn skips_store(seed: u64) -> bool {
     seed.is_multiple_of(2)
 }
 
-/// Says whether a seed's storms leave the store well: every fourth one's do, so that what
-/// must hold within seconds of its word can be checked at all times.
+/// Returns whether a seed's storms leave the store alone: those of every fourth seed do, so that
+/// properties that must hold within seconds of a write to the store can be checked at all times.
 fn skips_silence(seed: u64) -> bool {
     seed.is_multiple_of(4)
 }
--- a/crates/harefield/tests/soak/ledger.rs
+++ b/crates/harefield/tests/soak/ledger.rs
@@ -1,83 +1,83 @@
-//! What callers saw, and what was done to the world meanwhile.
+//! Records what callers observed and which disturbances were under way.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::client::RequestOutcome;
+use crate::client::Outcome;
 use crate::locked::lock;
 
-/// What a request asks for.
+/// The route that a request takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Route {
-    /// All shards, merged.
+    /// Fans out to all shards and merges their answers.
     All,
-    /// One upstream; may be repeated.
+    /// Goes to one upstream; may be repeated.
     One,
-    /// One upstream; must not run twice.
+    /// Goes to one upstream; must not run twice.
     Once,
-    /// The upstream that belongs to the version in force.
+    /// Goes to the upstream that belongs to the active version of the configuration.
     Version,
 }
 
-/// One request of a caller.
+/// A caller's request and its outcome.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
     pub id: String,
     pub route: Route,
     /// The daemon that it was sent to.
     pub daemon: usize,
-    /// Which of that daemon's processes.
+    /// The incarnation of that daemon: the count of its process starts when the request was sent.
     pub incarnation: u64,
     pub sent: Instant,
     pub ended: Instant,
-    pub outcome: RequestOutcome,
+    pub outcome: Outcome,
 }
 
-/// What a disturbance strikes, for the checks that make allowance for it.
+/// What a disturbance affects, for the checks that make allowance for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Scope {
-    /// A daemon was paused or killed.
+    /// A daemon that is paused or killed.
     Daemon(usize),
-    /// A daemon is stopped as planned.
+    /// A daemon that is shut down gracefully.
     Stop(usize),
-    /// What daemons say to each other.
+    /// The connections among daemons.
     Peers,
     /// The store, for all daemons.
     Store,
-    /// A daemon's way to the store.
+    /// The connections of one daemon to the store.
     StoreLink(usize),
-    /// Upstreams, or the way to them.
+    /// Upstreams, or the connections to them.
     Upstreams,
 }
 
-/// A time in which something was disturbed.
+/// A period in which something was disturbed.
 #[derive(Clone, Debug)]
 pub(crate) struct Disturbance {
     pub scope: Scope,
     pub from: Instant,
-    /// Open until it is over.
+    /// `None` while it lasts.
     pub until: Option<Instant>,
 }
 
-/// A configuration as it was accepted.
+/// A version of the configuration that was written to the store.
 #[derive(Clone, Debug)]
 pub(crate) struct Published {
     pub version: u64,
     pub at: Instant,
-    /// The services of the merged route.
+    /// The services of the merged route, one per shard.
     pub shards: Vec<String>,
 }
 
-/// An upstream that was declared to be leaving.
+/// An upstream whose entry was set to draining.
 #[derive(Clone, Debug)]
 pub(crate) struct Leaving {
     pub id: String,
     pub at: Instant,
 }
 
-/// A request that ends the upstreams that run it.
+/// A fatal request: it crashes each upstream that runs it.
 #[derive(Clone, Debug)]
 pub(crate) struct FatalRequest {
     pub id: String,
@@ -85,17 +85,17 @@
     pub daemon: usize,
 }
 
-/// A request that showed the key that came with a version.
+/// A request with the API key that a version introduced.
 #[derive(Clone, Debug)]
 pub(crate) struct KeyUse {
     pub version: u64,
     pub daemon: usize,
     pub sent: Instant,
     pub ended: Instant,
-    pub outcome: RequestOutcome,
+    pub outcome: Outcome,
 }
 
-/// Everything that was written down.
+/// Everything recorded during a soak.
 #[derive(Debug, Default)]
 pub(crate) struct Observations {
     pub requests: Vec<Request>,
@@ -107,8 +107,8 @@
 }
 
 impl Observations {
-    /// Says whether anything of the kinds chosen was disturbed between two
-    /// moments, or within `after` before.
+    /// Returns whether anything in the scopes selected by `of` was disturbed between `from`
+    /// and `until`, or had been until at most `after` before `from`.
     pub fn disturbed(
         &self,
         from: Instant,
@@ -121,26 +121,26 @@
     }
 }
 
-/// What all threads write to.
+/// The record that all threads write to.
 #[derive(Debug, Default)]
 pub(crate) struct Ledger {
     observations: Mutex<Observations>,
 }
 
 impl Ledger {
-    /// Returns everything that was written down until now.
+    /// Locks and returns everything recorded so far.
     pub fn observations(&self) -> MutexGuard<'_, Observations> {
         lock(&self.observations)
     }
 
-    /// Notes that a disturbance begins; returns its number.
+    /// Records the start of a disturbance; returns its number for [`Self::end`].
     pub fn begin(&self, scope: Scope) -> usize {
         let mut observations = self.observations();
         observations.disturbances.push(Disturbance { scope, from: Instant::now(), until: None });
         observations.disturbances.len() - 1
     }
 
-    /// Notes that a disturbance is over.
+    /// Records the end of a disturbance.
     pub fn end(&self, number: usize) {
         self.observations().disturbances[number].until = Some(Instant::now());
     }
--- a/crates/harefield/tests/soak/main.rs
+++ b/crates/harefield/tests/soak/main.rs
@@ -1,11 +1,12 @@
-//! A randomized soak: daemons as processes on loopback, stand-ins of the users'
-//! store and upstreams, and faults from outside, all drawn from one seed.
+//! A randomized soak test: daemons run as processes on loopback, against simulated
+//! versions of the users' store and upstreams, while faults are injected from outside. All
+//! random choices come from one seed.
 //!
-//! `world` starts processes, each a `node`, and stand-ins, with a `proxy` before each
-//! of them, and publishes the `configuration`; `draw` draws what goes wrong and `faults`
-//! does it, `drills` lets the store come back from copies; `callers` send requests and
-//! write down what they saw in the `ledger`; `checks` compares that with what the upstreams
-//! saw. Without arguments three short seeds are played, as CI does.
+//! `cluster` starts the daemons (each a `node`), the store and the upstreams, with a `proxy`
+//! in front of each, and publishes the `configuration`. `draw` draws the faults and `faults`
+//! injects them; `drills` restores the store from older copies. `callers` send requests and
+//! record the results in the `ledger`; `checks` compares these with what the upstreams
+//! recorded. Without arguments three short seeds run, as in CI.
 
 mod callers;
 mod checks;
@@ -33,20 +34,22 @@
 use crate::run::play;
 
 const HELP: &str = "\
-soak: harefield's daemons as processes, with faults from outside
+soak: runs harefield daemons as processes and injects faults from outside
 
 Usage: cargo test -p harefield --test soak -- [--seed N] [--count N] [--kept]
            [--slow] [--seconds N] [--daemons N] [--callers N] [--shards N]
            [--program FILE] [--folder DIR]
 
-Without arguments: seeds 1 to 3, short, the last one as a slow day. Else plays `count` seeds from `seed` on, or those kept in seeds.txt, each for `seconds` and
-what its faults take to end. Logs of seeds that broke a promise stay in the folder. Ends with 1 where one did.
+Without arguments, runs seeds 1 to 3 for a short time, the last one as a slow day.
+Otherwise runs COUNT seeds starting at SEED, or with --kept the seeds of seeds.txt, each for
+SECONDS plus the time that its faults take to end. Keeps the logs of failed seeds in the
+folder. Exits with 1 if a check failed for any seed.
 ";
 
-/// The seeds that broke a promise once, with their causes.
+/// The seeds that once failed a check, with the cause of each.
 const KNOWN_SEEDS: &str = include_str!("seeds.txt");
 
-/// The seed that is played as a slow day in the short run.
+/// The seed that runs as a slow day in the short run.
 const SLOW_SEED: u64 = 3;
 
 type Failure = Box<dyn std::error::Error>;
@@ -75,19 +78,19 @@
     let (good, bad) = (seeds.len() - failed.len(), failed.len());
     let verdict = if failed.is_empty() { "ok" } else { "FAILED" };
     println!("test result: {verdict}. {good} passed; {bad} failed");
-    println!("{} seeds, {} with a promise broken: {failed:?}", seeds.len(), failed.len());
+    println!("{} seeds, {} with a failed check: {failed:?}", seeds.len(), failed.len());
     Ok(if failed.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Returns whether it was started without arguments, as by the README's test command.
+/// Returns whether the program was started without arguments, as by the README's test command.
 ///
-/// `--skip TEST` of `cargo test` is handed to every test program, and is not for this one.
+/// `cargo test` passes `--skip TEST` to every test program, so it doesn't count as an argument.
 fn is_short() -> bool {
     let skips = std::env::args().filter(|argument| argument == "--skip").count();
     std::env::args().len() == 1 + 2 * skips
 }
 
-/// Returns the seeds that broke a promise once.
+/// Returns the seeds listed in `seeds.txt`.
 fn known_seeds() -> Result<Vec<u64>, Failure> {
     let lines = KNOWN_SEEDS.lines().filter(|line| !line.starts_with('#'));
     let numbers = lines.map(|line| line.split(' ').next().unwrap_or("").parse());
@@ -106,7 +109,7 @@
         program: PathBuf::from(env!("CARGO_BIN_EXE_harefield")),
         folder: PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("soak-{}", std::process::id())),
     };
-    // The second seed's store is well but for its silences.
+    // Seed 2 is even: its store becomes unavailable only in storms and drills.
     let mut count = if short { SLOW_SEED } else { 1 };
     let mut only_known = false;
     let mut parser = Parser::from_env();
@@ -123,7 +126,7 @@
             Arg::Long("shards") => soak.shards = parser.value()?.parse()?,
             Arg::Long("program") => soak.program = parser.value()?.into(),
             Arg::Long("folder") => soak.folder = parser.value()?.into(),
-            // A filter of `cargo test`, which is handed to every test program.
+            // `cargo test` passes its filter to every test program.
             Arg::Value(filter) if !"soak".contains(&*filter.to_string_lossy()) => {
                 return Ok(Some((soak, Vec::new())));
             }
--- a/crates/harefield/tests/soak/node.rs
+++ b/crates/harefield/tests/soak/node.rs
@@ -1,5 +1,5 @@
-//! One daemon of a soak: its process, its settings, and a proxy before it and before
-//! its way to the store.
+//! One daemon of a soak: its process, its settings, a proxy in front of its listener for peers,
+//! and a proxy between it and the store.
 
 use std::fs::File;
 use std::net::Ipv4Addr;
@@ -28,35 +28,35 @@
 use crate::proxy::OpenedProxy;
 use crate::proxy::Proxy;
 
-/// How many daemons dial the upstreams of an index.
+/// The number of daemons in a cell, which connect to the same upstreams of an index.
 const CELL_SIZE: usize = 3;
 
-/// How long one question whether a daemon is ready may take.
+/// The timeout of one readiness query.
 const READY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One daemon.
+/// A daemon and its process.
 #[derive(Debug)]
 pub(crate) struct Node {
-    /// Which of the daemons it is.
+    /// Its position among the daemons.
     number: usize,
     child: Mutex<Option<Child>>,
     settings: PathBuf,
     log: PathBuf,
     pub callers: SocketAddr,
     operators: SocketAddr,
-    /// Before its peers' address.
+    /// The proxy in front of its listener for peers.
     pub peers: Proxy,
-    /// Before the store, for this daemon alone.
+    /// The proxy in front of the store for this daemon alone.
     pub store: Proxy,
-    /// Counts its processes.
+    /// The number of times its process was started.
     incarnation: AtomicU64,
-    /// Whether something is done to its process.
+    /// Whether a fault is being injected into its process.
     pub busy: AtomicBool,
 }
 
 impl Node {
-    /// Opens the proxies before a daemon and the store; settings and logs go to
-    /// `folder`.
+    /// Opens the proxies in front of a daemon and the store, without starting the daemon;
+    /// settings and logs go to `folder`.
     pub fn open(number: usize, store: &SiteStore, proxy_thread: &Sender<OpenedProxy>, folder: &Path) -> Self {
         let [callers, peers, operators] = addresses(number);
         Self {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Writes its settings, with the daemons that it asks at the start.
+    /// Writes its settings, with the daemons that it uses as gossip seeds.
     pub fn write_settings(&self, seeds: &[SocketAddr]) {
         let [callers, peers, operators] = addresses(self.number);
         let zone = ZONES[self.number % ZONES.len()];
@@ -92,12 +92,12 @@
         std::fs::write(&self.settings, text).expect("settings can be written");
     }
 
-    /// Returns the number of the process that runs now.
+    /// Returns its incarnation: how often its process was started.
     pub fn incarnation(&self) -> u64 {
         self.incarnation.load(Ordering::SeqCst)
     }
 
-    /// Starts its process, unless one runs.
+    /// Starts its process, unless one is running.
     pub fn start(&self, program: &Path) {
         let mut child = lock(&self.child);
         if child.is_some() {
@@ -112,7 +112,7 @@
             .stdout(Stdio::from(log))
             .stderr(Stdio::from(errors))
             .spawn();
-        *child = Some(started.expect("the daemon's program is there"));
+        *child = Some(started.expect("the daemon's program can be started"));
     }
 
     /// Sends a signal to its process.
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Waits until its process has ended; returns whether it did in time.
+    /// Waits until its process has exited; returns whether it did within `limit`.
     pub fn await_end(&self, limit: Duration) -> bool {
         let until = Instant::now() + limit;
         let mut child = lock(&self.child);
@@ -139,7 +139,7 @@
         true
     }
 
-    /// Ends its process at once.
+    /// Kills its process and waits for it to exit.
     pub fn kill(&self) {
         if let Some(mut child) = lock(&self.child).take() {
             let _ = child.kill();
@@ -147,15 +147,15 @@
         }
     }
 
-    /// Says whether its process says that it is ready.
+    /// Returns whether its process reports that it is ready.
     pub fn is_ready(&self) -> bool {
         let reply = standin::Client::once(self.operators, "GET", "/ready", "", READY_TIMEOUT);
         reply.is_some_and(|(status, _)| status == 200)
     }
 }
 
-/// Returns the addresses of a daemon, which it keeps over restarts: loopback ones of
-/// this soak alone, on ports that no connection is opened from.
+/// Returns the addresses of a daemon, which stay the same across restarts: loopback addresses
+/// specific to this soak's process, on ports outside the range of outgoing connections.
 fn addresses(number: usize) -> [SocketAddr; 3] {
     let process = std::process::id();
     let octet = |number: u32| u8::try_from(number % 250 + 1).unwrap_or(1);
--- a/crates/harefield/tests/soak/proxy.rs
+++ b/crates/harefield/tests/soak/proxy.rs
@@ -1,5 +1,5 @@
-//! A loopback proxy before one address, which delays, resets, silences or refuses
-//! what goes through it.
+//! A loopback TCP proxy in front of one address, which can delay, reset, stall or refuse
+//! connections.
 
 use std::net::SocketAddr;
 use std::net::TcpListener;
@@ -21,28 +21,28 @@
 
 use crate::locked::lock;
 
-/// How often held bytes look whether they may go on.
+/// The interval at which held data checks whether the mode lets it pass.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Bytes read at a time.
+/// The size of the read buffer in bytes.
 const CHUNK: usize = 16 << 10;
 
-/// What a proxy does to what goes through it.
+/// How a proxy treats its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum LinkMode {
-    /// It hands everything on.
+    /// Forwards everything.
     #[default]
     Pass,
-    /// It hands everything on later.
+    /// Forwards everything after a delay.
     Delay(Duration),
-    /// It holds bytes in some directions, and new connections with them.
+    /// Holds the data of some directions; with `requests` also new connections.
     Silent {
-        /// Whether what callers send is held.
+        /// Whether data from callers is held.
         requests: bool,
-        /// Whether what is answered is held.
+        /// Whether data from the target is held.
         responses: bool,
     },
-    /// It closes new connections at once.
+    /// Closes new connections at once.
     Refuse,
 }
 
@@ -50,20 +50,20 @@
 struct State {
     mode: LinkMode,
     target: SocketAddr,
-    /// Closed and replaced to end all connections.
+    /// Closed and replaced to close all connections.
     alive: (Sender<()>, Receiver<()>),
-    /// Closed to listen no more.
+    /// Closed to stop listening.
     listening: (Sender<()>, Receiver<()>),
 }
 
-/// A proxy; it serves until the process ends.
+/// A proxy; it serves until [`Proxy::end`] or the end of the process.
 #[derive(Clone, Debug)]
 pub(crate) struct Proxy {
     state: Arc<Mutex<State>>,
     address: SocketAddr,
 }
 
-/// A proxy's listener on its way to the thread that serves it.
+/// A proxy's listener, as it is passed to the thread that serves it.
 #[derive(Debug)]
 pub(crate) struct OpenedProxy {
     listener: TcpListener,
@@ -77,10 +77,10 @@
 }
 
 impl Proxy {
-    /// Opens a proxy before an address, on the thread that serves all proxies.
+    /// Opens a proxy in front of an address, on the thread that serves all proxies.
     pub fn open(target: SocketAddr, proxy_thread: &Sender<OpenedProxy>) -> Self {
         let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a port is free");
-        let address = listener.local_addr().expect("it is bound");
+        let address = listener.local_addr().expect("the listener is bound");
         let state = State {
             mode: LinkMode::Pass,
             target,
@@ -89,28 +89,28 @@
         };
         let proxy = Self { state: Arc::new(Mutex::new(state)), address };
         let opened = OpenedProxy { listener, proxy: proxy.clone() };
-        proxy_thread.send_blocking(opened).expect("the proxies' thread runs");
+        proxy_thread.send_blocking(opened).expect("the proxy thread is running");
         proxy
     }
 
-    /// Returns where it listens.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets what it does from now on.
+    /// Sets how it treats its connections from now on.
     pub fn set(&self, mode: LinkMode) {
         self.lock().mode = mode;
     }
 
-    /// Ends all connections.
+    /// Closes all connections.
     pub fn reset(&self) {
         let mut state = self.lock();
         state.alive.0.close();
         state.alive = async_channel::bounded(1);
     }
 
-    /// Ends it: nobody listens at its address any more.
+    /// Stops listening and closes all connections.
     pub fn end(&self) {
         self.lock().listening.0.close();
         self.reset();
@@ -125,7 +125,7 @@
     }
 
     async fn serve(self, listener: TcpListener, executor: Rc<LocalExecutor<'static>>) {
-        let listener = Async::new(listener).expect("it can be polled");
+        let listener = Async::new(listener).expect("the listener can be polled");
         let listening = self.lock().listening.1.clone();
         let accepting = async {
             loop {
@@ -172,7 +172,7 @@
                 break;
             }
         }
-        // The other side learns that no more comes.
+        // Passes the end of the stream on to the other side.
         let _ = to.get_ref().shutdown(std::net::Shutdown::Write);
     }
 
--- a/crates/harefield/tests/soak/run.rs
+++ b/crates/harefield/tests/soak/run.rs
@@ -1,4 +1,4 @@
-//! One soak from its seed to its verdict.
+//! Runs one soak from its seed to its report.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -10,59 +10,59 @@
 
 use crate::callers::CallerContext;
 use crate::checks::Checks;
-use crate::client::RequestOutcome;
+use crate::client::Outcome;
 use crate::cluster::Cluster;
 use crate::faults::Faults;
 use crate::ledger::Ledger;
 
-/// How long the daemons may take to be ready at first.
+/// How long the daemons may take to become ready at the start.
 const READY_LIMIT: Duration = Duration::from_secs(20);
 
-/// How long all is calm at the end before requests must be served again.
+/// How long no faults are injected at the end before requests must be served again.
 const CALM_TIME: Duration = Duration::from_secs(5);
 
-/// How long they are watched then.
+/// How long requests are observed after that.
 const OBSERVED_TIME: Duration = Duration::from_secs(2);
 
-/// What a soak is told.
+/// The settings of a soak.
 #[derive(Clone, Debug)]
 pub(crate) struct SoakOptions {
-    /// Everything is drawn from it.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// Whether nothing but the store's drills goes wrong, among few changes.
+    /// Whether the store's drills are the only faults, among few configuration changes.
     pub slow: bool,
-    /// How long things go wrong.
+    /// How long faults are injected.
     pub time: Duration,
-    /// How many daemons run.
+    /// The number of daemons.
     pub daemons: usize,
-    /// How many callers there are.
+    /// The number of callers that send to any daemon.
     pub callers: u64,
-    /// How many shards there are at first.
+    /// The number of shards at the start.
     pub shards: usize,
-    /// The daemons' program.
+    /// The path of the daemon's executable.
     pub program: PathBuf,
-    /// Where settings and logs go.
+    /// The folder of the daemons' settings and logs.
     pub folder: PathBuf,
 }
 
-/// What a soak found.
+/// The results of a soak.
 #[derive(Clone, Debug)]
 pub(crate) struct Report {
-    /// How many requests were sent.
+    /// The number of requests sent.
     pub requests: usize,
-    /// How many of them were answered with success.
+    /// The number of requests answered with status 200.
     pub served: usize,
-    /// Each promise that was broken, with where.
+    /// The violations found: the promise and where it was broken.
     pub violations: Vec<String>,
 }
 
-/// Plays one soak.
+/// Runs one soak and checks its results.
 ///
 /// # Panics
 ///
-/// Panics where the daemons' program is not there, or does not get ready.
+/// Panics if the daemons' program doesn't exist or the daemons don't become ready in time.
 pub(crate) fn play(soak: &SoakOptions) -> Report {
-    std::fs::create_dir_all(&soak.folder).expect("the folder can be made");
+    std::fs::create_dir_all(&soak.folder).expect("the folder can be created");
     let ledger: Arc<Ledger> = Arc::default();
     let cluster = Cluster::start(soak.daemons, soak.shards, &soak.program, &soak.folder, &ledger);
     let cluster = Arc::new(cluster);
@@ -88,15 +88,15 @@
     std::thread::sleep(CALM_TIME + OBSERVED_TIME);
     done.store(true, Ordering::SeqCst);
     for caller in callers {
-        caller.join().expect("callers end");
+        caller.join().expect("a caller panicked");
     }
     cluster.close_crashes();
-    crashes.join().expect("what ends upstreams ends");
+    crashes.join().expect("the thread that crashes upstreams panicked");
     cluster.kill_daemons();
     check(&cluster, &ledger, calm)
 }
 
-/// Lets all kinds of things go wrong until `until`, and ends what is under way then.
+/// Injects all kinds of faults until `until`, and waits until those under way have ended.
 fn run_faults(faults: &Faults, seed: u64, until: Instant) {
     let foreign = faults.clone();
     let foreign = std::thread::spawn(move || foreign.run_foreign(seed, until));
@@ -107,7 +107,7 @@
     let mut under_way = faults.run(seed, until);
     under_way.extend([storms, foreign, drills]);
     for fault in under_way {
-        fault.join().expect("what goes wrong ends");
+        fault.join().expect("a fault's thread panicked");
     }
     faults.end_day(seed);
 }
@@ -115,7 +115,7 @@
 fn await_ready(cluster: &Cluster, folder: &Path) {
     let until = Instant::now() + READY_LIMIT;
     while !cluster.is_ready() {
-        assert!(Instant::now() < until, "the daemons are not ready; see {}", folder.display());
+        assert!(Instant::now() < until, "the daemons did not become ready; see {}", folder.display());
         std::thread::sleep(Duration::from_millis(50));
     }
 }
@@ -124,7 +124,7 @@
     let observations = ledger.observations();
     let upstreams = cluster.upstreams();
     let violations = Checks::new(&observations, &upstreams).run(calm);
-    let is_served = |outcome: &RequestOutcome| matches!(outcome, RequestOutcome::Answered(answer) if answer.status == 200);
+    let is_served = |outcome: &Outcome| matches!(outcome, Outcome::Answered(answer) if answer.status == 200);
     Report {
         requests: observations.requests.len(),
         served: observations.requests.iter().filter(|request| is_served(&request.outcome)).count(),
