--- a/crates/harefield/tests/soak/draw.rs
+++ b/crates/harefield/tests/soak/draw.rs
@@ -88,7 +88,6 @@
 
 /// Draws the next fault, at one of `nodes` daemons or one of the upstreams `present`. With
 /// `skip_store` the store and the connections to it stay available: properties that must
-///
 /// hold within seconds of a write to the store can then be checked at all times.
 pub(crate) fn draw(random: &mut StdRng, nodes: usize, present: &[String], skip_store: bool) -> Fault {
     loop {
