--- a/crates/harefield/tests/soak/checks/mod.rs
+++ b/crates/harefield/tests/soak/checks/mod.rs
@@ -1,13 +1,13 @@
-//! The promises, checked against what callers and upstreams saw.
+//! Checks the promises to callers and upstreams against what both observed.
 //!
-//! `accounts` is about whose requests run, `answers` about what callers were told, `runs` about where their requests ran,
-//! `versions` about how soon a change is in force, `extra` about load beyond the
-//! requests, `harm` about requests that end upstreams.
+//! `accounts` checks the accounts and keys of requests, `answers` the contents of answers,
+//! `runs` where and how often requests ran, `versions` how soon a change takes effect,
+//! `extra_load` the load from retries and hedges, and `fatal` the requests that crash upstreams.
 
 mod accounts;
 mod answers;
-mod extra;
-mod harm;
+mod extra_load;
+mod fatal;
 mod runs;
 mod versions;
 
@@ -16,89 +16,88 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::client::Ending;
-use crate::ledger::Pages;
+use crate::client::Outcome;
+use crate::cluster::Upstream;
+use crate::ledger::Observations;
 use crate::ledger::Request;
-use crate::world::Upstream;
 
-/// Within this time a configuration is in force and no work reaches an upstream that
-/// is leaving.
-const IN_FORCE: Duration = Duration::from_secs(3);
+/// The time within which a configuration must be active, and after which no work may reach an
+/// upstream that is leaving.
+const ACTIVATION_LIMIT: Duration = Duration::from_secs(3);
 
-/// How long after a disturbance a daemon may act on what it missed.
-const AFTER: Duration = Duration::from_secs(2);
+/// How long after a disturbance a daemon may take to catch up on what it missed.
+const CATCH_UP_TIME: Duration = Duration::from_secs(2);
 
-/// A promise that was broken.
+/// A broken promise, and where it was broken.
 #[derive(Clone, Debug)]
-pub(crate) struct Broken {
+pub(crate) struct Violation {
     pub promise: &'static str,
-    pub what: String,
+    pub detail: String,
 }
 
-/// Everything that the checks go by.
+/// The input of the checks and the violations found so far.
 pub(crate) struct Checks<'a> {
-    pages: &'a Pages,
+    observations: &'a Observations,
     upstreams: &'a BTreeMap<String, Upstream>,
-    /// Where each request ran, and when.
+    /// The upstreams that each request ran at, and when, by the request's id.
     runs: HashMap<String, Vec<(String, Instant)>>,
-    broken: Vec<Broken>,
+    violations: Vec<Violation>,
 }
 
 impl<'a> Checks<'a> {
-    /// Gathers what the upstreams ran.
-    pub fn new(pages: &'a Pages, upstreams: &'a BTreeMap<String, Upstream>) -> Self {
+    /// Collects the requests that the upstreams ran.
+    pub fn new(observations: &'a Observations, upstreams: &'a BTreeMap<String, Upstream>) -> Self {
         let mut runs: HashMap<String, Vec<(String, Instant)>> = HashMap::new();
         for (name, upstream) in upstreams {
             for (at, id) in upstream.inner.arrivals() {
                 runs.entry(id).or_default().push((name.clone(), at));
             }
         }
-        Self { pages, upstreams, runs, broken: Vec::new() }
+        Self { observations, upstreams, runs, violations: Vec::new() }
     }
 
-    /// Checks everything; returns what was broken.
-    pub fn all(mut self, calm: Instant) -> Vec<Broken> {
-        for request in &self.pages.requests {
-            self.answer(request);
-            self.runs_of(request);
-            self.cut(request);
-            self.not_withheld(request);
+    /// Runs all checks and returns the violations.
+    pub fn run(mut self, calm: Instant) -> Vec<Violation> {
+        for request in &self.observations.requests {
+            self.check_answer(request);
+            self.check_runs(request);
+            self.check_completion(request);
+            self.check_withheld(request);
         }
-        self.versions();
-        self.named();
-        self.keys();
-        self.leaving();
-        self.extra_load();
-        self.harm();
-        self.foreign();
-        self.recovery(calm);
-        self.broken
+        self.check_versions();
+        self.check_accounts();
+        self.check_keys();
+        self.check_leaving();
+        self.check_load();
+        self.check_fatal();
+        self.check_foreign();
+        self.check_recovery(calm);
+        self.violations
     }
 
-    fn note(&mut self, promise: &'static str, request: &Request, what: &str) {
-        let what = format!("{} {:?} at daemon {}: {what}", request.id, request.route, request.daemon);
-        self.broken.push(Broken { promise, what });
+    fn report(&mut self, promise: &'static str, request: &Request, detail: &str) {
+        let detail = format!("{} {:?} at daemon {}: {detail}", request.id, request.route, request.daemon);
+        self.violations.push(Violation { promise, detail });
     }
 
-    /// Returns the service that an upstream is of; empty where there is no such one.
+    /// Returns the service of an upstream, or an empty string if there is no such upstream.
     fn service_of(&self, name: &str) -> &'a str {
         self.upstreams.get(name).map_or("", |upstream| upstream.service.as_str())
     }
 
-    /// Once all is calm, requests are served.
-    fn recovery(&mut self, calm: Instant) {
-        let after: Vec<&Request> = self.pages.requests.iter().filter(|r| r.sent > calm).collect();
-        let good =
-            |request: &&&Request| matches!(&request.ending, Ending::Answered(answer) if answer.status == 200);
-        let served = after.iter().filter(good).count();
+    /// At least nine tenths of the requests are served once no faults are injected.
+    fn check_recovery(&mut self, calm: Instant) {
+        let after: Vec<&Request> = self.observations.requests.iter().filter(|r| r.sent > calm).collect();
+        let is_served = |request: &&&Request| matches!(&request.outcome, Outcome::Answered(answer) if answer.status == 200);
+        let served = after.iter().filter(is_served).count();
         if served * 10 < after.len() * 9 || after.is_empty() {
-            let what = format!("{served} of {} requests are served when all is calm", after.len());
-            self.broken.push(Broken { promise: "recovery", what });
+            let detail = format!("{served} of {} requests were served after the faults ended", after.len());
+            self.violations.push(Violation { promise: "recovery", detail });
         }
     }
 }
 
-/// Returns a count as a number that shares can be taken of.
+/// Converts a count for the computation of shares.
 fn float(count: usize) -> f64 {
     f64::from(u32::try_from(count).unwrap_or(u32::MAX))
 }
--- a/crates/harefield/tests/soak/configuration.rs
+++ b/crates/harefield/tests/soak/configuration.rs
@@ -1,19 +1,19 @@
-//! The configuration as the users' operators publish it.
+//! Builds the configuration, in the form that the users' operators publish.
 
 use std::collections::BTreeSet;
 
 use serde_json::Value;
 use serde_json::json;
 
-use crate::world::ATTEMPTS;
-use crate::world::LEAST_SHARE;
-use crate::world::RECORDS;
+use crate::cluster::MAX_ATTEMPTS;
+use crate::cluster::MIN_SHARE;
+use crate::cluster::RESULT_LIMIT;
 
-/// The connections that each upstream takes.
+/// The connection limit of each upstream.
 const CONNECTIONS: u64 = 26;
 
-/// Returns a version of the configuration, with the shards of its merged route and
-/// every service that there is.
+/// Returns a version of the configuration, with these shards on its merged route and
+/// all services.
 pub(crate) fn configuration(version: u64, shards: &[String], services: &BTreeSet<&str>) -> Value {
     let services: Vec<Value> =
         services.iter().map(|name| json!({ "name": name, "connectionLimit": CONNECTIONS })).collect();
@@ -23,17 +23,17 @@
     })
 }
 
-/// The key that most callers show, of the account `steady`.
+/// The API key that most callers use; it belongs to the account [`STEADY`].
 pub(crate) const STEADY_KEY: &str = "steady-key";
 
-/// The account that most callers are of.
+/// The client account of most callers.
 pub(crate) const STEADY: &str = "steady";
 
-/// The two accounts that keys move between; each begins so.
-pub(crate) const TURN: &str = "turn-";
+/// The name prefix of the two accounts that keys move between.
+pub(crate) const ROTATING_PREFIX: &str = "turn-";
 
-/// Returns the key that comes with a version, moves to another account with the next one, and
-/// is taken away with the one after.
+/// Returns the API key that is introduced by a version, moves to another account with the
+/// next version, and is revoked with the one after that.
 pub(crate) fn key_of(version: u64) -> String {
     format!("key-of-{version}")
 }
@@ -42,15 +42,15 @@
     let keys = [key_of(version), key_of(version.saturating_sub(1))];
     [
         json!({ "name": STEADY, "apiKeys": [STEADY_KEY], "ratePerS": 0 }),
-        json!({ "name": format!("{TURN}{}", version % 2), "apiKeys": keys, "priority": 1, "ratePerS": 0 }),
+        json!({ "name": format!("{ROTATING_PREFIX}{}", version % 2), "apiKeys": keys, "priority": 1, "ratePerS": 0 }),
     ]
 }
 
 fn routes(version: u64, shards: &[String]) -> [Value; 4] {
     let mut all = route("all", "/all/", "safe", 1);
     all["fanoutServices"] = json!(shards);
-    all["resultLimit"] = json!(RECORDS);
-    all["oldestVersion"] = json!(LEAST_SHARE);
+    all["resultLimit"] = json!(RESULT_LIMIT);
+    all["oldestVersion"] = json!(MIN_SHARE);
     let own = format!("version-{version}");
     [
         all,
@@ -68,7 +68,7 @@
 fn route(name: &str, path: &str, kind: &str, priority: u64) -> Value {
     json!({
         "name": name, "host": "x.example", "pathPrefix": path, "kind": kind, "timeoutMs": 1000,
-        "targetLatencyMs": 300, "priority": priority, "attempts": ATTEMPTS,
+        "targetLatencyMs": 300, "priority": priority, "attempts": MAX_ATTEMPTS,
     })
 }
 
--- a/crates/harefield/tests/soak/draw.rs
+++ b/crates/harefield/tests/soak/draw.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, as it is drawn from the seed.
+//! Draws the faults of a run from its seed.
 
 use std::time::Duration;
 
@@ -8,89 +8,91 @@
 use rand::seq::index::sample;
 use standin::ReplyMode as Conduct;
 
-use crate::proxy::Manner;
+use crate::proxy::LinkMode;
 
-/// How an upstream may behave for a while.
+/// The reply modes that an upstream may be switched to for a while.
 const CONDUCTS: [Conduct; 5] =
     [Conduct::Shed, Conduct::Fail, Conduct::Crossed, Conduct::Unsigned, Conduct::Good];
 
-/// One thing that goes wrong.
+/// A fault to inject.
 #[derive(Clone, Debug)]
 pub(crate) enum Fault {
-    /// A daemon is killed, and starts again.
+    /// A daemon is killed and restarted.
     Kill(usize),
-    /// A daemon is paused.
+    /// A daemon is paused with SIGSTOP and resumed.
     Pause(usize),
-    /// A daemon is stopped as planned, and starts again.
+    /// A daemon is shut down gracefully and restarted.
     Stop(usize),
-    /// A daemon is told to reload.
+    /// A daemon reloads its settings on SIGHUP.
     Reload(usize),
-    /// A daemon's way to the store is disturbed.
-    StoreLink(usize, Link),
-    /// The store is away.
+    /// The connections of one daemon to the store are disturbed.
+    StoreLink(usize, LinkFault),
+    /// The store answers 503.
     StoreDown,
-    /// The store takes what comes and never answers it, also when it speaks again.
+    /// The store accepts calls without answering; calls that it accepted then stay
+    /// unanswered after it recovers.
     StoreSilent,
-    /// The store forgets its past.
-    StoreForgets,
-    /// The way to a daemon is disturbed for the others.
-    PeerLink(usize, Link),
-    /// The way to an upstream is disturbed.
-    UpstreamLink(String, Link),
-    /// An upstream behaves in another way, and is slow by some time.
+    /// The store drops its history, so that watches that are behind have to start over.
+    StoreCompacts,
+    /// The connections of the other daemons to a daemon are disturbed.
+    PeerLink(usize, LinkFault),
+    /// The connections to an upstream are disturbed.
+    UpstreamLink(String, LinkFault),
+    /// An upstream replies in another mode, with an added delay.
     Conduct(String, Conduct, Duration),
-    /// An upstream says that it leaves, and another one takes its place.
+    /// An upstream announces that it is leaving, and another one replaces it.
     Drain(String),
-    /// An upstream is gone at once, and another one takes its place.
-    Vanish(String),
+    /// An upstream disappears without an announcement, and another one replaces it.
+    Remove(String),
     /// A new version of the configuration is published.
-    Change,
-    /// The same, with a new set of as many shards.
+    Publish,
+    /// A new version of the configuration is published, with a new set of this many shards.
     Reshard(usize),
 }
 
-/// What is done to a way.
+/// A fault of the connections through a proxy.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Link {
-    /// Its proxy does this for a while.
-    Is(Manner),
-    /// All its connections end.
+pub(crate) enum LinkFault {
+    /// The proxy runs in this mode for a while.
+    Mode(LinkMode),
+    /// All connections through the proxy are closed.
     Reset,
 }
 
-/// One thing of a storm: after a pause, a fault for a time.
+/// One event of a storm: after a pause, a fault that lasts for a time.
 #[derive(Clone, Debug)]
-pub(crate) struct Stroke {
+pub(crate) struct StormEvent {
     pub pause: Duration,
     pub fault: Fault,
     pub time: Duration,
 }
 
-/// Draws changes in series beside a store that goes silent, unless it is `spared`, and
-/// none, some or all of the daemons killed at one moment and started again. A silence may
-/// be longer than the 4 s that a watch waits, and changes go on after it.
-pub(crate) fn draw_storm(random: &mut StdRng, nodes: usize, spared: bool) -> Vec<Stroke> {
-    let mut span = |least: u64, most: u64| Duration::from_millis(random.random_range(least..most));
-    let silence = Stroke { pause: span(0, 500), fault: Fault::StoreSilent, time: span(500, 6000) };
+/// Draws a storm: a series of configuration changes, a silence of the store unless
+/// `skip_silence` is set, and the kill and restart of none, some or all of the daemons at
+/// the same moment. A silence may be longer than the 4 s that a watch waits, and changes may
+/// follow it.
+pub(crate) fn draw_storm(random: &mut StdRng, nodes: usize, skip_silence: bool) -> Vec<StormEvent> {
+    let mut span = |min: u64, max: u64| Duration::from_millis(random.random_range(min..max));
+    let silence = StormEvent { pause: span(0, 500), fault: Fault::StoreSilent, time: span(500, 6000) };
     let (pause, time) = (span(0, 1500), span(200, 1000));
-    let mut strokes = if spared { Vec::new() } else { vec![silence] };
+    let mut events = if skip_silence { Vec::new() } else { vec![silence] };
     let killed = random.random_range(0..=nodes);
-    let kill = |node| Stroke { pause, fault: Fault::Kill(node), time };
-    strokes.extend(sample(random, nodes, killed).into_iter().map(kill));
+    let kill = |node| StormEvent { pause, fault: Fault::Kill(node), time };
+    events.extend(sample(random, nodes, killed).into_iter().map(kill));
     for _ in 0..random.random_range(4..12) {
         let pause = Duration::from_millis(random.random_range(0..8000));
-        strokes.push(Stroke { pause, fault: Fault::Change, time: Duration::ZERO });
+        events.push(StormEvent { pause, fault: Fault::Publish, time: Duration::ZERO });
     }
-    strokes
+    events
 }
 
-/// Draws what goes wrong next, at one of so many daemons or one of the upstreams
-/// present. Where the store is `spared`, it stays well, as does the way to it: what
-/// must hold within seconds of its word can be checked at all times then.
-pub(crate) fn draw(random: &mut StdRng, nodes: usize, present: &[String], spared: bool) -> Fault {
+/// Draws the next fault, at one of `nodes` daemons or one of the upstreams `present`. With
+/// `skip_store` the store and the connections to it stay available: properties that must
+/// hold within seconds of a write to the store can then be checked at all times.
+pub(crate) fn draw(random: &mut StdRng, nodes: usize, present: &[String], skip_store: bool) -> Fault {
     loop {
         let fault = draw_any(random, nodes, present);
-        if !(spared && matches!(fault, Fault::StoreLink(..) | Fault::StoreDown)) {
+        if !(skip_store && matches!(fault, Fault::StoreLink(..) | Fault::StoreDown)) {
             return fault;
         }
     }
@@ -106,13 +108,13 @@
         5 => Fault::Reload(node),
         6 | 7 => Fault::StoreLink(node, draw_link(random)),
         8 => Fault::StoreDown,
-        9 => Fault::StoreForgets,
+        9 => Fault::StoreCompacts,
         10 | 11 => Fault::PeerLink(node, draw_link(random)),
         12..15 => Fault::UpstreamLink(upstream, draw_link(random)),
         15..18 => draw_conduct(random, upstream),
         18 | 19 => Fault::Drain(upstream),
-        20 => Fault::Vanish(upstream),
-        21 | 22 => Fault::Change,
+        20 => Fault::Remove(upstream),
+        21 | 22 => Fault::Publish,
         _ => Fault::Reshard(random.random_range(4..9)),
     }
 }
@@ -122,13 +124,13 @@
     Fault::Conduct(upstream, *CONDUCTS.choose(random).unwrap_or(&Conduct::Good), delay)
 }
 
-fn draw_link(random: &mut StdRng) -> Link {
+fn draw_link(random: &mut StdRng) -> LinkFault {
     match random.random_range(0..6) {
-        0 => Link::Reset,
-        1 => Link::Is(Manner::Refuse),
-        2 => Link::Is(Manner::Delay(Duration::from_millis(random.random_range(5..150)))),
-        3 => Link::Is(Manner::Silent { there: true, back: false }),
-        4 => Link::Is(Manner::Silent { there: false, back: true }),
-        _ => Link::Is(Manner::Silent { there: true, back: true }),
+        0 => LinkFault::Reset,
+        1 => LinkFault::Mode(LinkMode::Refuse),
+        2 => LinkFault::Mode(LinkMode::Delay(Duration::from_millis(random.random_range(5..150)))),
+        3 => LinkFault::Mode(LinkMode::Silent { requests: true, responses: false }),
+        4 => LinkFault::Mode(LinkMode::Silent { requests: false, responses: true }),
+        _ => LinkFault::Mode(LinkMode::Silent { requests: true, responses: true }),
     }
 }
--- a/crates/harefield/tests/soak/proxy.rs
+++ b/crates/harefield/tests/soak/proxy.rs
@@ -1,5 +1,5 @@
-//! A loopback proxy before one address, which delays, resets, silences or refuses
-//! what goes through it.
+//! A loopback TCP proxy in front of one address, which can delay, reset, stall or refuse
+//! connections.
 
 use std::net::SocketAddr;
 use std::net::TcpListener;
@@ -21,96 +21,96 @@
 
 use crate::locked::lock;
 
-/// How often held bytes look whether they may go on.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+/// The interval at which held data checks whether the mode lets it pass.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Bytes read at a time.
+/// The size of the read buffer in bytes.
 const CHUNK: usize = 16 << 10;
 
-/// What a proxy does to what goes through it.
+/// How a proxy treats its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Manner {
-    /// It hands everything on.
+pub(crate) enum LinkMode {
+    /// Forwards everything.
     #[default]
     Pass,
-    /// It hands everything on later.
+    /// Forwards everything after a delay.
     Delay(Duration),
-    /// It holds bytes in some directions, and new connections with them.
+    /// Holds the data of some directions; with `requests` also new connections.
     Silent {
-        /// Whether what callers send is held.
-        there: bool,
-        /// Whether what is answered is held.
-        back: bool,
+        /// Whether data from callers is held.
+        requests: bool,
+        /// Whether data from the target is held.
+        responses: bool,
     },
-    /// It closes new connections at once.
+    /// Closes new connections at once.
     Refuse,
 }
 
 #[derive(Debug)]
 struct State {
-    manner: Manner,
+    mode: LinkMode,
     target: SocketAddr,
-    /// Closed and replaced to end all connections.
+    /// Closed and replaced to close all connections.
     alive: (Sender<()>, Receiver<()>),
-    /// Closed to listen no more.
+    /// Closed to stop listening.
     listening: (Sender<()>, Receiver<()>),
 }
 
-/// A proxy; it serves until the process ends.
+/// A proxy; it serves until [`Proxy::end`] or the end of the process.
 #[derive(Clone, Debug)]
 pub(crate) struct Proxy {
     state: Arc<Mutex<State>>,
     address: SocketAddr,
 }
 
-/// A proxy's listener on its way to the thread that serves it.
+/// A proxy's listener, as it is passed to the thread that serves it.
 #[derive(Debug)]
-pub(crate) struct Opened {
+pub(crate) struct OpenedProxy {
     listener: TcpListener,
     proxy: Proxy,
 }
 
 #[derive(Clone, Copy)]
-enum Way {
-    There,
-    Back,
+enum Direction {
+    ToTarget,
+    ToCaller,
 }
 
 impl Proxy {
-    /// Opens a proxy before an address, on the thread that serves all proxies.
-    pub fn open(target: SocketAddr, serving: &Sender<Opened>) -> Self {
+    /// Opens a proxy in front of an address, on the thread that serves all proxies.
+    pub fn open(target: SocketAddr, proxy_thread: &Sender<OpenedProxy>) -> Self {
         let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a port is free");
-        let address = listener.local_addr().expect("it is bound");
+        let address = listener.local_addr().expect("the listener is bound");
         let state = State {
-            manner: Manner::Pass,
+            mode: LinkMode::Pass,
             target,
             alive: async_channel::bounded(1),
             listening: async_channel::bounded(1),
         };
         let proxy = Self { state: Arc::new(Mutex::new(state)), address };
-        let opened = Opened { listener, proxy: proxy.clone() };
-        serving.send_blocking(opened).expect("the proxies' thread runs");
+        let opened = OpenedProxy { listener, proxy: proxy.clone() };
+        proxy_thread.send_blocking(opened).expect("the proxy thread is running");
         proxy
     }
 
-    /// Returns where it listens.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets what it does from now on.
-    pub fn set(&self, manner: Manner) {
-        self.lock().manner = manner;
+    /// Sets how it treats its connections from now on.
+    pub fn set(&self, mode: LinkMode) {
+        self.lock().mode = mode;
     }
 
-    /// Ends all connections.
+    /// Closes all connections.
     pub fn reset(&self) {
         let mut state = self.lock();
         state.alive.0.close();
         state.alive = async_channel::bounded(1);
     }
 
-    /// Ends it: nobody listens at its address any more.
+    /// Stops listening and closes all connections.
     pub fn end(&self) {
         self.lock().listening.0.close();
         self.reset();
@@ -120,20 +120,20 @@
         lock(&self.state)
     }
 
-    fn manner(&self) -> Manner {
-        self.lock().manner
+    fn mode(&self) -> LinkMode {
+        self.lock().mode
     }
 
     async fn serve(self, listener: TcpListener, executor: Rc<LocalExecutor<'static>>) {
-        let listener = Async::new(listener).expect("it can be polled");
+        let listener = Async::new(listener).expect("the listener can be polled");
         let listening = self.lock().listening.1.clone();
         let accepting = async {
             loop {
                 let Ok((stream, _)) = listener.accept().await else {
-                    Timer::after(LOOK_EVERY).await;
+                    Timer::after(POLL_INTERVAL).await;
                     continue;
                 };
-                executor.spawn(self.clone().carry(stream)).detach();
+                executor.spawn(self.clone().forward(stream)).detach();
             }
         };
         let ended = async {
@@ -142,66 +142,66 @@
         accepting.or(ended).await;
     }
 
-    async fn carry(self, caller: Async<TcpStream>) {
-        if self.manner() == Manner::Refuse {
+    async fn forward(self, caller: Async<TcpStream>) {
+        if self.mode() == LinkMode::Refuse {
             return;
         }
         let (target, alive) = {
             let state = self.lock();
             (state.target, state.alive.1.clone())
         };
-        let carried = async {
-            self.pause(Way::There).await;
+        let forwarding = async {
+            self.pause(Direction::ToTarget).await;
             let Ok(upstream) = Async::<TcpStream>::connect(target).await else { return };
-            let there = self.copy(&caller, &upstream, Way::There);
-            let back = self.copy(&upstream, &caller, Way::Back);
-            futures_lite::future::zip(there, back).await;
+            let outbound = self.copy(&caller, &upstream, Direction::ToTarget);
+            let inbound = self.copy(&upstream, &caller, Direction::ToCaller);
+            futures_lite::future::zip(outbound, inbound).await;
         };
         let ended = async {
             let _ = alive.recv().await;
         };
-        carried.or(ended).await;
+        forwarding.or(ended).await;
     }
 
-    async fn copy(&self, from: &Async<TcpStream>, to: &Async<TcpStream>, way: Way) {
+    async fn copy(&self, from: &Async<TcpStream>, to: &Async<TcpStream>, direction: Direction) {
         let (mut reader, mut writer) = (from, to);
         let mut chunk = vec![0; CHUNK];
         while let Ok(count) = reader.read(&mut chunk).await {
-            self.pause(way).await;
+            self.pause(direction).await;
             if count == 0 || writer.write_all(&chunk[..count]).await.is_err() {
                 break;
             }
         }
-        // The other side learns that no more comes.
+        // Passes the end of the stream on to the other side.
         let _ = to.get_ref().shutdown(std::net::Shutdown::Write);
     }
 
-    async fn pause(&self, way: Way) {
+    async fn pause(&self, direction: Direction) {
         loop {
-            let held = match (self.manner(), way) {
-                (Manner::Delay(time), _) => {
+            let held = match (self.mode(), direction) {
+                (LinkMode::Delay(time), _) => {
                     Timer::after(time).await;
                     return;
                 }
-                (Manner::Silent { there, .. }, Way::There) => there,
-                (Manner::Silent { back, .. }, Way::Back) => back,
-                (Manner::Pass | Manner::Refuse, _) => false,
+                (LinkMode::Silent { requests, .. }, Direction::ToTarget) => requests,
+                (LinkMode::Silent { responses, .. }, Direction::ToCaller) => responses,
+                (LinkMode::Pass | LinkMode::Refuse, _) => false,
             };
             if !held {
                 return;
             }
-            Timer::after(LOOK_EVERY).await;
+            Timer::after(POLL_INTERVAL).await;
         }
     }
 }
 
 /// Starts the thread that serves all proxies.
-pub(crate) fn start() -> Sender<Opened> {
-    let (sender, opened) = async_channel::unbounded::<Opened>();
+pub(crate) fn start() -> Sender<OpenedProxy> {
+    let (sender, opened) = async_channel::unbounded::<OpenedProxy>();
     let serve = move || {
         let executor: Rc<LocalExecutor<'static>> = Rc::default();
         let accept = async {
-            while let Ok(Opened { listener, proxy }) = opened.recv().await {
+            while let Ok(OpenedProxy { listener, proxy }) = opened.recv().await {
                 executor.spawn(proxy.serve(listener, Rc::clone(&executor))).detach();
             }
         };
