--- a/crates/harefield/tests/soak/checks/accounts.rs
+++ b/crates/harefield/tests/soak/checks/accounts.rs
@@ -3,14 +3,14 @@
 
 use std::time::Duration;
 
+use super::ACTIVATION_LIMIT;
+use super::Checks;
+use super::Violation;
 use crate::client::Outcome;
 use crate::configuration::ROTATING_PREFIX;
 use crate::configuration::STEADY;
 use crate::ledger::KeyUse;
 use crate::ledger::Scope;
-use super::ACTIVATION_LIMIT;
-use super::Checks;
-use super::Violation;
 
 impl Checks<'_> {
     /// Upstreams receive the client account of each request, and never its API key.
--- a/crates/harefield/tests/soak/checks/runs.rs
+++ b/crates/harefield/tests/soak/checks/runs.rs
@@ -4,15 +4,15 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
+use super::CATCH_UP_TIME;
+use super::Checks;
+use super::Violation;
 use crate::client::Outcome;
 use crate::cluster::FOREIGN_PREFIX;
 use crate::cluster::MAX_ATTEMPTS;
 use crate::ledger::Request;
 use crate::ledger::Route;
 use crate::ledger::Scope;
-use super::CATCH_UP_TIME;
-use super::Checks;
-use super::Violation;
 
 impl Checks<'_> {
     /// A request reported as not run ran nowhere, and no request runs more often than allowed.
--- a/crates/harefield/tests/soak/cluster.rs
+++ b/crates/harefield/tests/soak/cluster.rs
@@ -23,9 +23,9 @@
 use crate::ledger::Published;
 use crate::locked::lock;
 use crate::node::Node;
+use crate::proxy;
 use crate::proxy::OpenedProxy;
 use crate::proxy::Proxy;
-use crate::proxy;
 
 /// The availability zones; the first two belong to one region.
 pub(crate) const ZONES: [&str; 3] = ["z1", "z2", "z3"];
