--- a/crates/harefield/examples/target.rs
+++ b/crates/harefield/examples/target.rs
@@ -143,7 +143,7 @@
         hosts,
         fleet: &[],
         size: CellSize::default(),
-        places: &PLACES,
+        topology: &PLACES,
         cold: ColdBounds::default(),
         require_keys: false,
     }
--- a/crates/harefield/src/adapters/upstreams/mod.rs
+++ b/crates/harefield/src/adapters/upstreams/mod.rs
@@ -72,7 +72,7 @@
 
     /// Creates the request that cancels a call whose reply is no longer wanted; `None` if the
     /// protocol has no such message.
-    fn cancel(&self, place: &Endpoint, request: &str) -> Option<Request<Full<Bytes>>>;
+    fn cancel(&self, endpoint: &Endpoint, request: &str) -> Option<Request<Full<Bytes>>>;
 }
 
 /// The HTTP client for upstreams.
@@ -168,9 +168,9 @@
         ended.unwrap_or_else(|| lost(Gap::ReplyLost, Report::default()))
     }
 
-    async fn has_ended(&self, place: &Endpoint, share: u32) -> bool {
+    async fn has_ended(&self, endpoint: &Endpoint, connection_limit: u32) -> bool {
         let checked = async {
-            match self.open(place, share).await {
+            match self.open(endpoint, connection_limit).await {
                 Ok((slot, connection)) => {
                     slot.release(connection);
                     false
@@ -190,11 +190,11 @@
         let Some(address) = self.pools.borrow().get(upstream).map(|pool| pool.address) else {
             return;
         };
-        let place = Endpoint { upstream: Arc::clone(upstream), address };
-        let Some(message) = self.protocol.cancel(&place, request) else {
+        let endpoint = Endpoint { upstream: Arc::clone(upstream), address };
+        let Some(message) = self.protocol.cancel(&endpoint, request) else {
             return;
         };
-        let Some((slot, mut connection)) = self.take_idle(&place) else {
+        let Some((slot, mut connection)) = self.take_idle(&endpoint) else {
             return;
         };
         let send = async move {
@@ -207,14 +207,14 @@
         self.executor.spawn(send).detach();
     }
 
-    fn preconnect(&self, place: &Endpoint, share: u32, want: usize) -> bool {
-        if self.ready(place) >= want || !self.begin_preconnect(place, share) {
+    fn preconnect(&self, endpoint: &Endpoint, connection_limit: u32, want: usize) -> bool {
+        if self.ready(endpoint) >= want || !self.begin_preconnect(endpoint, connection_limit) {
             return false;
         }
-        let (this, place) = (self.clone(), place.clone());
+        let (this, endpoint) = (self.clone(), endpoint.clone());
         let open = async move {
-            let opened = this.open(&place, share).await;
-            this.update_pool(&place, |pool| pool.end_preconnect(opened.is_ok()));
+            let opened = this.open(&endpoint, connection_limit).await;
+            this.update_pool(&endpoint, |pool| pool.end_preconnect(opened.is_ok()));
             if let Ok((slot, connection)) = opened {
                 slot.release(connection);
             }
@@ -236,17 +236,17 @@
 /// Creates the outcome of a call of which nothing was written.
 #[must_use]
 pub fn unsent(why: Gap) -> CallOutcome {
-    let verdict = match why {
+    let outcome = match why {
         // There was no free connection or no permit here, which says nothing about the upstream.
         Gap::Overloaded | Gap::Unconfirmed => AttemptOutcome::Declined,
         _ => AttemptOutcome::Failed,
     };
-    CallOutcome { end: AttemptEnd::NotSent { why }, verdict, report: Report::default() }
+    CallOutcome { end: AttemptEnd::NotSent { why }, outcome, report: Report::default() }
 }
 
 /// Creates the outcome of a call that was written but brought no usable reply.
 #[must_use]
 pub fn lost(why: Gap, report: Report) -> CallOutcome {
-    let verdict = if why == Gap::SnapshotWrong { AttemptOutcome::Declined } else { AttemptOutcome::Lost };
-    CallOutcome { end: AttemptEnd::Lost { why }, verdict, report }
+    let outcome = if why == Gap::SnapshotWrong { AttemptOutcome::Declined } else { AttemptOutcome::Lost };
+    CallOutcome { end: AttemptEnd::Lost { why }, outcome, report }
 }
--- a/crates/harefield/src/adapters/upstreams/pool.rs
+++ b/crates/harefield/src/adapters/upstreams/pool.rs
@@ -68,29 +68,29 @@
 #[derive(Debug)]
 pub(super) struct ConnectionSlot {
     pools: Pools,
-    place: Endpoint,
+    endpoint: Endpoint,
     released: bool,
 }
 
 impl ConnectionSlot {
     /// Returns the connection to the pool for the next request.
     pub(super) fn release(mut self, connection: Connection) {
-        self.released = update(&self.pools, &self.place, |pool| pool.idle.push(connection));
+        self.released = update(&self.pools, &self.endpoint, |pool| pool.idle.push(connection));
     }
 }
 
 impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         if !self.released {
-            update(&self.pools, &self.place, |pool| pool.open = pool.open.saturating_sub(1));
+            update(&self.pools, &self.endpoint, |pool| pool.open = pool.open.saturating_sub(1));
         }
     }
 }
 
 /// Updates the pool of an upstream unless its address has changed; returns whether it did.
-fn update(pools: &Pools, place: &Endpoint, update: impl FnOnce(&mut Pool)) -> bool {
+fn update(pools: &Pools, endpoint: &Endpoint, update: impl FnOnce(&mut Pool)) -> bool {
     let mut pools = pools.borrow_mut();
-    match pools.get_mut(&place.upstream).filter(|pool| pool.address == place.address) {
+    match pools.get_mut(&endpoint.upstream).filter(|pool| pool.address == endpoint.address) {
         Some(pool) => {
             update(pool);
             true
@@ -100,20 +100,20 @@
 }
 
 impl<W: Protocol> HttpUpstreams<W> {
-    fn slot(&self, place: &Endpoint) -> ConnectionSlot {
-        ConnectionSlot { pools: Rc::clone(&self.pools), place: place.clone(), released: false }
+    fn slot(&self, endpoint: &Endpoint) -> ConnectionSlot {
+        ConnectionSlot { pools: Rc::clone(&self.pools), endpoint: endpoint.clone(), released: false }
     }
 
-    pub(super) fn take_idle(&self, place: &Endpoint) -> Option<(ConnectionSlot, Connection)> {
+    pub(super) fn take_idle(&self, endpoint: &Endpoint) -> Option<(ConnectionSlot, Connection)> {
         let mut pools = self.pools.borrow_mut();
-        let pool = pools.get_mut(&place.upstream)?;
-        if pool.address != place.address {
+        let pool = pools.get_mut(&endpoint.upstream)?;
+        if pool.address != endpoint.address {
             pool.idle.clear();
             return None;
         }
         while let Some(connection) = pool.idle.pop() {
             if connection.is_ready() {
-                return Some((self.slot(place), connection));
+                return Some((self.slot(endpoint), connection));
             }
             pool.open = pool.open.saturating_sub(1);
         }
@@ -122,36 +122,36 @@
 
     /// Closes the idle connections to an upstream: they may be as silent as one that has had no
     /// reply for long, and new ones may work.
-    pub(super) fn close_idle(&self, place: &Endpoint) {
-        update(&self.pools, place, |pool| {
+    pub(super) fn close_idle(&self, endpoint: &Endpoint) {
+        update(&self.pools, endpoint, |pool| {
             let idle = u32::try_from(pool.idle.len()).unwrap_or(u32::MAX);
             pool.idle.clear();
             pool.open = pool.open.saturating_sub(idle);
         });
     }
 
-    /// Reserves a slot for one more connection if the share allows it.
-    fn reserve(&self, place: &Endpoint, share: u32) -> Option<ConnectionSlot> {
+    /// Reserves a slot for one more connection if the connection limit allows it.
+    fn reserve(&self, endpoint: &Endpoint, connection_limit: u32) -> Option<ConnectionSlot> {
         let mut pools = self.pools.borrow_mut();
-        let pool = pools.entry(Arc::clone(&place.upstream)).or_insert_with(|| Pool::new(place.address));
-        if pool.address != place.address {
-            *pool = Pool::new(place.address);
+        let pool = pools.entry(Arc::clone(&endpoint.upstream)).or_insert_with(|| Pool::new(endpoint.address));
+        if pool.address != endpoint.address {
+            *pool = Pool::new(endpoint.address);
         }
-        let available = pool.open < share;
+        let available = pool.open < connection_limit;
         pool.open += u32::from(available);
-        available.then(|| self.slot(place))
+        available.then(|| self.slot(endpoint))
     }
 
     /// Updates the pool of an upstream unless its address has changed.
-    pub(super) fn update_pool(&self, place: &Endpoint, with: impl FnOnce(&mut Pool)) {
-        update(&self.pools, place, with);
+    pub(super) fn update_pool(&self, endpoint: &Endpoint, with: impl FnOnce(&mut Pool)) {
+        update(&self.pools, endpoint, with);
     }
 
     /// Returns how many connections are idle or being opened ahead of need. Idle connections that
     /// the upstream closed are removed first.
-    pub(super) fn ready(&self, place: &Endpoint) -> usize {
+    pub(super) fn ready(&self, endpoint: &Endpoint) -> usize {
         let mut pools = self.pools.borrow_mut();
-        let Some(pool) = pools.get_mut(&place.upstream) else { return 0 };
+        let Some(pool) = pools.get_mut(&endpoint.upstream) else { return 0 };
         let before = pool.idle.len();
         pool.idle.retain(|connection| !connection.is_closed());
         let closed = u32::try_from(before - pool.idle.len()).unwrap_or(u32::MAX);
@@ -159,24 +159,24 @@
         pool.idle.len() + pool.preconnecting
     }
 
-    /// Registers a connection that is about to be opened ahead of need. Returns false if the share
-    /// is used up, or if the pause after a failure isn't over.
-    pub(super) fn begin_preconnect(&self, place: &Endpoint, share: u32) -> bool {
+    /// Registers a connection that is about to be opened ahead of need. Returns false if the
+    /// connection limit is reached, or if the pause after a failure isn't over.
+    pub(super) fn begin_preconnect(&self, endpoint: &Endpoint, connection_limit: u32) -> bool {
         let mut pools = self.pools.borrow_mut();
-        let pool = pools.entry(Arc::clone(&place.upstream)).or_insert_with(|| Pool::new(place.address));
+        let pool = pools.entry(Arc::clone(&endpoint.upstream)).or_insert_with(|| Pool::new(endpoint.address));
         let backing_off = pool.backoff_until.is_some_and(|until| Instant::now() < until);
-        let available = pool.open < share && !backing_off;
+        let available = pool.open < connection_limit && !backing_off;
         pool.preconnecting += usize::from(available);
         available
     }
 
     pub(super) async fn open(
         &self,
-        place: &Endpoint,
-        share: u32,
+        endpoint: &Endpoint,
+        connection_limit: u32,
     ) -> Result<(ConnectionSlot, Connection), Gap> {
-        let slot = self.reserve(place, share).ok_or(Gap::Overloaded)?;
-        let opened = http::connect(&self.executor, place.address, CONNECT_LIMIT).await;
+        let slot = self.reserve(endpoint, connection_limit).ok_or(Gap::Overloaded)?;
+        let opened = http::connect(&self.executor, endpoint.address, CONNECT_LIMIT).await;
         let connection = opened.map_err(|_unopened| Gap::Unreachable)?;
         self.opened.set(self.opened.get() + 1);
         Ok((slot, connection))
--- a/crates/harefield/src/adapters/upstreams/protocol.rs
+++ b/crates/harefield/src/adapters/upstreams/protocol.rs
@@ -55,9 +55,9 @@
         read_report(headers)
     }
 
-    fn cancel(&self, place: &Endpoint, request: &str) -> Option<Request<Full<Bytes>>> {
+    fn cancel(&self, endpoint: &Endpoint, request: &str) -> Option<Request<Full<Bytes>>> {
         let message = Request::delete(format!("/v1/requests/{request}"));
-        message.header("host", place.address.to_string()).body(Full::default()).ok()
+        message.header("host", endpoint.address.to_string()).body(Full::default()).ok()
     }
 }
 
@@ -78,7 +78,7 @@
     if call.once {
         put(headers, "harefield-once", "true");
     }
-    if let Some(account) = &call.asker.account {
+    if let Some(account) = &call.requester.account {
         put(headers, "harefield-account", account);
     }
     request
@@ -124,7 +124,7 @@
     match serde_json::from_slice::<Box<RawValue>>(body) {
         Ok(reply) => CallOutcome {
             end: AttemptEnd::Answered(Reply::Json(reply)),
-            verdict: AttemptOutcome::Succeeded,
+            outcome: AttemptOutcome::Succeeded,
             report,
         },
         Err(_malformed) => lost(Gap::Failed, report),
@@ -135,7 +135,7 @@
 fn refused(headers: &HeaderMap, report: Report) -> CallOutcome {
     let begun = text(headers, "harefield-begun") != Some("false");
     let wait = text(headers, "harefield-retry-ms").and_then(|ms| ms.parse().ok()).map(Duration::from_millis);
-    let (why, verdict) = match text(headers, "harefield-refused") {
+    let (why, outcome) = match text(headers, "harefield-refused") {
         Some("overloaded" | "connections" | "shedding") => (Gap::Overloaded, AttemptOutcome::Rejected(wait)),
         Some("draining") => (Gap::Leaving, AttemptOutcome::Declined),
         Some("snapshot") => (Gap::SnapshotMissing, AttemptOutcome::Declined),
@@ -143,5 +143,5 @@
         Some("late" | "cancelled") => (Gap::Late, AttemptOutcome::Abandoned),
         _ => (Gap::Failed, AttemptOutcome::Failed),
     };
-    CallOutcome { end: AttemptEnd::Refused { why, begun }, verdict, report }
+    CallOutcome { end: AttemptEnd::Refused { why, begun }, outcome, report }
 }
--- a/crates/harefield/src/control/publish.rs
+++ b/crates/harefield/src/control/publish.rs
@@ -48,7 +48,7 @@
             hosts: &self.list.borrow(),
             fleet: &self.fleet.borrow(),
             size: self.settings.cell,
-            places: &self.settings.places,
+            topology: &self.settings.places,
             cold: self.settings.cold,
             require_keys: self.settings.keyed,
         })
--- a/crates/harefield/src/daemon/threads.rs
+++ b/crates/harefield/src/daemon/threads.rs
@@ -166,7 +166,7 @@
         extra: routing.extra_load,
         slack: routing.extra_slack,
         daemons: settings.peers.daemons,
-        places: places(context),
+        topology: topology(context),
         margin: Duration::from_millis(routing.margin_ms),
         hedge: routing.hedge.then_some(routing.hedge_factor),
         fixed_hedge: routing.fixed_ms.map(Duration::from_millis),
@@ -178,7 +178,7 @@
     }
 }
 
-fn places(context: &Context) -> Topology {
+fn topology(context: &Context) -> Topology {
     let host = &context.settings.host;
     Topology { zone: host.zone.as_str().into(), regions: host.regions.clone() }
 }
@@ -233,7 +233,7 @@
         pace: FreshnessSchedule::new(settings.platform.apply_limit()),
         readers: settings.platform.readers,
         carry: RetentionTimes::new(Duration::from_millis(settings.platform.heartbeat_ms)),
-        places: places(context),
+        places: topology(context),
         cell: settings.cell(),
         cold: settings.routing.cold(),
         keyed: settings.accounts.required,
--- a/crates/harefield/src/domain/cold/share.rs
+++ b/crates/harefield/src/domain/cold/share.rs
@@ -64,9 +64,9 @@
     zone: &str,
     members: &[&Candidate],
     own: &HostId,
-    places: &Topology,
+    topology: &Topology,
 ) -> usize {
-    let from = Topology { zone: zone.into(), ..places.clone() };
+    let from = Topology { zone: zone.into(), ..topology.clone() };
     let Some(nearest) = members.iter().map(|candidate| from.distance(&candidate.zone)).min() else {
         return distributed;
     };
--- a/crates/harefield/src/domain/fanout/attempts.rs
+++ b/crates/harefield/src/domain/fanout/attempts.rs
@@ -204,12 +204,12 @@
         if let Some(fixed) = self.rules.fixed_delay {
             return Some(arrival + fixed);
         }
-        let pace = router.latency(&self.rules.kind);
-        let slow = arrival + pace.slow().mul_f64(self.rules.hedge_factor?);
+        let latency = router.latency(&self.rules.kind);
+        let slow = arrival + latency.slow().mul_f64(self.rules.hedge_factor?);
         let others = self.plan.shards[shard].replicas.iter().filter(|name| *name != first);
         let round_trip = others.map(|name| router.rtt_to(name)).min();
         let (Some(cut), Some(round_trip)) = (self.rules.cutoff, round_trip) else { return Some(slow) };
-        let Some(latest) = cut.checked_sub(round_trip + pace.mean()) else { return Some(slow) };
-        Some(slow.min(latest.max(arrival + pace.mean())))
+        let Some(latest) = cut.checked_sub(round_trip + latency.mean()) else { return Some(slow) };
+        Some(slow.min(latest.max(arrival + latency.mean())))
     }
 }
--- a/crates/harefield/src/domain/fanout/groups.rs
+++ b/crates/harefield/src/domain/fanout/groups.rs
@@ -44,7 +44,7 @@
 const REVOKE_FACTOR: f64 = 1.6;
 
 /// The shortest time before a group is revoked, besides the round trip: longer than the users'
-/// searchers usually take, including one hedge.
+/// upstreams usually take, including one hedge.
 const MIN_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// A group with an objective is overdue this long after it, plus one more round trip in case a
@@ -88,19 +88,19 @@
         let typical = step.router.latency(&self.rules.kind).mean().as_secs_f64();
         let mut regions: BTreeMap<Arc<str>, Vec<PendingShard>> = BTreeMap::new();
         let mut away: BTreeMap<usize, Vec<Arc<str>>> = BTreeMap::new();
-        for (at, ShardPlan { shard, replicas, .. }) in self.plan.shards.iter().enumerate() {
+        for (index, ShardPlan { shard, replicas, .. }) in self.plan.shards.iter().enumerate() {
             if let Some(found) = step.router.remote_zones(replicas, typical, step.now) {
-                away.insert(at, found);
+                away.insert(index, found);
                 continue;
             }
-            let wanted = PendingShard { index: at, shard: Arc::clone(shard), zone: Arc::clone(&own) };
+            let wanted = PendingShard { index, shard: Arc::clone(shard), zone: Arc::clone(&own) };
             regions.entry(Arc::clone(&home)).or_default().push(wanted);
         }
         while let Some((zone, shards)) = largest_zone(&away, &self.plan.index, &self.rules.kind, step) {
             let wanted = regions.entry(step.router.region_of(&zone)).or_default();
-            for at in shards {
-                away.remove(&at);
-                wanted.push(PendingShard { index: at, shard: self.name(at), zone: Arc::clone(&zone) });
+            for index in shards {
+                away.remove(&index);
+                wanted.push(PendingShard { index, shard: self.name(index), zone: Arc::clone(&zone) });
             }
         }
         (regions, away.into_keys().collect())
@@ -114,18 +114,18 @@
         wanted: Vec<PendingShard>,
         step: &mut StepContext<'_, S>,
     ) -> Vec<usize> {
-        let carriers = step.router.delegates(&self.plan.index, region, &self.rules.kind, step.now);
+        let delegates = step.router.delegates(&self.plan.index, region, &self.rules.kind, step.now);
         let most = usize::try_from(self.rules.attempts).unwrap_or(usize::MAX);
         let affinity = wanted.iter().any(|wanted| self.plan.shards[wanted.index].replicas.len() > most);
         let allowance = self.allowance(step).map(|allowance| DelegationLimits { affinity, ..allowance });
-        let portions = allowance.and_then(|allowance| assign_shards(&wanted, &carriers, allowance));
-        let Some(portions) = portions else { return self.delegate_by_zone(wanted, step) };
+        let assignments = allowance.and_then(|allowance| assign_shards(&wanted, &delegates, allowance));
+        let Some(assignments) = assignments else { return self.delegate_by_zone(wanted, step) };
         let mut own = Vec::new();
-        for Assignment { delegate: carrier, shards } in portions {
-            if carrier.local {
+        for Assignment { delegate, shards } in assignments {
+            if delegate.local {
                 own = shards.into_iter().map(|wanted| wanted.index).collect();
             } else {
-                self.send_group(Arc::clone(&carrier.host), shards, step);
+                self.send_group(Arc::clone(&delegate.host), shards, step);
             }
         }
         own
@@ -208,13 +208,13 @@
     ) -> Vec<(usize, UpstreamId)> {
         let most = usize::try_from(self.rules.attempts).unwrap_or(usize::MAX);
         let mut all = Vec::new();
-        for PendingShard { index: at, zone, .. } in wanted {
-            let replicas = &self.plan.shards[*at].replicas;
+        for PendingShard { index, zone, .. } in wanted {
+            let replicas = &self.plan.shards[*index].replicas;
             if replicas.len() > most
                 && let Some(best) = step.router.best_replica(replicas, zone, step.now)
             {
-                self.shards[*at].limit = Some(ReplicaLimit { named: vec![Arc::clone(&best)], free: 0 });
-                all.push((*at, best));
+                self.shards[*index].limit = Some(ReplicaLimit { named: vec![Arc::clone(&best)], free: 0 });
+                all.push((*index, best));
             }
         }
         all
--- a/crates/harefield/src/domain/routing/router.rs
+++ b/crates/harefield/src/domain/routing/router.rs
@@ -40,7 +40,7 @@
     pub(super) latencies: HashMap<Arc<str>, LatencyStats>,
     pub(super) policy: Policy,
     budgets: Budgets,
-    pub(super) places: Topology,
+    pub(super) topology: Topology,
     pub(super) relays: Relays,
     /// The minimum number of daemons that are assumed to share an upstream's connections.
     min_sharers: u32,
@@ -93,7 +93,7 @@
             latencies: HashMap::new(),
             policy,
             budgets,
-            places: Topology::default(),
+            topology: Topology::default(),
             relays: Relays::default(),
             min_sharers: 1,
             cells: Cells::default(),
@@ -107,8 +107,8 @@
 
     /// Sets the availability zone of this daemon and the regions of all zones.
     #[must_use]
-    pub fn with_places(mut self, places: Topology) -> Self {
-        self.places = places;
+    pub fn with_topology(mut self, topology: Topology) -> Self {
+        self.topology = topology;
         self
     }
 
@@ -172,7 +172,7 @@
                 .and_modify(|s| s.update(spec, share, now))
                 .or_insert_with(|| UpstreamState::new(Arc::clone(spec), sharers, share).with_cold(now));
             state.cold.set_allowance(cold);
-            state.set_distance(self.places.distance(&spec.zone));
+            state.set_distance(self.topology.distance(&spec.zone));
             state.join_cell();
             apply_status(state, spec, view, now);
         }
--- a/crates/harefield/src/domain/routing/zones.rs
+++ b/crates/harefield/src/domain/routing/zones.rs
@@ -20,11 +20,11 @@
 impl Router {
     /// Updates the other daemons, which groups can be delegated to, from the membership.
     pub fn update_daemons<'a>(&mut self, rows: impl IntoIterator<Item = &'a MemberRow>) {
-        let places = &self.places;
+        let topology = &self.topology;
         let daemons = rows.into_iter().map(|row| RelayStatus {
             host: Arc::clone(&row.host),
             zone: Arc::clone(&row.zone),
-            other_region: places.distance(&row.zone) == Distance::Far,
+            other_region: topology.distance(&row.zone) == Distance::Far,
             live: row.state == PeerState::Live,
             capacity: row.capacity,
         });
@@ -44,13 +44,13 @@
     /// Returns this daemon's availability zone.
     #[must_use]
     pub fn local_zone(&self) -> &Arc<str> {
-        &self.places.zone
+        &self.topology.zone
     }
 
     /// Returns the region of an availability zone; the zone itself where none is configured.
     #[must_use]
     pub fn region_of(&self, zone: &Arc<str>) -> Arc<str> {
-        Arc::clone(self.places.region_of(zone))
+        Arc::clone(self.topology.region_of(zone))
     }
 
     /// Returns the daemons that can take a part of a fan-out over replicas in a region: the
@@ -58,7 +58,7 @@
     #[must_use]
     pub fn delegates(&self, index: &str, region: &str, kind: &Arc<str>, now: Instant) -> Vec<Delegate> {
         let LocalDaemon { host, capacity, .. } = &self.local;
-        let local = (host, &self.places.zone, *capacity);
+        let local = (host, &self.topology.zone, *capacity);
         let others = self.relays.capacities(kind, now).filter(|(host, ..)| self.is_member(index, host));
         let all = std::iter::once(local).chain(others);
         let there = all.filter(|(_, zone, _)| *self.region_of(zone) == *region);
--- a/crates/harefield/src/domain/suspects/evidence.rs
+++ b/crates/harefield/src/domain/suspects/evidence.rs
@@ -219,8 +219,8 @@
         if self.ends.iter().any(same) {
             return;
         }
-        let place = self.ends.partition_point(|held| (held.at, &held.upstream) < (end.at, &end.upstream));
-        self.ends.insert(place, end);
+        let index = self.ends.partition_point(|held| (held.at, &held.upstream) < (end.at, &end.upstream));
+        self.ends.insert(index, end);
         if self.ends.len() > MAX_ENDS {
             self.ends.remove(0);
         }
--- a/crates/harefield/src/domain/view/builder.rs
+++ b/crates/harefield/src/domain/view/builder.rs
@@ -85,7 +85,7 @@
     /// Returns whether a lookup may be served by an upstream in its region.
     fn allows(&self, lookup: &Lookup, upstream: &UpstreamId) -> bool {
         let zone = self.inputs.set.upstreams.get(upstream).map(|upstream| &upstream.zone);
-        let region = zone.map(|zone| self.inputs.places.region_of(zone));
+        let region = zone.map(|zone| self.inputs.topology.region_of(zone));
         lookup.residency().allows(region)
     }
 
@@ -203,10 +203,10 @@
         let hosts: HashSet<&HostId> = cells.flat_map(|cell| cell.iter()).collect();
         let members: Vec<&Candidate> =
             hosts.iter().filter_map(|host| self.fleet.get(host).copied()).collect();
-        let ViewInputs { own, places, cold, .. } = self.inputs;
-        let part = cold::quota(cold.distributed(per_s), name, &upstream.zone, &members, own, places);
-        let part = u32::try_from(part).unwrap_or(u32::MAX);
-        Some(Allowance { quota: part, assumed_cold: Duration::from_millis(start_ms) })
+        let ViewInputs { own, topology, cold, .. } = self.inputs;
+        let quota = cold::quota(cold.distributed(per_s), name, &upstream.zone, &members, own, topology);
+        let quota = u32::try_from(quota).unwrap_or(u32::MAX);
+        Some(Allowance { quota, assumed_cold: Duration::from_millis(start_ms) })
     }
 }
 
--- a/crates/harefield/src/domain/view/mod.rs
+++ b/crates/harefield/src/domain/view/mod.rs
@@ -72,7 +72,7 @@
     /// The limits on cell sizes.
     pub size: CellSize,
     /// The region of each availability zone.
-    pub places: &'a Topology,
+    pub topology: &'a Topology,
     /// How far the fleet may exceed what cold upstreams can handle.
     pub cold: ColdBounds,
     /// Whether lookups that are not public require a key even if no account is published.
--- a/crates/harefield/src/engine/attempt.rs
+++ b/crates/harefield/src/engine/attempt.rs
@@ -266,22 +266,22 @@
         let upstream = Arc::clone(&attempt.send.upstream);
         let now = self.ports.clock.now();
         let target = self.router.borrow().upstream(&upstream).map(|s| (s.spec().address, s.share()));
-        let Some((address, share)) = target else {
+        let Some((address, connection_limit)) = target else {
             return CallOutcome {
                 end: AttemptEnd::NotSent { why: Gap::NoReplica },
-                verdict: AttemptOutcome::Declined,
+                outcome: AttemptOutcome::Declined,
                 report: Report::default(),
             };
         };
         let call = Call {
             endpoint: Endpoint { upstream, address },
-            connection_limit: share,
+            connection_limit,
             echo: attempt.echo(),
             remaining: attempt.job.deadline.saturating_duration_since(now),
             drain: self.settings.drain,
             once: attempt.job.once,
             query: attempt.job.query.clone(),
-            asker: attempt.job.requester.clone(),
+            requester: attempt.job.requester.clone(),
         };
         let permit = || {
             let now = self.ports.clock.now();
@@ -289,8 +289,8 @@
             let router = self.router.borrow();
             // The upstream may have begun to leave, or its zone to be evacuated, while a connection
             // was opened.
-            let takes = router.upstream(&attempt.send.upstream).is_some_and(|s| s.accepts_work().is_ok());
-            now < attempt.job.deadline && !withheld && takes && router.lease().held(now)
+            let accepts = router.upstream(&attempt.send.upstream).is_some_and(|s| s.accepts_work().is_ok());
+            now < attempt.job.deadline && !withheld && accepts && router.lease().held(now)
         };
         self.ports.upstreams.send(call, permit).await
     }
@@ -302,7 +302,7 @@
         let SendAttempt { upstream, start, .. } = &attempt.send;
         let mut router = self.router.borrow_mut();
         let before = router.upstream(upstream).map(|s| s.window().size());
-        router.end(upstream, *start, end.verdict, &end.report, now);
+        router.end(upstream, *start, end.outcome, &end.report, now);
         let window = router.upstream(upstream).map(|s| s.window().size());
         if let (Some(before), Some(window)) = (before, window)
             && window.floor() < before.floor()
@@ -312,12 +312,12 @@
         if matches!(end.end.gap(), Some(Gap::Unreachable | Gap::UpstreamEnded)) {
             router.record_down(upstream, now);
         }
-        if end.verdict == AttemptOutcome::Succeeded && attempt.send.cause != Cause::Probe {
+        if end.outcome == AttemptOutcome::Succeeded && attempt.send.cause != Cause::Probe {
             router.record_latency(&attempt.job.lookup, upstream, now.saturating_duration_since(*start));
         }
         router.set_idle(upstream, self.ports.upstreams.idle(upstream));
         let Some(announcement) =
-            end.report.announcement.as_ref().filter(|word| router.merge_announcement(upstream, word))
+            end.report.announcement.as_ref().filter(|new| router.merge_announcement(upstream, new))
         else {
             return;
         };
--- a/crates/harefield/src/engine/gate.rs
+++ b/crates/harefield/src/engine/gate.rs
@@ -72,8 +72,8 @@
         }
         let worker = &self.worker;
         worker.waiters.borrow_mut().remove(&(Arc::clone(&self.index), self.id));
-        let called = self.calls.try_recv().ok();
-        if matches!(called, Some(Dequeued::Run(_))) {
+        let dequeued = self.calls.try_recv().ok();
+        if matches!(dequeued, Some(Dequeued::Run(_))) {
             let now = worker.ports.clock.now();
             worker.leave_gate(&self.index, &self.team, Duration::ZERO, None, now);
         } else if let Some(gate) = worker.gates.borrow_mut().get_mut(&self.index) {
@@ -135,8 +135,8 @@
             self.ports.clock.sleep_until(until).await;
             None
         };
-        let called = async { calls.recv().await.ok() }.or(expired).await;
-        match called {
+        let dequeued = async { calls.recv().await.ok() }.or(expired).await;
+        match dequeued {
             Some(Dequeued::Run(_)) => {
                 waiting.completed = true;
                 Ok(self.permit(index, arrival))
@@ -162,12 +162,12 @@
         congestion: Option<Congestion>,
         now: Instant,
     ) {
-        let called = match (self.gates.borrow_mut().get_mut(index), congestion) {
+        let dequeued = match (self.gates.borrow_mut().get_mut(index), congestion) {
             (Some(gate), Some(congestion)) => gate.complete(team, took, congestion, now),
             (Some(gate), None) => gate.abandon(team, now),
             (None, _) => Vec::new(),
         };
-        for call in called {
+        for call in dequeued {
             let (Dequeued::Run(id) | Dequeued::Refuse(id, _)) = call;
             let waiter = self.waiters.borrow_mut().remove(&(Arc::clone(index), id));
             if let Some(sender) = waiter {
--- a/crates/harefield/src/engine/group.rs
+++ b/crates/harefield/src/engine/group.rs
@@ -71,9 +71,9 @@
             let left = job.deadline.saturating_duration_since(this.ports.clock.now());
             let result = this.ports.peers.delegate(&group.host, &message, left + TRANSIT_ALLOWANCE).await;
             guard.completed = true;
-            let (verdict, end) = this.group_outcome(&group, result);
-            this.release_relay(&job.lookup, &group, verdict);
-            this.record_group(&job, &group, verdict, &end);
+            let (outcome, end) = this.group_outcome(&group, result);
+            this.release_relay(&job.lookup, &group, outcome);
+            this.record_group(&job, &group, outcome, &end);
             let _ = sender.try_send(CompletedAttempt::Group(group.clone(), end)).is_ok();
         };
         self.executor.spawn(task)
@@ -106,9 +106,9 @@
         }
     }
 
-    fn release_relay(&self, lookup: &Arc<str>, group: &GroupRequest, verdict: RelayOutcome) {
+    fn release_relay(&self, lookup: &Arc<str>, group: &GroupRequest, outcome: RelayOutcome) {
         let now = self.ports.clock.now();
-        self.router.borrow_mut().relays_mut().end(&group.host, lookup, group.start, verdict, now);
+        self.router.borrow_mut().relays_mut().end(&group.host, lookup, group.start, outcome, now);
     }
 
     fn group_outcome(
@@ -128,14 +128,14 @@
         (RelayOutcome::Answered(round_trip), GroupOutcome::Results(shard_results(group, reply)))
     }
 
-    fn record_group(&self, job: &Job, group: &GroupRequest, verdict: RelayOutcome, end: &GroupOutcome) {
+    fn record_group(&self, job: &Job, group: &GroupRequest, outcome: RelayOutcome, end: &GroupOutcome) {
         let parts = match end {
             GroupOutcome::Results(all) => {
                 all.iter().filter(|(_, result)| matches!(result, ShardResult::Part(_))).count()
             }
             GroupOutcome::NotSent | GroupOutcome::Silent => 0,
         };
-        let round_trip = match verdict {
+        let round_trip = match outcome {
             RelayOutcome::Answered(round_trip) => micros(round_trip),
             RelayOutcome::Declined | RelayOutcome::Silent | RelayOutcome::Abandoned => 0,
         };
@@ -155,10 +155,14 @@
 
 /// Returns which replicas may be queried, by the shards' positions in the group.
 fn replica_limits(group: &GroupRequest) -> Vec<(usize, Vec<UpstreamId>)> {
-    let place = |shard: usize| group.shards.iter().position(|other| *other == shard);
+    let position = |shard: usize| group.shards.iter().position(|other| *other == shard);
     let free = (0..group.free).map(|_| UpstreamId::from(""));
     let names = |fallback: &UpstreamId| std::iter::once(Arc::clone(fallback)).chain(free.clone()).collect();
-    group.fallbacks.iter().filter_map(|(shard, fallback)| Some((place(*shard)?, names(fallback)))).collect()
+    group
+        .fallbacks
+        .iter()
+        .filter_map(|(shard, fallback)| Some((position(*shard)?, names(fallback))))
+        .collect()
 }
 
 /// Returns which replicas may be queried, from their names in a message.
@@ -188,6 +192,6 @@
         *slot = Some(ShardResult::Missing { why: gap.why, ran: gap.ran, sent: gap.sent });
     }
     let absent = ShardResult::Missing { why: Gap::ReplyLost, ran: true, sent: u32::MAX };
-    let places = group.shards.iter().copied();
-    places.zip(all.into_iter().map(|result| result.unwrap_or_else(|| absent.clone()))).collect()
+    let indexes = group.shards.iter().copied();
+    indexes.zip(all.into_iter().map(|result| result.unwrap_or_else(|| absent.clone()))).collect()
 }
--- a/crates/harefield/src/engine/members.rs
+++ b/crates/harefield/src/engine/members.rs
@@ -42,14 +42,14 @@
     /// Returns whether a daemon is in a region where a request may be served, so that the request
     /// may be forwarded to it.
     pub(super) fn may_serve(&self, host: &HostId, regions: &[Arc<str>]) -> bool {
-        let places = &self.settings.places;
+        let topology = &self.settings.topology;
         let peers = self.peers.borrow();
         let zone = if *host == self.settings.host {
             Some(&self.settings.zone)
         } else {
             peers.row(host).map(|row| &row.zone)
         };
-        Residency::new(regions).allows(zone.map(|zone| places.region_of(zone)))
+        Residency::new(regions).allows(zone.map(|zone| topology.region_of(zone)))
     }
 
     /// Returns the nearest of those daemons that are neither known to be gone nor silent.
@@ -87,7 +87,7 @@
     }
 
     fn distance_to(&self, row: Option<&MemberRow>) -> Distance {
-        row.map_or(Distance::Far, |row| self.settings.places.distance(&row.zone))
+        row.map_or(Distance::Far, |row| self.settings.topology.distance(&row.zone))
     }
 
     /// Returns whether a daemon is neither known to be gone nor silent.
--- a/crates/harefield/src/engine/permits.rs
+++ b/crates/harefield/src/engine/permits.rs
@@ -126,9 +126,9 @@
     /// Returns the parts of a limit, those held in near availability zones first.
     fn parts_by_distance(&self, parts: u32) -> Vec<u32> {
         let holders = self.holders.borrow();
-        let places = &self.settings.places;
+        let topology = &self.settings.topology;
         let distance =
-            |part: &u32| holders.zone_of(*part).map_or(Distance::Near, |zone| places.distance(zone));
+            |part: &u32| holders.zone_of(*part).map_or(Distance::Near, |zone| topology.distance(zone));
         let mut all: Vec<u32> = (0..parts).collect();
         all.sort_by_key(distance);
         all
--- a/crates/harefield/src/engine/suspects.rs
+++ b/crates/harefield/src/engine/suspects.rs
@@ -188,9 +188,9 @@
     async fn has_exited(&self, upstream: &UpstreamId) -> bool {
         let target = self.router.borrow().upstream(upstream).map(|s| (s.spec().address, s.share()));
         // An upstream that the configuration no longer names has exited, or is about to.
-        let Some((address, share)) = target else { return true };
-        let place = Endpoint { upstream: Arc::clone(upstream), address };
-        self.ports.upstreams.has_ended(&place, share).await
+        let Some((address, connection_limit)) = target else { return true };
+        let endpoint = Endpoint { upstream: Arc::clone(upstream), address };
+        self.ports.upstreams.has_ended(&endpoint, connection_limit).await
     }
 
     fn record_exit(&self, job: &Job, upstream: &UpstreamId, alone: bool) {
--- a/crates/harefield/src/engine/warm.rs
+++ b/crates/harefield/src/engine/warm.rs
@@ -57,7 +57,7 @@
     /// Opens one connection to an upstream where it needs one.
     fn open_connection(&self, name: &UpstreamId) -> bool {
         let now = self.ports.clock.now();
-        let (place, share, want) = {
+        let (endpoint, connection_limit, want) = {
             let router = self.router.borrow();
             let Some(state) = router.upstream(name) else {
                 return false;
@@ -70,7 +70,7 @@
             let want = router.ready_connections(name, now);
             (Endpoint { upstream: Arc::clone(name), address }, state.share(), want)
         };
-        let opening = self.ports.upstreams.preconnect(&place, share, want);
+        let opening = self.ports.upstreams.preconnect(&endpoint, connection_limit, want);
         let idle = self.ports.upstreams.idle(name);
         self.router.borrow_mut().set_idle(name, idle);
         opening
--- a/crates/harefield/src/engine/worker.rs
+++ b/crates/harefield/src/engine/worker.rs
@@ -86,8 +86,8 @@
     pub slack: Option<f64>,
     /// How many daemons are assumed to share it before any is known.
     pub daemons: u32,
-    /// The places of this daemon and of the availability zones.
-    pub places: Topology,
+    /// The availability zone of this daemon, and the regions of the zones.
+    pub topology: Topology,
     /// What is kept of an objective for the answer's return.
     pub margin: Duration,
     /// The multiple of the slow pace after which a hedge is due; none for no hedges.
@@ -217,7 +217,7 @@
         control: Sender<ToControl>,
         telemetry: Telemetry,
     ) -> Rc<Self> {
-        let holders = Holders::new(settings.places.regions.keys(), &settings.zone);
+        let holders = Holders::new(settings.topology.regions.keys(), &settings.zone);
         let budgets = match settings.slack {
             Some(slack) => {
                 Budgets::per_service(FleetSlack { share: settings.extra, slack }, settings.daemons)
@@ -237,7 +237,7 @@
             expects_peers: settings.expects_peers,
         };
         let router =
-            router.with_places(settings.places.clone()).with_sharers(settings.daemons).with_local(own);
+            router.with_topology(settings.topology.clone()).with_sharers(settings.daemons).with_local(own);
         let known = settings.daemons;
         Rc::new(Self {
             settings,
--- a/crates/harefield/src/platform/upstreams.rs
+++ b/crates/harefield/src/platform/upstreams.rs
@@ -46,10 +46,10 @@
         }
         let left = millis(call.remaining).max(1);
         headers::append_all(request.headers_mut(), &query.headers);
-        if call.asker.is_open() {
+        if call.requester.is_open() {
             headers::append_all(request.headers_mut(), &query.claims.0);
         }
-        if let Some(account) = &call.asker.account {
+        if let Some(account) = &call.requester.account {
             headers::set(request.headers_mut(), headers::ACCOUNT, account);
         }
         headers::set(request.headers_mut(), headers::TIME_LEFT, &left.to_string());
@@ -71,12 +71,12 @@
             return ParsedReply { end: lost(Gap::Failed, report), keep: false };
         }
         let reply = Reply::Opaque(Arc::new(into_reply(reply)));
-        let (end, verdict) = if answered {
+        let (end, outcome) = if answered {
             (AttemptEnd::Answered(reply), AttemptOutcome::Succeeded)
         } else {
             (AttemptEnd::Failed(reply), outcome_of(status))
         };
-        ParsedReply { end: CallOutcome { end, verdict, report }, keep: true }
+        ParsedReply { end: CallOutcome { end, outcome, report }, keep: true }
     }
 
     fn report(&self, headers: &HeaderMap) -> Report {
@@ -85,7 +85,7 @@
 
     /// The protocol has no cancel message: a request can only be cancelled by closing its
     /// connection.
-    fn cancel(&self, _place: &Endpoint, _request: &str) -> Option<Request<Full<Bytes>>> {
+    fn cancel(&self, _endpoint: &Endpoint, _request: &str) -> Option<Request<Full<Bytes>>> {
         None
     }
 }
@@ -120,12 +120,12 @@
     }
     let wait = text(reply.headers(), "retry-after").and_then(|seconds| seconds.parse::<f64>().ok());
     let wait = wait.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
-    let (why, verdict) = match status {
+    let (why, outcome) = match status {
         StatusCode::MISDIRECTED_REQUEST => (Gap::Leaving, AttemptOutcome::Failed),
         _ => (Gap::Overloaded, AttemptOutcome::Rejected(wait)),
     };
     let end = AttemptEnd::Refused { why, begun: false };
-    Some(CallOutcome { end, verdict, report: report.clone() })
+    Some(CallOutcome { end, outcome, report: report.clone() })
 }
 
 fn outcome_of(status: StatusCode) -> AttemptOutcome {
--- a/crates/harefield/src/ports/upstreams.rs
+++ b/crates/harefield/src/ports/upstreams.rs
@@ -38,7 +38,7 @@
     /// The query.
     pub query: Query,
     /// Whose request it is.
-    pub asker: Requester,
+    pub requester: Requester,
 }
 
 /// How a call ended.
@@ -47,7 +47,7 @@
     /// For the fan-out.
     pub end: AttemptEnd,
     /// For the routing.
-    pub verdict: AttemptOutcome,
+    pub outcome: AttemptOutcome,
     /// What the reply stated about the upstream.
     pub report: Report,
 }
@@ -63,14 +63,14 @@
     /// Returns whether an upstream that lost a reply has ended, which is the case if nobody accepts
     /// connections at its address. An upstream that is slow to accept them, or has only lost its
     /// connections, has not ended.
-    fn has_ended(&self, place: &Endpoint, share: u32) -> impl Future<Output = bool>;
+    fn has_ended(&self, endpoint: &Endpoint, connection_limit: u32) -> impl Future<Output = bool>;
 
     /// Tells an upstream that a reply is no longer wanted, if that needs no new connection.
     fn cancel(&self, upstream: &UpstreamId, request: &str);
 
-    /// Opens a connection in advance if fewer than `want` are idle and the limit `share` allows
+    /// Opens a connection in advance if fewer than `want` are idle and `connection_limit` allows
     /// another; returns whether one is being opened.
-    fn preconnect(&self, place: &Endpoint, share: u32, want: usize) -> bool;
+    fn preconnect(&self, endpoint: &Endpoint, connection_limit: u32, want: usize) -> bool;
 
     /// Closes idle connections to all upstreams for which `keep` returns false.
     fn keep_only(&self, keep: impl Fn(&UpstreamId) -> bool);
--- a/crates/harefield/tests/decisions/accounts.rs
+++ b/crates/harefield/tests/decisions/accounts.rs
@@ -57,7 +57,7 @@
     let directory = Directory::new(&set(&[("apex", "a"), ("birch", "b")]).expect("it is valid"), false);
     let name = |key: &str, public| match directory.identify(Credential::from_key(key.as_bytes()), public) {
         Identity::Known(client) => client.name.to_string(),
-        Identity::Anyone(asker) => format!("anyone, open {}", asker.is_open()),
+        Identity::Anyone(requester) => format!("anyone, open {}", requester.is_open()),
         Identity::Missing => "missing".to_owned(),
         Identity::Unknown(_) => "unknown".to_owned(),
     };
@@ -67,7 +67,7 @@
     assert_eq!(name("c", true), "unknown", "a key that is sent must be valid");
     let open = Directory::new(&set(&[]).expect("it is valid"), false);
     assert!(
-        matches!(open.identify(Credential::Malformed, false), Identity::Anyone(asker) if asker.is_open())
+        matches!(open.identify(Credential::Malformed, false), Identity::Anyone(requester) if requester.is_open())
     );
     let required = Directory::new(&set(&[]).expect("it is valid"), true);
     assert!(matches!(required.identify(Credential::Missing, false), Identity::Missing));
--- a/crates/harefield/tests/decisions/cold.rs
+++ b/crates/harefield/tests/decisions/cold.rs
@@ -53,7 +53,7 @@
 /// The interval at which each daemon tries to send, in milliseconds.
 const SEND_INTERVAL: u64 = 50;
 
-fn places(zone: &str) -> Topology {
+fn topology(zone: &str) -> Topology {
     let regions = ZONES.iter().map(|zone| ((*zone).into(), (*zone).into())).collect();
     Topology { zone: zone.into(), regions }
 }
@@ -104,10 +104,10 @@
     fn new(life: Life, start: Instant) -> Self {
         let host = life.candidate(true).host;
         let own = LocalDaemon { host: Arc::clone(&host), expects_peers: true, ..LocalDaemon::default() };
-        let places = places(ZONES[life.number % 3]);
+        let topology = topology(ZONES[life.number % 3]);
         let now = at(start, life.from);
         let router =
-            Router::new(Policy::Cost, Budgets::single(0.05), 7, now).with_places(places).with_local(own);
+            Router::new(Policy::Cost, Budgets::single(0.05), 7, now).with_topology(topology).with_local(own);
         Self { life, host, view: View::default(), router }
     }
 
@@ -121,7 +121,7 @@
             hosts: &HostList::default(),
             fleet,
             size: CellSize { max_members: MEMBERS, connections: 1 },
-            places: &places(ZONES[self.life.number % 3]),
+            topology: &topology(ZONES[self.life.number % 3]),
             cold: BOUND,
             require_keys: false,
         });
--- a/crates/harefield/tests/decisions/crash_guard.rs
+++ b/crates/harefield/tests/decisions/crash_guard.rs
@@ -29,8 +29,8 @@
     })
 }
 
-fn end(world: &mut World, place: usize) {
-    world.end(place, AttemptEnd::Lost { why: Gap::UpstreamEnded }, AttemptOutcome::Lost);
+fn end(world: &mut World, index: usize) {
+    world.end(index, AttemptEnd::Lost { why: Gap::UpstreamEnded }, AttemptOutcome::Lost);
 }
 
 /// Returns the end of an attempt whose upstream crashed: a known crash, or a lost reply if the
@@ -50,14 +50,14 @@
     ) {
         let mut world = fanout(shards, MAX_TRIALS);
         let mut ended = 0;
-        for (place, millis, known) in order {
+        for (index, millis, known) in order {
             world.advance(Duration::from_millis(millis));
             if world.fanout.is_done() {
                 break;
             }
             if !world.in_flight.is_empty() {
                 ended += 1;
-                world.end(place, loss(known), AttemptOutcome::Lost);
+                world.end(index, loss(known), AttemptOutcome::Lost);
             }
         }
         prop_assert!(world.fanout.is_done(), "the fan-out ends");
@@ -74,14 +74,14 @@
     ) {
         let mut world = fanout(shards, MAX_TRIALS);
         let mut ended = 0;
-        for (place, millis) in order {
+        for (index, millis) in order {
             world.advance(Duration::from_millis(millis));
             if world.fanout.is_done() {
                 break;
             }
             if !world.in_flight.is_empty() {
                 ended += 1;
-                end(&mut world, place);
+                end(&mut world, index);
             }
         }
         prop_assert!(world.fanout.is_done(), "the fan-out ends");
@@ -101,8 +101,8 @@
         let mut world = fanout(shards, MAX_TRIALS);
         let lost: BTreeSet<usize> = (0..shards).filter(|shard| lost[*shard]).collect();
         prop_assume!(lost.len() < shards);
-        let mut place = order;
-        while let Some(send) = next(&world, &mut place) {
+        let mut index = order;
+        while let Some(send) = next(&world, &mut index) {
             let first = world.in_flight[send].cause == Cause::First;
             if first && lost.contains(&world.in_flight[send].shard) {
                 end(&mut world, send);
--- a/crates/harefield/tests/decisions/delegates.rs
+++ b/crates/harefield/tests/decisions/delegates.rs
@@ -93,9 +93,9 @@
 #[test]
 fn rejected_then_named() {
     let mut world = daemon(4, 2, 1);
-    while let Some(place) = world.in_flight.iter().position(|send| send.upstream != replica(send.shard, 0)) {
+    while let Some(index) = world.in_flight.iter().position(|send| send.upstream != replica(send.shard, 0)) {
         let end = AttemptEnd::Refused { why: Gap::Overloaded, begun: false };
-        world.end(place, end, AttemptOutcome::Rejected(None));
+        world.end(index, end, AttemptOutcome::Rejected(None));
     }
     for shard in 0..SHARDS {
         assert!(queried(&world, shard).contains(&replica(shard, 0)), "it is the only replica left");
--- a/crates/harefield/tests/decisions/fanout.rs
+++ b/crates/harefield/tests/decisions/fanout.rs
@@ -64,9 +64,9 @@
         }
         // A missing shard may have run exactly if an attempt on it may have run or is in flight.
         for missing in &finished.coverage.missing {
-            let place = plan.shards.iter().position(|s| s.shard == missing.shard).expect("the plan has the shard");
-            let ran = ended.iter().any(|(send, end)| send.shard == place && end.may_have_run())
-                || in_flight.iter().any(|send| send.shard == place);
+            let index = plan.shards.iter().position(|s| s.shard == missing.shard).expect("the plan has the shard");
+            let ran = ended.iter().any(|(send, end)| send.shard == index && end.may_have_run())
+                || in_flight.iter().any(|send| send.shard == index);
             prop_assert_eq!(missing.ran, ran, "{:?}", missing);
         }
     }
@@ -122,8 +122,8 @@
 fn hedge_loser_dropped() {
     let mut world = all_but_one(40, Preference::Coverage);
     world.advance(Duration::from_millis(60));
-    let place = world.in_flight.iter().position(|send| send.attempt != 0).expect("the hedge is in flight");
-    world.answer(place);
+    let index = world.in_flight.iter().position(|send| send.attempt != 0).expect("the hedge is in flight");
+    world.answer(index);
     assert!(world.fanout.is_done());
     world.answer(0);
     let dropped = |event: &Event| matches!(event, Event::ReplyDropped { attempt: 0, .. });
--- a/crates/harefield/tests/decisions/groups.rs
+++ b/crates/harefield/tests/decisions/groups.rs
@@ -56,7 +56,7 @@
     revoked: usize,
 }
 
-fn places() -> Topology {
+fn topology() -> Topology {
     let regions = [("a", "r1"), ("b", "r2"), ("c", "r1")].map(|(zone, region)| (zone.into(), region.into()));
     Topology { zone: "a".into(), regions: BTreeMap::from(regions) }
 }
@@ -93,7 +93,7 @@
         }
         let set = Arc::new(ResourceSet::parse(&items(values)).expect("the values are valid"));
         let view = view(&set);
-        let mut router = Router::new(Policy::Cost, budgets, 7, now).with_places(places());
+        let mut router = Router::new(Policy::Cost, budgets, 7, now).with_topology(topology());
         router.apply(&view, now);
         router.update_daemons([&daemon(zone, live)]);
         let rules = AnswerRules {
@@ -149,8 +149,8 @@
 
     fn answer(&mut self, send: &SendAttempt, text: &str) {
         let end = AttemptEnd::Answered(part(text));
-        let place = (send.shard, send.attempt);
-        let actions = self.fanout.on_attempt_end(place, end, self.now, &mut self.router, &mut self.events);
+        let attempt = (send.shard, send.attempt);
+        let actions = self.fanout.on_attempt_end(attempt, end, self.now, &mut self.router, &mut self.events);
         self.apply_actions(actions);
     }
 
@@ -422,10 +422,10 @@
 
 #[test]
 fn distances_by_region() {
-    let places = places();
-    assert_eq!(places.distance("a"), Distance::Near);
-    assert_eq!(places.distance("c"), Distance::Region);
-    assert_eq!(places.distance("b"), Distance::Far);
-    assert_eq!(places.distance("unknown"), Distance::Far);
+    let topology = topology();
+    assert_eq!(topology.distance("a"), Distance::Near);
+    assert_eq!(topology.distance("c"), Distance::Region);
+    assert_eq!(topology.distance("b"), Distance::Far);
+    assert_eq!(topology.distance("unknown"), Distance::Far);
     assert_eq!(Topology::default().distance("b"), Distance::Near, "without regions every zone is near");
 }
--- a/crates/harefield/tests/decisions/overload.rs
+++ b/crates/harefield/tests/decisions/overload.rs
@@ -153,8 +153,8 @@
     fn apply(&mut self, daemon: usize, calls: Vec<Dequeued>, now: u64) {
         for call in calls {
             let (Dequeued::Run(id) | Dequeued::Refuse(id, _)) = call;
-            let place = self.waiting[daemon].iter().position(|(held, _)| *held == id).expect("it waits");
-            let (_, caller) = self.waiting[daemon].swap_remove(place);
+            let index = self.waiting[daemon].iter().position(|(held, _)| *held == id).expect("it waits");
+            let (_, caller) = self.waiting[daemon].swap_remove(index);
             match call {
                 Dequeued::Run(_) => self.run(daemon, caller, now),
                 Dequeued::Refuse(_, wait) => self.refuse(caller, wait, now),
@@ -181,16 +181,16 @@
         self.running.retain(|running| !running.left);
         for (daemon, took, congestion) in ended {
             let took = Duration::from_millis(took);
-            let called = self.gates[daemon].complete(&"t".into(), took, congestion, at(self.start, now));
-            self.apply(daemon, called, now);
+            let dequeued = self.gates[daemon].complete(&"t".into(), took, congestion, at(self.start, now));
+            self.apply(daemon, dequeued, now);
         }
     }
 
     fn step(&mut self, now: u64) {
         self.answer(now);
         for daemon in 0..DAEMONS {
-            let called = self.gates[daemon].dequeue(at(self.start, now));
-            self.apply(daemon, called, now);
+            let dequeued = self.gates[daemon].dequeue(at(self.start, now));
+            self.apply(daemon, dequeued, now);
         }
         let due: Vec<Caller> =
             self.retries.iter().filter(|(back, _)| *back <= now).map(|(_, caller)| *caller).collect();
--- a/crates/harefield/tests/decisions/rejecting_model.rs
+++ b/crates/harefield/tests/decisions/rejecting_model.rs
@@ -86,9 +86,9 @@
         let view = view(&set);
         let regions =
             [("a", "r1"), ("b", "r2"), ("c", "r3")].map(|(zone, region)| (zone.into(), region.into()));
-        let places = Topology { zone: "a".into(), regions: BTreeMap::from(regions) };
+        let topology = Topology { zone: "a".into(), regions: BTreeMap::from(regions) };
         let budgets = Budgets::per_service(FleetSlack { share: 0.2, slack: SLACK }, MEMBERS);
-        let mut router = Router::new(Policy::Cost, budgets, seed, now).with_places(places);
+        let mut router = Router::new(Policy::Cost, budgets, seed, now).with_topology(topology);
         router.apply(&view, now);
         let plan = Arc::clone(&view.lookups["l"].plans[0]);
         Self { router, plan, now, draw: seed, rate, rejecting: false, queried: Vec::new() }
@@ -162,8 +162,8 @@
                     (answer(), AttemptOutcome::Succeeded)
                 };
                 self.router.end(&send.upstream, send.start, outcome, &report, now);
-                let place = (send.shard, send.attempt);
-                flying.extend(sends(fanout.on_attempt_end(place, end, now, &mut self.router, &mut events)));
+                let attempt = (send.shard, send.attempt);
+                flying.extend(sends(fanout.on_attempt_end(attempt, end, now, &mut self.router, &mut events)));
             }
             flying.extend(sends(fanout.on_timer(now, &mut self.router, &mut events)));
         }
--- a/crates/harefield/tests/decisions/residency.rs
+++ b/crates/harefield/tests/decisions/residency.rs
@@ -37,7 +37,7 @@
     &zone[..1]
 }
 
-fn places() -> Topology {
+fn topology() -> Topology {
     let regions = ZONES.iter().map(|zone| ((*zone).into(), region_of(zone).into()));
     Topology { zone: "a1".into(), regions: regions.collect() }
 }
@@ -68,7 +68,7 @@
         hosts: &HostList::default(),
         fleet: &[],
         size: CellSize::default(),
-        places: &places(),
+        topology: &topology(),
         cold: ColdBounds::default(),
         require_keys: false,
     })
@@ -128,9 +128,9 @@
                 let is_empty = |name: &Arc<str>| empty.get(&*set.upstreams[name].zone) == Some(&true);
                 match router.choose(&ask, now) {
                     Ok(choice) => prop_assert!(!is_empty(&choice.upstream)),
-                    Err(bar) => {
+                    Err(exclusion) => {
                         prop_assert!(shard.replicas.iter().all(is_empty), "a replica is available");
-                        prop_assert_eq!((bar.gap, bar.until), (Gap::Evacuated, ExclusionEnd::Never));
+                        prop_assert_eq!((exclusion.gap, exclusion.until), (Gap::Evacuated, ExclusionEnd::Never));
                     }
                 }
             }
@@ -154,8 +154,8 @@
     let homes: [Arc<str>; 1] = ["a".into()];
     assert!(!Residency::new(&homes).allows(None));
     assert!(Residency::new(&[]).allows(None));
-    let places = Topology { regions: BTreeMap::new(), ..places() };
-    assert!(!Residency::new(&homes).allows(Some(places.region_of(&"a1".into()))));
+    let topology = Topology { regions: BTreeMap::new(), ..topology() };
+    assert!(!Residency::new(&homes).allows(Some(topology.region_of(&"a1".into()))));
 }
 
 #[test]
--- a/crates/harefield/tests/decisions/sharing.rs
+++ b/crates/harefield/tests/decisions/sharing.rs
@@ -94,7 +94,7 @@
         for action in self.start(daemon, silent).actions {
             match action {
                 Action::Send(_) => shared.own += 1,
-                Action::Delegate(hand) => shared.groups.push((hand.host, hand.shards)),
+                Action::Delegate(group) => shared.groups.push((group.host, group.shards)),
                 Action::Revoke(_) | Action::Cancel(_) => {}
             }
         }
@@ -114,11 +114,11 @@
         let own = &self.rows[daemon];
         let regions =
             [("a", "r1"), ("b", "r1"), ("c", "r2")].map(|(zone, region)| (zone.into(), region.into()));
-        let places = Topology { zone: Arc::clone(&own.zone), regions: BTreeMap::from(regions) };
+        let topology = Topology { zone: Arc::clone(&own.zone), regions: BTreeMap::from(regions) };
         let own =
             LocalDaemon { host: Arc::clone(&own.host), capacity: own.capacity, ..LocalDaemon::default() };
         let mut router = Router::new(Policy::Cost, Budgets::single(0.05), 7, now)
-            .with_places(places)
+            .with_topology(topology)
             .with_local(own.clone());
         router.apply(&view, now);
         router.update_daemons(self.rows.iter().filter(|row| row.host != own.host));
@@ -317,9 +317,9 @@
         let limits =
             DelegationLimits { shard_time: SHARD_TIME, send_limit: Duration::from_micros(micros), affinity: false };
         if let Some(assignments) = assign_shards(&pending, &candidates, limits) {
-            let places: Vec<usize> = assignments.iter().flat_map(|assignment| assignment.shards.iter().map(|pending| pending.index)).collect();
-            prop_assert_eq!(places.len(), shards);
-            prop_assert_eq!(places.iter().collect::<BTreeSet<_>>().len(), shards);
+            let indexes: Vec<usize> = assignments.iter().flat_map(|assignment| assignment.shards.iter().map(|pending| pending.index)).collect();
+            prop_assert_eq!(indexes.len(), shards);
+            prop_assert_eq!(indexes.iter().collect::<BTreeSet<_>>().len(), shards);
         }
     }
 }
--- a/crates/harefield/tests/decisions/support.rs
+++ b/crates/harefield/tests/decisions/support.rs
@@ -95,7 +95,7 @@
         hosts: &HostList::default(),
         fleet: &[],
         size: CellSize::default(),
-        places: &Topology::default(),
+        topology: &Topology::default(),
         cold: ColdBounds::default(),
         require_keys: false,
     })
--- a/crates/harefield/tests/decisions/suspects.rs
+++ b/crates/harefield/tests/decisions/suspects.rs
@@ -210,13 +210,13 @@
         let mut all = [Suspects::default(), Suspects::default(), Suspects::default()];
         let mut steps = steps;
         steps.sort_by_key(|(_, number, _, life)| (*life, *number));
-        for (place, number, alone, life) in steps {
+        for (index, number, alone, life) in steps {
             // An upstream takes seconds to come back after it ended.
             let millis = life * 2500 + number as u64 * 100;
             if number == 7 {
-                all[place].record_answer(&work(1), at(start, millis));
+                all[index].record_answer(&work(1), at(start, millis));
             } else {
-                all[place].record_end(&work(1), &upstream(number), alone, at(start, millis));
+                all[index].record_end(&work(1), &upstream(number), alone, at(start, millis));
             }
         }
         let now = at(start, 9000);
@@ -243,16 +243,16 @@
     ) {
         let mut all: Vec<Suspects> = (0..5).map(|_| Suspects::default()).collect();
         let (mut now, mut ended) = (Instant::now(), 0);
-        for (number, place) in arrivals.into_iter().enumerate() {
+        for (number, index) in arrivals.into_iter().enumerate() {
             now = at(now, 400);
-            let alone = match all[place].clearance(&work(1), now) {
+            let alone = match all[index].clearance(&work(1), now) {
                 Clearance::Free => false,
                 Clearance::Alone(_) => true,
                 Clearance::Withheld(_) => continue,
             };
             ended += 1;
-            all[place].record_end(&work(1), &upstream(ended), alone, now);
-            let sent = all[place].digest(now);
+            all[index].record_end(&work(1), &upstream(ended), alone, now);
+            let sent = all[index].digest(now);
             for (other, suspects) in all.iter_mut().enumerate() {
                 if received[number * 5 + other] {
                     for suspect in &sent {
--- a/crates/harefield/tests/decisions/views.rs
+++ b/crates/harefield/tests/decisions/views.rs
@@ -23,9 +23,9 @@
     HostList::parse(&items(rows))
 }
 
-fn next(before: &View, own: u16, set: &Arc<ResourceSet>, hosts: &HostList, most: usize) -> View {
+fn next(before: &View, own: u16, set: &Arc<ResourceSet>, hosts: &HostList, max_members: usize) -> View {
     let own: HostId = format!("127.0.0.1:{own}").into();
-    let size = CellSize { max_members: most, connections: 1 };
+    let size = CellSize { max_members, connections: 1 };
     before.next(&ViewInputs {
         own: &own,
         revision: Some(Revision::first(1)),
@@ -34,7 +34,7 @@
         hosts,
         fleet: &[],
         size,
-        places: &Topology::default(),
+        topology: &Topology::default(),
         cold: ColdBounds::default(),
         require_keys: false,
     })
--- a/crates/harefield/tests/decisions/world.rs
+++ b/crates/harefield/tests/decisions/world.rs
@@ -176,19 +176,19 @@
         }
     }
 
-    pub fn end(&mut self, place: usize, end: AttemptEnd, verdict: AttemptOutcome) {
+    pub fn end(&mut self, index: usize, end: AttemptEnd, outcome: AttemptOutcome) {
         if self.in_flight.is_empty() {
             return;
         }
-        let send = self.in_flight.swap_remove(place % self.in_flight.len());
-        self.router.end(&send.upstream, send.start, verdict, &Report::default(), self.now);
+        let send = self.in_flight.swap_remove(index % self.in_flight.len());
+        self.router.end(&send.upstream, send.start, outcome, &Report::default(), self.now);
         self.ended.push((send.clone(), end.clone()));
         self.report_end(&send, end);
     }
 
     pub fn report_end(&mut self, send: &SendAttempt, end: AttemptEnd) {
-        let place = (send.shard, send.attempt);
-        let actions = self.fanout.on_attempt_end(place, end, self.now, &mut self.router, &mut self.events);
+        let attempt = (send.shard, send.attempt);
+        let actions = self.fanout.on_attempt_end(attempt, end, self.now, &mut self.router, &mut self.events);
         self.apply_actions(actions);
     }
 
@@ -199,34 +199,34 @@
         self.apply_actions(actions);
     }
 
-    pub fn answer(&mut self, place: usize) {
+    pub fn answer(&mut self, index: usize) {
         if self.in_flight.is_empty() {
             return;
         }
-        let place = place % self.in_flight.len();
-        let body = body_of(&self.in_flight[place]);
-        self.end(place, AttemptEnd::Answered(Reply::Json(body)), AttemptOutcome::Succeeded);
+        let index = index % self.in_flight.len();
+        let body = body_of(&self.in_flight[index]);
+        self.end(index, AttemptEnd::Answered(Reply::Json(body)), AttemptOutcome::Succeeded);
     }
 
     pub fn apply(&mut self, step: Step) {
         match step {
-            Step::Answer(place) => self.answer(place),
-            Step::Refuse(place, begun) => {
+            Step::Answer(index) => self.answer(index),
+            Step::Refuse(index, begun) => {
                 let end = AttemptEnd::Refused { why: Gap::Overloaded, begun };
-                self.end(place, end, AttemptOutcome::Rejected(None));
+                self.end(index, end, AttemptOutcome::Rejected(None));
             }
-            Step::Unsent(place) => {
+            Step::Unsent(index) => {
                 let end = AttemptEnd::NotSent { why: Gap::Unreachable };
-                self.end(place, end, AttemptOutcome::Failed);
+                self.end(index, end, AttemptOutcome::Failed);
             }
-            Step::Lose(place) => {
-                self.end(place, AttemptEnd::Lost { why: Gap::ReplyLost }, AttemptOutcome::Failed);
+            Step::Lose(index) => {
+                self.end(index, AttemptEnd::Lost { why: Gap::ReplyLost }, AttemptOutcome::Failed);
             }
-            Step::Wrong(place) => {
-                self.end(place, AttemptEnd::Lost { why: Gap::SnapshotWrong }, AttemptOutcome::Declined);
+            Step::Wrong(index) => {
+                self.end(index, AttemptEnd::Lost { why: Gap::SnapshotWrong }, AttemptOutcome::Declined);
             }
-            Step::Repeat(place) if !self.ended.is_empty() => {
-                let (send, end) = self.ended[place % self.ended.len()].clone();
+            Step::Repeat(index) if !self.ended.is_empty() => {
+                let (send, end) = self.ended[index % self.ended.len()].clone();
                 self.report_end(&send, end);
             }
             Step::Repeat(_) => {}
@@ -238,9 +238,9 @@
 
     pub fn drain(&mut self, shard: usize, number: usize) {
         let name = replica(shard, number);
-        let word =
+        let announcement =
             Announcement { stamp: AnnouncementStamp { start: 1, change: 1 }, draining: true, held: None };
-        if self.router.merge_announcement(&name, &word) {
+        if self.router.merge_announcement(&name, &announcement) {
             self.drained.insert(name.to_string());
         }
     }
@@ -270,9 +270,9 @@
 pub fn all_but_one(shards: usize, prefer: Preference) -> World {
     let mut world = World::new(shards, 2, true, prefer);
     for _ in 1..shards {
-        let place =
+        let index =
             world.in_flight.iter().position(|send| send.shard != 0).expect("other attempts are in flight");
-        world.answer(place);
+        world.answer(index);
     }
     world
 }
--- a/crates/harefield/tests/fleet/warming.rs
+++ b/crates/harefield/tests/fleet/warming.rs
@@ -38,6 +38,6 @@
 #[test]
 fn own_limit_says_nothing() {
     // That no connection was free here is no word of the upstream's.
-    assert_eq!(unsent(Gap::Overloaded).verdict, AttemptOutcome::Declined);
-    assert_eq!(unsent(Gap::Unreachable).verdict, AttemptOutcome::Failed);
+    assert_eq!(unsent(Gap::Overloaded).outcome, AttemptOutcome::Declined);
+    assert_eq!(unsent(Gap::Unreachable).outcome, AttemptOutcome::Failed);
 }
--- a/crates/harefield/tests/processes/silent_connections.rs
+++ b/crates/harefield/tests/processes/silent_connections.rs
@@ -156,7 +156,7 @@
         drain: Duration::ZERO,
         once: false,
         query: Query::Json(b"{}".to_vec().into()),
-        asker: Requester::default(),
+        requester: Requester::default(),
     }
 }
 
