--- a/crates/harefield/src/adapters/platform.rs
+++ b/crates/harefield/src/adapters/platform.rs
@@ -77,12 +77,12 @@
 }
 
 impl Platform for HttpPlatform {
-    async fn list(&self, copy: SocketAddr, space: Space) -> Result<Listing, PlatformError> {
+    async fn list(&self, replica: SocketAddr, space: Space) -> Result<Listing, PlatformError> {
         let mut listing = Listing::default();
         let mut from = String::new();
         loop {
             let path = format!("/v1/{}/list?from={from}", space.name());
-            let page = self.reader.get::<Page>(copy, &path, READ_LIMIT).await?.body;
+            let page = self.reader.get::<Page>(replica, &path, READ_LIMIT).await?.body;
             let page = page.ok_or_else(|| {
                 PlatformError::Malformed("a page of the listing no longer exists".to_owned())
             })?;
@@ -100,13 +100,13 @@
 
     async fn watch(
         &self,
-        copy: SocketAddr,
+        replica: SocketAddr,
         space: Space,
         after: Revision,
         wait: Duration,
     ) -> Result<WatchResult, PlatformError> {
         let path = format!("/v1/{}/watch?after={}&wait-ms={}", space.name(), after.number, wait.as_millis());
-        let changes = self.reader.get::<Changes>(copy, &path, watch_limit(wait)).await?.body;
+        let changes = self.reader.get::<Changes>(replica, &path, watch_limit(wait)).await?.body;
         Ok(match changes {
             Some(changes) => {
                 let newer = changes.changes.into_iter().filter(|row| row.revision > after.number);
--- a/crates/harefield/src/adapters/reading.rs
+++ b/crates/harefield/src/adapters/reading.rs
@@ -1,4 +1,4 @@
-//! Code shared by the clients of both kinds of platform: reading JSON from one copy of the
+//! Code shared by the clients of both kinds of platform: reading JSON from one replica of the
 //! platform, and grouping changes by revision.
 
 use std::collections::BTreeMap;
@@ -40,7 +40,7 @@
     READ_LIMIT.max(wait + WATCH_SLACK)
 }
 
-/// Reads JSON over HTTP from a copy of the platform.
+/// Reads JSON over HTTP from a replica of the platform.
 #[derive(Clone, Debug)]
 pub struct JsonReader {
     executor: Rc<LocalExecutor<'static>>,
@@ -84,17 +84,17 @@
     ///
     /// # Errors
     ///
-    /// Returns `Unreachable` if the copy doesn't answer within `limit`, `TurnedAway` if it answers
+    /// Returns `Unreachable` if the replica doesn't answer within `limit`, `Rejected` if it answers
     /// with an error, and `Malformed` if its answer can't be parsed.
     pub async fn get<R: DeserializeOwned>(
         &self,
-        copy: SocketAddr,
+        replica: SocketAddr,
         path: &str,
         limit: Duration,
     ) -> Result<StoreReply<R>, PlatformError> {
-        let request = Request::get(path).header("host", copy.to_string()).body(Full::default());
+        let request = Request::get(path).header("host", replica.to_string()).body(Full::default());
         let request = request.map_err(|error| PlatformError::Malformed(error.to_string()))?;
-        let reply = http::exchange(&self.executor, copy, request, MAX_REPLY_BYTES, limit).await;
+        let reply = http::exchange(&self.executor, replica, request, MAX_REPLY_BYTES, limit).await;
         let reply = reply.map_err(|_error| PlatformError::Unreachable)?;
         self.traffic.count(0, reply.body().len());
         let era = self.era_of(reply.headers())?;
--- a/crates/harefield/src/adapters/settings/sections.rs
+++ b/crates/harefield/src/adapters/settings/sections.rs
@@ -118,7 +118,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// The addresses of the platform's copies; at least one.
+    /// The addresses of the platform's replicas; at least one.
     pub addresses: Vec<SocketAddr>,
     /// The kind of platform, and thus the protocols of callers and upstreams.
     pub kind: PlatformKind,
--- a/crates/harefield/src/domain/accounts/reserve.rs
+++ b/crates/harefield/src/domain/accounts/reserve.rs
@@ -62,10 +62,10 @@
         (1 + coming).min(MAX_BATCH)
     }
 
-    /// Adds granted permits; their validity counts from `asked`, when they were requested.
-    pub fn add(&mut self, permits: u32, asked: Instant) {
+    /// Adds granted permits; their validity counts from `requested`, when they were requested.
+    pub fn add(&mut self, permits: u32, requested: Instant) {
         if permits > 0 {
-            self.permits.push((asked + PERMIT_LIFETIME, permits));
+            self.permits.push((requested + PERMIT_LIFETIME, permits));
         }
     }
 
--- a/crates/harefield/src/domain/admission/retry_schedule.rs
+++ b/crates/harefield/src/domain/admission/retry_schedule.rs
@@ -27,8 +27,8 @@
     /// returns the delay until then; `interval` is the spacing of two retries.
     pub fn assign(&mut self, wait: Duration, interval: Duration, now: Instant) -> Duration {
         let next = self.last.map_or(now, |last| last.max(now)) + interval;
-        let turn = next.max(now + wait).min(now + HORIZON);
+        let retry_time = next.max(now + wait).min(now + HORIZON);
         self.last = Some(next.min(now + HORIZON));
-        turn - now
+        retry_time - now
     }
 }
--- a/crates/harefield/src/domain/fanout/groups.rs
+++ b/crates/harefield/src/domain/fanout/groups.rs
@@ -70,8 +70,8 @@
             return (0..self.shards.len()).collect();
         }
         let (regions, mut direct) = self.by_region(step);
-        for (region, wanted) in regions {
-            direct.extend(self.delegate_region(&region, wanted, step));
+        for (region, pending) in regions {
+            direct.extend(self.delegate_region(&region, pending, step));
         }
         direct.sort_unstable();
         direct
@@ -93,14 +93,14 @@
                 away.insert(index, found);
                 continue;
             }
-            let wanted = PendingShard { index, shard: Arc::clone(shard), zone: Arc::clone(&own) };
-            regions.entry(Arc::clone(&home)).or_default().push(wanted);
+            let pending = PendingShard { index, shard: Arc::clone(shard), zone: Arc::clone(&own) };
+            regions.entry(Arc::clone(&home)).or_default().push(pending);
         }
         while let Some((zone, shards)) = largest_zone(&away, &self.plan.index, &self.rules.kind, step) {
-            let wanted = regions.entry(step.router.region_of(&zone)).or_default();
+            let pending = regions.entry(step.router.region_of(&zone)).or_default();
             for index in shards {
                 away.remove(&index);
-                wanted.push(PendingShard { index, shard: self.name(index), zone: Arc::clone(&zone) });
+                pending.push(PendingShard { index, shard: self.name(index), zone: Arc::clone(&zone) });
             }
         }
         (regions, away.into_keys().collect())
@@ -111,19 +111,19 @@
     fn delegate_region<S: Sink>(
         &mut self,
         region: &str,
-        wanted: Vec<PendingShard>,
+        pending: Vec<PendingShard>,
         step: &mut StepContext<'_, S>,
     ) -> Vec<usize> {
         let delegates = step.router.delegates(&self.plan.index, region, &self.rules.kind, step.now);
-        let most = usize::try_from(self.rules.attempts).unwrap_or(usize::MAX);
-        let affinity = wanted.iter().any(|wanted| self.plan.shards[wanted.index].replicas.len() > most);
+        let attempts = usize::try_from(self.rules.attempts).unwrap_or(usize::MAX);
+        let affinity = pending.iter().any(|shard| self.plan.shards[shard.index].replicas.len() > attempts);
         let allowance = self.allowance(step).map(|allowance| DelegationLimits { affinity, ..allowance });
-        let assignments = allowance.and_then(|allowance| assign_shards(&wanted, &delegates, allowance));
-        let Some(assignments) = assignments else { return self.delegate_by_zone(wanted, step) };
+        let assignments = allowance.and_then(|allowance| assign_shards(&pending, &delegates, allowance));
+        let Some(assignments) = assignments else { return self.delegate_by_zone(pending, step) };
         let mut own = Vec::new();
         for Assignment { delegate, shards } in assignments {
             if delegate.local {
-                own = shards.into_iter().map(|wanted| wanted.index).collect();
+                own = shards.into_iter().map(|shard| shard.index).collect();
             } else {
                 self.send_group(Arc::clone(&delegate.host), shards, step);
             }
@@ -139,11 +139,11 @@
 
     fn delegate_by_zone<S: Sink>(
         &mut self,
-        wanted: Vec<PendingShard>,
+        pending: Vec<PendingShard>,
         step: &mut StepContext<'_, S>,
     ) -> Vec<usize> {
         let mut zones: BTreeMap<Arc<str>, Vec<PendingShard>> = BTreeMap::new();
-        for shard in wanted {
+        for shard in pending {
             zones.entry(Arc::clone(&shard.zone)).or_default().push(shard);
         }
         let mut own = Vec::new();
@@ -153,7 +153,7 @@
                 (!near).then(|| step.router.pick_relay(&self.plan.index, &zone, &self.rules.kind, step.now));
             match relay.flatten() {
                 Some(host) => self.send_group(host, shards, step),
-                None => own.extend(shards.into_iter().map(|wanted| wanted.index)),
+                None => own.extend(shards.into_iter().map(|shard| shard.index)),
             }
         }
         own
@@ -163,7 +163,7 @@
     fn send_group<S: Sink>(
         &mut self,
         host: HostId,
-        wanted: Vec<PendingShard>,
+        pending: Vec<PendingShard>,
         step: &mut StepContext<'_, S>,
     ) {
         let (attempt, start) = (self.next_id, step.now);
@@ -177,8 +177,8 @@
         let due = due.map_or(slow, |due| due + round_trip + OVERDUE);
         let revoke = start + due.max(round_trip + MIN_TIMEOUT);
         let lost_at = revoke + LOST_AFTER;
-        let fallbacks = self.choose_fallbacks(&wanted, step);
-        let shards: Vec<usize> = wanted.into_iter().map(|wanted| wanted.index).collect();
+        let fallbacks = self.choose_fallbacks(&pending, step);
+        let shards: Vec<usize> = pending.into_iter().map(|shard| shard.index).collect();
         step.router.relays_mut().begin(&host, start);
         for shard in &shards {
             let state = &mut self.shards[*shard];
@@ -203,14 +203,14 @@
     /// it handles nearly all of the shard's requests, and so knows which replicas reject them.
     fn choose_fallbacks<S: Sink>(
         &mut self,
-        wanted: &[PendingShard],
+        pending: &[PendingShard],
         step: &StepContext<'_, S>,
     ) -> Vec<(usize, UpstreamId)> {
-        let most = usize::try_from(self.rules.attempts).unwrap_or(usize::MAX);
+        let attempts = usize::try_from(self.rules.attempts).unwrap_or(usize::MAX);
         let mut all = Vec::new();
-        for PendingShard { index, zone, .. } in wanted {
+        for PendingShard { index, zone, .. } in pending {
             let replicas = &self.plan.shards[*index].replicas;
-            if replicas.len() > most
+            if replicas.len() > attempts
                 && let Some(best) = step.router.best_replica(replicas, zone, step.now)
             {
                 self.shards[*index].limit = Some(ReplicaLimit { named: vec![Arc::clone(&best)], free: 0 });
@@ -269,9 +269,9 @@
     fn replaceable<S: Sink>(&self, at: usize, step: &mut StepContext<'_, S>) -> bool {
         let group = &self.groups[at];
         let revoked = self.shards.iter().filter(|shard| shard.retry_at.is_some()).count();
-        let asked = group.shards.len() + revoked;
+        let queried = group.shards.len() + revoked;
         let capacity = u64::from(step.router.local().capacity);
-        if self.allowance(step).is_some_and(|allowance| !allowance.allows(asked, capacity)) {
+        if self.allowance(step).is_some_and(|allowance| !allowance.allows(queried, capacity)) {
             return false;
         }
         let mut expected = 0;
--- a/crates/harefield/src/domain/fanout/verify.rs
+++ b/crates/harefield/src/domain/fanout/verify.rs
@@ -19,14 +19,14 @@
 /// # Errors
 ///
 /// Returns the gap to record for the shard, because the reply must not be used.
-pub fn verify(asked: &ReplyIdentity, echoed: Option<&ReplyIdentity>) -> Result<(), Gap> {
+pub fn verify(expected: &ReplyIdentity, echoed: Option<&ReplyIdentity>) -> Result<(), Gap> {
     let Some(echoed) = echoed else {
         return Err(Gap::ReplyCrossed);
     };
-    if echoed.request != asked.request || echoed.shard != asked.shard {
+    if echoed.request != expected.request || echoed.shard != expected.shard {
         return Err(Gap::ReplyCrossed);
     }
-    if echoed.version != asked.version {
+    if echoed.version != expected.version {
         return Err(Gap::SnapshotWrong);
     }
     Ok(())
--- a/crates/harefield/src/engine/group.rs
+++ b/crates/harefield/src/engine/group.rs
@@ -129,7 +129,7 @@
     }
 
     fn record_group(&self, job: &Job, group: &GroupRequest, outcome: RelayOutcome, end: &GroupOutcome) {
-        let parts = match end {
+        let contributed = match end {
             GroupOutcome::Results(all) => {
                 all.iter().filter(|(_, result)| matches!(result, ShardResult::Part(_))).count()
             }
@@ -143,8 +143,8 @@
         let event = Event::GroupEnded {
             to: Arc::clone(&group.host),
             attempt: group.attempt,
-            contributed: parts,
-            missing: group.shards.len() - parts,
+            contributed,
+            missing: group.shards.len() - contributed,
             micros: micros(took),
             way: round_trip,
         };
--- a/crates/harefield/src/engine/permits.rs
+++ b/crates/harefield/src/engine/permits.rs
@@ -143,11 +143,11 @@
             return PermitOutcome::NoAnswer;
         };
         let wanted = self.with_reserve(client, |reserve| reserve.batch_size());
-        let ask = PermitRequest { account: slot.0, part, wanted };
+        let request = PermitRequest { account: slot.0, part, wanted };
         let reply = if host == self.settings.host {
-            self.grant_local(&ask, limit)
+            self.grant_local(&request, limit)
         } else {
-            let answered = self.ports.peers.permits(&host, &ask, PERMIT_TIMEOUT).await;
+            let answered = self.ports.peers.permits(&host, &request, PERMIT_TIMEOUT).await;
             answered.unwrap_or_else(|error| self.record_unresponsive(&host, error))
         };
         // Permits are valid from when they were requested: the answer may have taken a while.
@@ -182,29 +182,29 @@
     }
 
     /// Answers another daemon's request for permits.
-    pub fn grant(&self, ask: &PermitRequest) -> PermitReply {
+    pub fn grant(&self, request: &PermitRequest) -> PermitReply {
         let view = self.view.borrow();
-        let Some(client) = view.directory.client(&ask.account) else { return PermitReply::NotHeld };
+        let Some(client) = view.directory.client(&request.account) else { return PermitReply::NotHeld };
         let Some(limit) = FleetLimit::of(&client.account, &self.settings.overage) else {
-            return PermitReply::Granted(ask.wanted.max(1));
+            return PermitReply::Granted(request.wanted.max(1));
         };
-        let slot = (Arc::clone(&ask.account), ask.part);
+        let slot = (Arc::clone(&request.account), request.part);
         let now = self.ports.clock.now();
         if self.holders.borrow().holder(&slot, now).as_ref() != Some(&self.settings.host) {
             return PermitReply::NotHeld;
         }
-        self.grant_local(ask, &limit)
+        self.grant_local(request, &limit)
     }
 
     /// Grants permits from a part that this daemon holds.
-    fn grant_local(&self, ask: &PermitRequest, limit: &FleetLimit) -> PermitReply {
+    fn grant_local(&self, request: &PermitRequest, limit: &FleetLimit) -> PermitReply {
         let now = self.ports.clock.now();
         let parts = limit.parts(self.holders.borrow().part_count());
-        if ask.part >= parts || self.startup_wait(now).is_some() {
+        if request.part >= parts || self.startup_wait(now).is_some() {
             return PermitReply::NotHeld;
         }
-        let slot = (Arc::clone(&ask.account), ask.part);
-        match self.lock_grants().grant(&slot, limit.part(parts), ask.wanted, now) {
+        let slot = (Arc::clone(&request.account), request.part);
+        match self.lock_grants().grant(&slot, limit.part(parts), request.wanted, now) {
             GrantResponse::Granted(permits) => PermitReply::Granted(permits),
             GrantResponse::Empty(wait) => PermitReply::Empty(millis(wait).max(1)),
         }
--- a/crates/harefield/src/engine/updates.rs
+++ b/crates/harefield/src/engine/updates.rs
@@ -113,15 +113,15 @@
         }
     }
 
-    fn confirm(&self, asked: Instant) {
+    fn confirm(&self, requested: Instant) {
         let now = self.ports.clock.now();
         let mut router = self.router.borrow_mut();
         let before = router.lease().held(now);
-        router.lease_mut().confirm(asked, now);
+        router.lease_mut().confirm(requested, now);
         let after = router.lease().held(now);
         drop(router);
         if after && !before {
-            let took = now.saturating_duration_since(asked);
+            let took = now.saturating_duration_since(requested);
             self.duty_trace().emit(Event::Confirmed { millis: millis(took) });
         }
     }
--- a/crates/harefield/src/engine/worker.rs
+++ b/crates/harefield/src/engine/worker.rs
@@ -90,7 +90,7 @@
     pub topology: Topology,
     /// What is kept of an objective for the answer's return.
     pub margin: Duration,
-    /// The multiple of the slow pace after which a hedge is due; none for no hedges.
+    /// The multiple of the slow latency after which a hedge is due; none for no hedges.
     pub hedge: Option<f64>,
     /// A fixed delay before hedges, which replaces the one by `hedge`.
     pub fixed_hedge: Option<Duration>,
@@ -229,7 +229,7 @@
             None => Budget::new(settings.extra),
         };
         let router = Router::new(settings.policy, budgets, settings.seed, ports.clock.now());
-        let own = LocalDaemon {
+        let local = LocalDaemon {
             host: Arc::clone(&settings.host),
             capacity: settings.capacity,
             workers: settings.workers,
@@ -237,7 +237,7 @@
             expects_peers: settings.expects_peers,
         };
         let router =
-            router.with_topology(settings.topology.clone()).with_sharers(settings.daemons).with_local(own);
+            router.with_topology(settings.topology.clone()).with_sharers(settings.daemons).with_local(local);
         let known = settings.daemons;
         Rc::new(Self {
             settings,
--- a/crates/harefield/src/platform/store.rs
+++ b/crates/harefield/src/platform/store.rs
@@ -129,15 +129,15 @@
         }
     }
 
-    async fn list_config(&self, copy: SocketAddr) -> Result<Listing, PlatformError> {
+    async fn list_config(&self, replica: SocketAddr) -> Result<Listing, PlatformError> {
         let mut pages = PageRevisions::default();
-        let operator = self.read_pages(copy, OPERATOR_PREFIX, &mut pages).await?;
+        let operator = self.read_pages(replica, OPERATOR_PREFIX, &mut pages).await?;
         // A listing without the configuration would remove all lookups.
         let config = operator.iter().find(|item| item.private_key == CONFIG_KEY);
         let config = config
             .ok_or_else(|| PlatformError::Malformed("the store holds no configuration yet".to_owned()))?;
         decode(config).map_err(|error| PlatformError::Malformed(error.to_string()))?;
-        let upstreams = self.read_pages(copy, UPSTREAMS_PREFIX, &mut pages).await?;
+        let upstreams = self.read_pages(replica, UPSTREAMS_PREFIX, &mut pages).await?;
         let mut listing = pages.listing();
         for item in operator.iter().chain(&upstreams) {
             self.add_item(&mut listing, item);
@@ -150,14 +150,14 @@
     /// Reads all pages of a prefix and records the revision of each.
     async fn read_pages(
         &self,
-        copy: SocketAddr,
+        replica: SocketAddr,
         prefix: &str,
         pages: &mut PageRevisions,
     ) -> Result<Vec<Item>, PlatformError> {
         let (mut items, mut after) = (Vec::new(), String::new());
         loop {
             let path = format!("/-/kv-range?pathPrefix={prefix}{after}");
-            let StoreReply { era, body } = self.reader.get::<Page>(copy, &path, READ_LIMIT).await?;
+            let StoreReply { era, body } = self.reader.get::<Page>(replica, &path, READ_LIMIT).await?;
             let page = body.ok_or_else(|| {
                 PlatformError::Malformed("a page of the listing no longer exists".to_owned())
             })?;
@@ -224,16 +224,16 @@
 }
 
 impl Platform for HttpStore {
-    async fn list(&self, copy: SocketAddr, space: Space) -> Result<Listing, PlatformError> {
+    async fn list(&self, replica: SocketAddr, space: Space) -> Result<Listing, PlatformError> {
         match space {
-            Space::Config => self.list_config(copy).await,
+            Space::Config => self.list_config(replica).await,
             Space::Hosts => Err(no_hosts()),
         }
     }
 
     async fn watch(
         &self,
-        copy: SocketAddr,
+        replica: SocketAddr,
         space: Space,
         after: Revision,
         wait: Duration,
@@ -243,7 +243,7 @@
         }
         let Revision { era: known_era, number } = after;
         let path = format!("/-/kv-watch?pathPrefix=&after={number}&waitMs={}", wait.as_millis());
-        let StoreReply { era, body } = self.reader.get::<Events>(copy, &path, watch_limit(wait)).await?;
+        let StoreReply { era, body } = self.reader.get::<Events>(replica, &path, watch_limit(wait)).await?;
         // After a restore, the events don't cover what was written below the known number.
         if era > known_era {
             return Ok(WatchResult::Restored(era));
--- a/crates/harefield/src/ports/platform.rs
+++ b/crates/harefield/src/ports/platform.rs
@@ -73,7 +73,7 @@
     /// It rejected the call, and is in this era.
     #[error("the platform rejected the call")]
     Rejected(Era),
-    /// It returned a revision older than the one held: of an earlier era, or from a copy that is
+    /// It returned a revision older than the one held: of an earlier era, or from a replica that is
     /// behind.
     #[error("the platform is behind, at revision {0}")]
     Behind(Revision),
@@ -92,7 +92,8 @@
     /// # Errors
     ///
     /// Returns why the replica gave no valid answer.
-    fn list(&self, copy: SocketAddr, space: Space) -> impl Future<Output = Result<Listing, PlatformError>>;
+    fn list(&self, replica: SocketAddr, space: Space)
+    -> impl Future<Output = Result<Listing, PlatformError>>;
 
     /// Waits up to `wait` for changes after a revision.
     ///
@@ -101,7 +102,7 @@
     /// Returns why the replica gave no valid answer.
     fn watch(
         &self,
-        copy: SocketAddr,
+        replica: SocketAddr,
         space: Space,
         after: Revision,
         wait: Duration,
--- a/crates/harefield/tests/decisions/residency.rs
+++ b/crates/harefield/tests/decisions/residency.rs
@@ -124,9 +124,9 @@
             router.lease_mut().renew(now);
             for shard in &view.lookups["l"].plans[0].shards {
                 let kind = "l".into();
-                let ask = ChoiceRequest::first(&shard.replicas, 1, &kind);
+                let request = ChoiceRequest::first(&shard.replicas, 1, &kind);
                 let is_empty = |name: &Arc<str>| empty.get(&*set.upstreams[name].zone) == Some(&true);
-                match router.choose(&ask, now) {
+                match router.choose(&request, now) {
                     Ok(choice) => prop_assert!(!is_empty(&choice.upstream)),
                     Err(exclusion) => {
                         prop_assert!(shard.replicas.iter().all(is_empty), "a replica is available");
