--- a/crates/harefield/src/control/announcements.rs
+++ b/crates/harefield/src/control/announcements.rs
@@ -11,66 +11,69 @@
 const TRANSMITS: u32 = 8;
 
 /// The most words in one message.
-const MOST_WORDS: usize = 32;
+const MAX_ANNOUNCEMENTS: usize = 32;
 
 #[derive(Debug)]
-struct Held {
-    word: Announcement,
+struct GossipEntry {
+    announcement: Announcement,
     transmits: u32,
 }
 
 /// The newest word of each upstream that was heard of.
 #[derive(Debug, Default)]
 pub struct Announcements {
-    words: HashMap<UpstreamId, Held>,
+    entries: HashMap<UpstreamId, GossipEntry>,
 }
 
 impl Announcements {
     /// Joins words; returns those that were news.
-    pub fn join(&mut self, words: &[NamedAnnouncement]) -> Vec<NamedAnnouncement> {
-        words.iter().filter(|named| self.join_one(named)).cloned().collect()
+    pub fn merge(&mut self, announcements: &[NamedAnnouncement]) -> Vec<NamedAnnouncement> {
+        announcements.iter().filter(|named| self.merge_one(named)).cloned().collect()
     }
 
-    fn join_one(&mut self, named: &NamedAnnouncement) -> bool {
-        let held = self
-            .words
+    fn merge_one(&mut self, named: &NamedAnnouncement) -> bool {
+        let entry = self
+            .entries
             .entry(Arc::clone(&named.upstream))
-            .or_insert_with(|| Held { word: Announcement::default(), transmits: 0 });
-        let news = held.word.merge(&named.announcement);
-        if news {
-            held.transmits = TRANSMITS;
+            .or_insert_with(|| GossipEntry { announcement: Announcement::default(), transmits: 0 });
+        let newer = entry.announcement.merge(&named.announcement);
+        if newer {
+            entry.transmits = TRANSMITS;
         }
-        news
+        newer
     }
 
     /// Returns the words for the next message.
     pub fn digest(&mut self) -> Vec<NamedAnnouncement> {
-        let mut words = Vec::new();
-        for (upstream, held) in self.words.iter_mut().filter(|(_, held)| held.transmits > 0) {
-            if words.len() == MOST_WORDS {
+        let mut announcements = Vec::new();
+        for (upstream, entry) in self.entries.iter_mut().filter(|(_, entry)| entry.transmits > 0) {
+            if announcements.len() == MAX_ANNOUNCEMENTS {
                 break;
             }
-            held.transmits -= 1;
-            words.push(NamedAnnouncement { upstream: Arc::clone(upstream), announcement: held.word.clone() });
+            entry.transmits -= 1;
+            announcements.push(NamedAnnouncement {
+                upstream: Arc::clone(upstream),
+                announcement: entry.announcement.clone(),
+            });
         }
-        words
+        announcements
     }
 
     /// Returns the words of draining upstreams and of those that say what they
     /// hold, for a daemon that has just started.
     #[must_use]
     pub fn all(&self) -> Vec<NamedAnnouncement> {
-        let words = self.words.iter();
-        words
-            .map(|(upstream, held)| NamedAnnouncement {
+        let announcements = self.entries.iter();
+        announcements
+            .map(|(upstream, entry)| NamedAnnouncement {
                 upstream: Arc::clone(upstream),
-                announcement: held.word.clone(),
+                announcement: entry.announcement.clone(),
             })
             .collect()
     }
 
     /// Drops the words of upstreams that no longer exist.
     pub fn prune(&mut self, exists: impl Fn(&UpstreamId) -> bool) {
-        self.words.retain(|upstream, _| exists(upstream));
+        self.entries.retain(|upstream, _| exists(upstream));
     }
 }
--- a/crates/harefield/src/control/confirm.rs
+++ b/crates/harefield/src/control/confirm.rs
@@ -17,14 +17,14 @@
 
 /// How long one round may take; those who did not answer by then are not
 /// waited for, since the fleet must go on without a platform.
-pub(super) const ROUND_LIMIT: Duration = Duration::from_millis(400);
+pub(super) const ROUND_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How many daemons are asked in a round.
-pub(super) const ASKED: usize = 3;
+pub(super) const ROUND_PEERS: usize = 3;
 
 /// Whom one round asks.
 #[derive(Debug)]
-pub(super) struct Asking<M> {
+pub(super) struct QueryRound<M> {
     /// The daemons.
     pub(super) hosts: Vec<HostId>,
     /// Whether the platform is asked too.
@@ -32,7 +32,7 @@
     /// What each daemon is told; it answers with as much.
     pub(super) make: M,
     /// How long the round may take.
-    pub(super) limit: Duration,
+    pub(super) timeout: Duration,
 }
 
 impl<F: Platform, P: Peers, C: Clock> Control<F, P, C> {
@@ -42,67 +42,67 @@
             return;
         }
         let this = Rc::clone(self);
-        let round = async move {
-            let asked = this.ports.clock.now();
-            let hosts = this.draw_peers(ASKED);
-            let asking = Asking { hosts, platform: true, make: Self::message, limit: ROUND_LIMIT };
-            this.ask_round(asking, || false).await;
+        let confirm = async move {
+            let started = this.ports.clock.now();
+            let hosts = this.draw_peers(ROUND_PEERS);
+            let round = QueryRound { hosts, platform: true, make: Self::message, timeout: ROUND_TIMEOUT };
+            this.run_round(round, || false).await;
             this.confirming.set(false);
-            this.tell(&ToWorker::Confirmed(Confirmed { started: asked }));
+            this.send_workers(&ToWorker::Confirmed(Confirmed { started }));
         };
-        self.executor.spawn(round).detach();
+        self.executor.spawn(confirm).detach();
     }
 
     /// Asks daemons, and the platform where wanted, at once for what is newer, until all
     /// have answered, it is `enough`, or the round is over.
-    pub(super) async fn ask_round<M>(self: &Rc<Self>, asking: Asking<M>, enough: impl Fn() -> bool)
+    pub(super) async fn run_round<M>(self: &Rc<Self>, round: QueryRound<M>, enough: impl Fn() -> bool)
     where
         M: Fn(&Self, &HostId) -> Exchange,
     {
-        let Asking { hosts, platform, make, limit } = asking;
+        let QueryRound { hosts, platform, make, timeout } = round;
         let (sender, ended) = async_channel::bounded(hosts.len() + Space::ALL.len());
-        let mut started = 0;
+        let mut queries = 0;
         for host in hosts {
             let message = make(self, &host);
             let (this, sender) = (Rc::clone(self), sender.clone());
-            let ask = async move {
-                let _answered = this.ask(&host, message).await;
+            let query = async move {
+                let _answered = this.send_exchange(&host, message).await;
                 let _ = sender.try_send(());
             };
-            self.executor.spawn(ask).detach();
-            started += 1;
+            self.executor.spawn(query).detach();
+            queries += 1;
         }
         for space in self.spaces().iter().copied().filter(|_| platform) {
             let (this, sender) = (Rc::clone(self), sender.clone());
-            let ask = async move {
-                this.look_at_platform(space).await;
+            let query = async move {
+                this.query_platform(space).await;
                 let _ = sender.try_send(());
             };
-            self.executor.spawn(ask).detach();
-            started += 1;
+            self.executor.spawn(query).detach();
+            queries += 1;
         }
         let all = async {
-            for _ in 0..started {
+            for _ in 0..queries {
                 let _ = ended.recv().await;
                 if enough() {
                     return;
                 }
             }
         };
-        all.or(self.ports.clock.sleep(limit)).await;
+        all.or(self.ports.clock.sleep(timeout)).await;
     }
 
-    async fn look_at_platform(self: &Rc<Self>, space: Space) {
-        let Some(copy) = self.settings.copies.first() else {
+    async fn query_platform(self: &Rc<Self>, space: Space) {
+        let Some(replica) = self.settings.replicas.first() else {
             return;
         };
-        let looked = match self.revision(space) {
-            Some(after) => self.watch(*copy, space, after, Duration::ZERO).await,
-            None => self.list(*copy, space).await,
+        let result = match self.revision(space) {
+            Some(after) => self.watch(*replica, space, after, Duration::ZERO).await,
+            None => self.list(*replica, space).await,
         };
-        if let Err(error) = looked {
-            self.hear_error(space, &error);
-            log::debug!("platform copy {copy} while confirming: {error}");
+        if let Err(error) = result {
+            self.record_rejection(space, &error);
+            log::debug!("platform replica {replica} while confirming: {error}");
         }
     }
 }
--- a/crates/harefield/src/control/duty.rs
+++ b/crates/harefield/src/control/duty.rs
@@ -17,7 +17,7 @@
 use log::warn;
 
 use super::announcements::Announcements;
-use super::lapsed::Lapsed;
+use super::recently_removed::RecentlyRemoved;
 use crate::domain::cell::Candidate;
 use crate::domain::cell::CellSize;
 use crate::domain::cold::ColdBounds;
@@ -63,34 +63,34 @@
     /// The daemon's own row.
     pub own: MemberRow,
     /// The platform's copies.
-    pub copies: Vec<std::net::SocketAddr>,
+    pub replicas: Vec<std::net::SocketAddr>,
     /// Daemons to ask at the start.
     pub seeds: Vec<HostId>,
     /// How often peers are spoken to.
-    pub exchange: Duration,
+    pub gossip_interval: Duration,
     /// How long joining may take.
-    pub join: Duration,
+    pub join_timeout: Duration,
     /// Whether the whole fleet starts for the first time.
     pub first_start: bool,
     /// How long one watch waits at most.
-    pub watch: Duration,
+    pub max_watch: Duration,
     /// How often this daemon makes sure of what it has.
-    pub pace: FreshnessSchedule,
+    pub freshness: FreshnessSchedule,
     /// How many daemons of an availability zone hold the watch.
     pub readers: usize,
     /// For how long what a copy of the platform lacks stays in force.
-    pub carry: RetentionTimes,
+    pub retention: RetentionTimes,
     /// Where this daemon and the availability zones are.
-    pub places: Topology,
+    pub topology: Topology,
     /// How large cells may be.
-    pub cell: CellSize,
+    pub cell_size: CellSize,
     /// How far above what cold upstreams bear the fleet may go.
-    pub cold: ColdBounds,
+    pub cold_bounds: ColdBounds,
     /// Whether lookups ask for keys also where no account is published.
-    pub keyed: bool,
+    pub require_keys: bool,
     /// Whether the platform lists the daemons; else cells are assigned among
     /// those that know each other.
-    pub listed: bool,
+    pub lists_daemons: bool,
 }
 
 /// The ports of the control duty.
@@ -112,15 +112,15 @@
     pub(super) executor: Rc<LocalExecutor<'static>>,
     pub(super) config: RefCell<Configuration>,
     pub(super) hosts: RefCell<Feed>,
-    pub(super) list: RefCell<HostList>,
+    pub(super) host_list: RefCell<HostList>,
     pub(super) view: RefCell<Arc<View>>,
     /// The daemons that cells were last assigned among.
     pub(super) fleet: RefCell<Vec<Candidate>>,
     pub(super) members: RefCell<Membership>,
-    pub(super) words: RefCell<Announcements>,
+    pub(super) announcements: RefCell<Announcements>,
     pub(super) suspects: RefCell<Suspects>,
     /// When works under which upstreams ended were last told of at once.
-    pub(super) warned: Cell<Option<Instant>>,
+    pub(super) warning_at: Cell<Option<Instant>>,
     pub(super) workers: Vec<Sender<ToWorker>>,
     pub(super) hybrid: Rc<RefCell<HybridClock>>,
     pub(super) telemetry: Telemetry,
@@ -128,38 +128,38 @@
     pub(super) joined: Cell<bool>,
     /// Until when this daemon, which starts, leaves it to others of its zone to pull what
     /// other regions have.
-    pub(super) learning: Cell<Option<Instant>>,
+    pub(super) learning_until: Cell<Option<Instant>>,
     pub(super) confirming: Cell<bool>,
     /// Who wants whatever is newer than what is held.
-    pub(super) refreshing: RefCell<Vec<Sender<bool>>>,
+    pub(super) refresh_waiters: RefCell<Vec<Sender<bool>>>,
     /// Daemons to ask besides those that are known.
     pub(super) seeds: RefCell<Vec<HostId>>,
     /// Upstreams that may have lapsed with the platform away.
-    pub(super) lapsed: RefCell<Lapsed>,
+    pub(super) recently_removed: RefCell<RecentlyRemoved>,
     /// Whether a task waits to take them out.
-    pub(super) lapsing: Cell<bool>,
+    pub(super) removal_pending: Cell<bool>,
     /// When news were last pulled from another daemon.
-    pub(super) pulled: Cell<Option<Instant>>,
+    pub(super) last_pull: Cell<Option<Instant>>,
     /// How the platform answers, by space.
-    pub(super) reach: RefCell<BTreeMap<Space, Reachability>>,
+    pub(super) reachability: RefCell<BTreeMap<Space, Reachability>>,
     /// How sure this daemon is that nothing confirmed is missing here, by space.
     pub(super) freshness: RefCell<BTreeMap<Space, Freshness>>,
     /// The proof that those below this daemon were last told.
-    pub(super) told: Cell<Option<Instant>>,
+    pub(super) last_sent: Cell<Option<Instant>>,
     /// When the platform was last asked for the configuration.
-    pub(super) asked: Cell<Option<Instant>>,
+    pub(super) last_query: Cell<Option<Instant>>,
     /// The revision of the platform up to which nothing is missing here.
     pub(super) cursor: Cell<Revision>,
     /// What was last told to be refused as older, and what was held then.
-    pub(super) refused: Cell<Option<(Revision, Revision)>>,
+    pub(super) last_stale: Cell<Option<(Revision, Revision)>>,
     /// The latest era that was heard of, by space.
-    pub(super) eras: RefCell<BTreeMap<Space, Era>>,
+    pub(super) latest_eras: RefCell<BTreeMap<Space, Era>>,
     /// Daemons that were heard of in an earlier era than this one is in.
-    pub(super) behind: RefCell<BTreeSet<HostId>>,
+    pub(super) daemons_behind: RefCell<BTreeSet<HostId>>,
     /// Whether a listing is being read.
     pub(super) listing: Cell<bool>,
     /// Whether a task waits to drop what is carried on.
-    pub(super) expiring: Cell<bool>,
+    pub(super) expiry_pending: Cell<bool>,
 }
 
 impl<F: Platform, P: Peers, C: Clock> Control<F, P, C> {
@@ -181,35 +181,35 @@
             executor,
             config: RefCell::default(),
             hosts: RefCell::default(),
-            list: RefCell::default(),
+            host_list: RefCell::default(),
             view: RefCell::default(),
             fleet: RefCell::default(),
             members: RefCell::new(members),
-            words: RefCell::default(),
+            announcements: RefCell::default(),
             suspects: RefCell::default(),
-            warned: Cell::new(None),
+            warning_at: Cell::new(None),
             workers,
             hybrid: Rc::default(),
             telemetry,
             board,
             joined: Cell::new(false),
-            learning: Cell::new(None),
+            learning_until: Cell::new(None),
             confirming: Cell::new(false),
-            refreshing: RefCell::default(),
+            refresh_waiters: RefCell::default(),
             seeds,
-            lapsed: RefCell::default(),
-            lapsing: Cell::new(false),
-            pulled: Cell::new(None),
-            reach: RefCell::default(),
+            recently_removed: RefCell::default(),
+            removal_pending: Cell::new(false),
+            last_pull: Cell::new(None),
+            reachability: RefCell::default(),
             freshness: RefCell::default(),
-            told: Cell::new(None),
-            asked: Cell::new(None),
+            last_sent: Cell::new(None),
+            last_query: Cell::new(None),
             cursor: Cell::default(),
-            refused: Cell::new(None),
-            eras: RefCell::default(),
-            behind: RefCell::default(),
+            last_stale: Cell::new(None),
+            latest_eras: RefCell::default(),
+            daemons_behind: RefCell::default(),
             listing: Cell::new(false),
-            expiring: Cell::new(false),
+            expiry_pending: Cell::new(false),
         })
     }
 
@@ -221,9 +221,9 @@
         self.publish();
         let _ = ready.try_send(());
         for space in self.spaces() {
-            self.executor.spawn(Rc::clone(&self).read(*space)).detach();
+            self.executor.spawn(Rc::clone(&self).read_space(*space)).detach();
         }
-        self.executor.spawn(Rc::clone(&self).speak()).detach();
+        self.executor.spawn(Rc::clone(&self).gossip()).detach();
         self.executor.spawn(Rc::clone(&self).keep_current()).detach();
         listening.await;
     }
@@ -231,7 +231,7 @@
     /// Returns the spaces that the platform keeps: one that lists no hosts has no answer
     /// for them, and only an answer shows that a space is back.
     pub(super) fn spaces(&self) -> &'static [Space] {
-        if self.settings.listed { &Space::ALL } else { &[Space::Config] }
+        if self.settings.lists_daemons { &Space::ALL } else { &[Space::Config] }
     }
 
     /// Returns how far this daemon is in a space.
@@ -262,25 +262,25 @@
     }
 
     /// Takes news from a peer; returns whether any were newer.
-    pub(super) fn learn(self: &Rc<Self>, space: Space, news: News, from: &str) -> bool {
+    pub(super) fn apply_news(self: &Rc<Self>, space: Space, news: News, from: &str) -> bool {
         let (news, retained) = news.split();
-        let learnt = match space {
-            Space::Config => self.learn_config(news, retained),
-            Space::Hosts => self.learn_hosts(news),
+        let changed = match space {
+            Space::Config => self.apply_config_news(news, retained),
+            Space::Hosts => self.apply_host_news(news),
         };
-        if learnt {
-            self.changed(space, from);
+        if changed {
+            self.on_change(space, from);
         }
-        learnt
+        changed
     }
 
-    fn learn_config(&self, news: News, retained: Option<RetainedReport>) -> bool {
-        let learnt = self.config.borrow_mut().merge_news(news);
-        let joined = retained.is_some_and(|retained| self.join_retained(retained));
-        learnt || joined
+    fn apply_config_news(&self, news: News, retained: Option<RetainedReport>) -> bool {
+        let changed = self.config.borrow_mut().merge_news(news);
+        let merged = retained.is_some_and(|retained| self.merge_report(retained));
+        changed || merged
     }
 
-    fn learn_hosts(&self, news: News) -> bool {
+    fn apply_host_news(&self, news: News) -> bool {
         match news {
             News::Current | News::WithRetained { .. } => false,
             News::Deltas(deltas) => deltas.iter().filter(|delta| self.apply_hosts(delta)).count() > 0,
@@ -292,7 +292,7 @@
     pub(super) fn apply_hosts(&self, delta: &Delta) -> bool {
         let fits = self.hosts.borrow_mut().apply(delta);
         if fits {
-            self.list.borrow_mut().apply(&delta.changes);
+            self.host_list.borrow_mut().apply(&delta.changes);
         }
         fits
     }
@@ -301,15 +301,15 @@
     pub(super) fn replace_hosts(&self, revision: Revision, items: &Items) -> bool {
         let newer = self.hosts.borrow_mut().replace(revision, items);
         if newer {
-            *self.list.borrow_mut() = HostList::parse(self.hosts.borrow().items());
+            *self.host_list.borrow_mut() = HostList::parse(self.hosts.borrow().items());
         }
         newer
     }
 
     /// Takes what became of a revision read from the platform.
-    pub(super) fn judged(self: &Rc<Self>, offer: &OfferOutcome) {
+    pub(super) fn handle_offer(self: &Rc<Self>, offer: &OfferOutcome) {
         match offer {
-            OfferOutcome::Accepted => self.changed(Space::Config, "platform"),
+            OfferOutcome::Accepted => self.on_change(Space::Config, "platform"),
             OfferOutcome::Stale => {}
             OfferOutcome::Rejected(faults) => {
                 let revision = self.config.borrow().seen().unwrap_or_default();
@@ -317,27 +317,27 @@
                 let first = first.unwrap_or_default();
                 warn!("revision {revision} is refused: {first}");
                 self.emit(Event::ConfigRefused { revision, faults: faults.len(), first });
-                self.show_config();
+                self.publish_config();
             }
         }
     }
 
     /// Notes a newer revision of a space: tells workers, and peers at once.
-    pub(super) fn changed(self: &Rc<Self>, space: Space, from: &str) {
+    pub(super) fn on_change(self: &Rc<Self>, space: Space, from: &str) {
         let revision = self.revision(space).unwrap_or_default();
-        self.hear_era(space, revision.era, from);
+        self.record_era(space, revision.era, from);
         match space {
             Space::Config => {
-                self.tell_carried();
-                self.expire_carried();
+                self.report_retained();
+                self.expire_retained();
                 info!("revision {revision} is in force, from {from}");
                 self.emit(Event::ConfigAccepted { revision, from: from.to_owned() });
                 let set = Arc::clone(self.config.borrow().set());
-                self.words.borrow_mut().prune(|upstream| set.upstreams.contains_key(upstream));
+                self.announcements.borrow_mut().prune(|upstream| set.upstreams.contains_key(upstream));
             }
             Space::Hosts => {
                 let (leaving, daemons) = {
-                    let list = self.list.borrow();
+                    let list = self.host_list.borrow();
                     (list.leaving().len(), list.daemons())
                 };
                 self.emit(Event::HostsListed { revision, leaving });
@@ -347,7 +347,7 @@
         if self.joined.get() {
             self.publish();
             self.relay_marks();
-            self.tell_below();
+            self.notify_children();
         }
     }
 
--- a/crates/harefield/src/control/eras.rs
+++ b/crates/harefield/src/control/eras.rs
@@ -28,15 +28,15 @@
 /// of all others, those that have not heard by then list one after the other and tell as they
 /// do. With it the last daemon has a change within 3 s of the platform's return; see
 /// `docs/PROMISES.md`.
-const LIST_AFTER: (Duration, Duration) = (Duration::from_millis(200), Duration::from_millis(500));
+const LIST_DELAY: (Duration, Duration) = (Duration::from_millis(200), Duration::from_millis(500));
 
 /// How often one that waits for a listing looks whether it has ended.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A listing that is being read; it ends with this.
-struct Turn<'a>(&'a Cell<bool>);
+struct ListingGuard<'a>(&'a Cell<bool>);
 
-impl Drop for Turn<'_> {
+impl Drop for ListingGuard<'_> {
     fn drop(&mut self) {
         self.0.set(false);
     }
@@ -52,13 +52,13 @@
     }
 
     /// Notes that the platform is in an era: what is held of an earlier one proves nothing.
-    pub(super) fn hear_era(&self, space: Space, era: Era, from: &str) {
-        let latest = self.eras.borrow().get(&space).copied();
+    pub(super) fn record_era(&self, space: Space, era: Era, from: &str) {
+        let latest = self.latest_eras.borrow().get(&space).copied();
         if latest >= Some(era) {
             return;
         }
-        self.eras.borrow_mut().insert(space, era);
-        self.disprove(space);
+        self.latest_eras.borrow_mut().insert(space, era);
+        self.clear_proof(space);
         let held = self.revision(space);
         if held.is_some_and(|held| held.era < era) {
             self.emit(Event::EraHeard { era, held, from: from.to_owned() });
@@ -66,45 +66,45 @@
     }
 
     /// Notes which era a daemon is in, and whether it knows of eras and is behind.
-    pub(super) fn hear_mark(&self, mark: &Mark, from: &HostId) {
+    pub(super) fn record_mark(&self, mark: &Mark, from: &HostId) {
         let Some(revision) = mark.revision else { return };
-        self.hear_era(mark.space, revision.era, from);
+        self.record_era(mark.space, revision.era, from);
         if mark.retained.is_some() && Some(revision.era) < self.era(mark.space) {
-            self.behind.borrow_mut().insert(Arc::clone(from));
+            self.daemons_behind.borrow_mut().insert(Arc::clone(from));
         } else if mark.retained.is_some() {
-            self.behind.borrow_mut().remove(from);
+            self.daemons_behind.borrow_mut().remove(from);
         }
     }
 
     /// Asks daemons that are behind until they have entered the era too, or do not answer:
     /// what they carry into it is told then. A daemon that starts would else serve by what
     /// the platform's copy has, though it heard of those who know better.
-    pub(super) async fn await_entered(self: &Rc<Self>) {
+    pub(super) async fn await_laggards(self: &Rc<Self>) {
         loop {
-            let behind: Vec<HostId> = self.behind.borrow().iter().map(Arc::clone).collect();
+            let behind: Vec<HostId> = self.daemons_behind.borrow().iter().map(Arc::clone).collect();
             if behind.is_empty() {
                 return;
             }
             for host in behind {
                 if !self.exchange_with(&host).await {
-                    self.behind.borrow_mut().remove(&host);
+                    self.daemons_behind.borrow_mut().remove(&host);
                 }
             }
-            self.ports.clock.sleep(LOOK_EVERY).await;
+            self.ports.clock.sleep(POLL_INTERVAL).await;
         }
     }
 
     /// Notes which era an answer is of that told nothing else.
-    pub(super) fn hear_error(&self, space: Space, error: &PlatformError) {
+    pub(super) fn record_rejection(&self, space: Space, error: &PlatformError) {
         if let PlatformError::Rejected(era) = error {
-            self.hear_era(space, *era, "platform");
+            self.record_era(space, *era, "platform");
         }
     }
 
     /// Returns whether a space is held in the latest era that was heard of: one that is
     /// behind vouches for nothing.
     pub(super) fn is_of_era(&self, space: Space, era: Era) -> bool {
-        let latest = self.eras.borrow().get(&space).copied().unwrap_or_default();
+        let latest = self.latest_eras.borrow().get(&space).copied().unwrap_or_default();
         era == latest && self.era(space) == Some(era)
     }
 
@@ -115,7 +115,7 @@
     }
 
     /// Returns whether a daemon with a mark has something that is missing here.
-    pub(super) fn lacks(&self, mark: &Mark) -> bool {
+    pub(super) fn is_behind(&self, mark: &Mark) -> bool {
         match mark.space {
             Space::Config => self.config.borrow().is_behind(mark.revision, mark.retained),
             Space::Hosts => mark.revision > self.hosts.borrow().revision(),
@@ -128,7 +128,7 @@
     }
 
     /// Joins what another daemon carries on; returns whether that changes what is in force.
-    pub(super) fn join_retained(&self, retained: RetainedReport) -> bool {
+    pub(super) fn merge_report(&self, retained: RetainedReport) -> bool {
         let retained = retained.into_retained(self.ports.clock.now());
         self.config.borrow_mut().merge_retained(&retained)
     }
@@ -136,53 +136,53 @@
     /// Lists a space that is in a new era, unless it is told meanwhile.
     pub(super) async fn enter_era(
         self: &Rc<Self>,
-        copy: std::net::SocketAddr,
+        replica: std::net::SocketAddr,
         space: Space,
         era: Era,
     ) -> Result<(), PlatformError> {
-        self.hear_era(space, era, "platform");
+        self.record_era(space, era, "platform");
         if !self.is_reader() {
-            let (least, most) = LIST_AFTER;
+            let (least, most) = LIST_DELAY;
             let pause = rand::rng().random_range(least..most);
             self.ports.clock.sleep(pause).await;
         }
         while self.listing.get() {
-            self.ports.clock.sleep(LOOK_EVERY).await;
+            self.ports.clock.sleep(POLL_INTERVAL).await;
         }
         if self.era(space) >= Some(era) {
             return Ok(());
         }
         self.listing.set(true);
-        let _turn = Turn(&self.listing);
-        self.list(copy, space).await
+        let _guard = ListingGuard(&self.listing);
+        self.list(replica, space).await
     }
 
     /// Drops what is carried on and has had its time.
-    pub(super) fn expire_carried(&self) {
+    pub(super) fn expire_retained(&self) {
         let now = self.ports.clock.now();
-        let gone = self.config.borrow_mut().expire(now, self.settings.carry);
+        let gone = self.config.borrow_mut().expire(now, self.settings.retention);
         for key in gone {
             let upstream = key.strip_prefix("upstreams/").unwrap_or(&key);
-            self.lapsed.borrow_mut().give_up(upstream);
+            self.recently_removed.borrow_mut().forget(upstream);
         }
     }
 
     /// Tells the workers when what is carried on has had its time.
-    pub(super) fn await_expiry(self: &Rc<Self>) {
-        let next = self.config.borrow().next_expiry(self.settings.carry);
-        let Some(until) = next.filter(|_| !self.expiring.replace(true)) else { return };
+    pub(super) fn schedule_expiry(self: &Rc<Self>) {
+        let next = self.config.borrow().next_expiry(self.settings.retention);
+        let Some(until) = next.filter(|_| !self.expiry_pending.replace(true)) else { return };
         let this = Rc::clone(self);
         let wait = async move {
             this.ports.clock.sleep_until(until).await;
-            this.expiring.set(false);
-            this.expire_carried();
+            this.expiry_pending.set(false);
+            this.expire_retained();
             this.publish();
         };
         self.executor.spawn(wait).detach();
     }
 
     /// Says what is carried on where an era was just entered, and why it cannot be in force.
-    pub(super) fn tell_carried(&self) {
+    pub(super) fn report_retained(&self) {
         let config = self.config.borrow();
         if let Some(retained) = config.retained().filter(|retained| retained.entered_at.is_none()) {
             let (kept, doubted) = (retained.values.len(), retained.departed.len());
--- a/crates/harefield/src/control/freshness.rs
+++ b/crates/harefield/src/control/freshness.rs
@@ -7,9 +7,9 @@
 
 use async_channel::Sender;
 
-use super::confirm::ASKED;
-use super::confirm::Asking;
-use super::confirm::ROUND_LIMIT;
+use super::confirm::QueryRound;
+use super::confirm::ROUND_PEERS;
+use super::confirm::ROUND_TIMEOUT;
 use super::duty::Control;
 use crate::domain::event::Event;
 use crate::domain::freshness::Freshness;
@@ -24,33 +24,33 @@
 use crate::ports::Space;
 
 /// How long asking for what is newer may take: a caller waits for it.
-const REFRESH_LIMIT: Duration = Duration::from_millis(500);
+const REFRESH_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl<F: Platform, P: Peers, C: Clock> Control<F, P, C> {
     /// Notes that all that the platform confirmed in a space up to `at` is held here, and
     /// passes it on.
-    pub(super) fn prove(&self, space: Space, at: Instant) {
-        let news = self.freshness.borrow_mut().entry(space).or_default().record_proof(at);
-        if !news {
+    pub(super) fn record_proof(&self, space: Space, at: Instant) {
+        let newer = self.freshness.borrow_mut().entry(space).or_default().record_proof(at);
+        if !newer {
             return;
         }
         let now = self.ports.clock.now();
-        self.reach.borrow_mut().entry(space).or_default().record_proof(at, now);
+        self.reachability.borrow_mut().entry(space).or_default().record_proof(at, now);
         if space == Space::Config {
             self.board.prove(at);
-            self.tell(&ToWorker::Proven(at));
+            self.send_workers(&ToWorker::Proven(at));
         }
         let Some(proven) = self.proven() else { return };
-        let step = self.settings.pace.min_step();
-        let due = self.told.get().is_none_or(|told| proven.saturating_duration_since(told) >= step);
+        let step = self.settings.freshness.min_step();
+        let due = self.last_sent.get().is_none_or(|sent| proven.saturating_duration_since(sent) >= step);
         if due && self.joined.get() {
-            self.tell_below();
+            self.notify_children();
         }
     }
 
     /// Forgets what was proven of a space: nothing of an earlier era proves that nothing is
     /// missing in a later one.
-    pub(super) fn disprove(&self, space: Space) {
+    pub(super) fn clear_proof(&self, space: Space) {
         self.freshness.borrow_mut().remove(&space);
     }
 
@@ -64,13 +64,13 @@
     }
 
     /// Tells the daemons below this one how far it is.
-    pub(super) fn tell_below(&self) {
-        self.told.set(self.proven());
-        let told = {
+    pub(super) fn notify_children(&self) {
+        self.last_sent.set(self.proven());
+        let children = {
             let members = self.members.borrow();
             members.row(&self.settings.own.host).map(|own| children(own, members.rows())).unwrap_or_default()
         };
-        self.tell_all(told, |this, _host| this.bare_message());
+        self.send_all(children, |this, _host| this.marks_message());
     }
 
     /// Returns for how long a change may have been confirmed that is missing here;
@@ -81,42 +81,42 @@
     }
 
     /// Returns the greatest age of all spaces; none while one was never proven.
-    fn oldest(&self) -> Option<Duration> {
+    fn max_age(&self) -> Option<Duration> {
         let now = self.ports.clock.now();
         self.proven().map(|proven| now.saturating_duration_since(proven))
     }
 
     /// Returns whether nothing has vouched in time for what is held.
     pub(super) fn is_overdue(&self) -> bool {
-        self.oldest().is_none_or(|age| age >= self.settings.pace.overdue_age())
+        self.max_age().is_none_or(|age| age >= self.settings.freshness.overdue_age())
     }
 
     /// Asks for what is newer whenever the proof of what is held is overdue, until there
     /// is one; says when this daemon cannot vouch for it, and when it can again.
     pub(super) async fn keep_current(self: Rc<Self>) {
-        let pace = self.settings.pace;
+        let schedule = self.settings.freshness;
         let mut behind = false;
         let mut failures: u32 = 0;
         loop {
-            let age = self.oldest();
-            if let Some(age) = age.filter(|age| *age < pace.overdue_age()) {
+            let age = self.max_age();
+            if let Some(age) = age.filter(|age| *age < schedule.overdue_age()) {
                 if std::mem::take(&mut behind) {
                     self.emit(self.age_event(false, age));
                 }
                 failures = 0;
-                self.ports.clock.sleep(pace.overdue_age().saturating_sub(age)).await;
+                self.ports.clock.sleep(schedule.overdue_age().saturating_sub(age)).await;
                 continue;
             }
-            if let Some(age) = age.filter(|age| *age > pace.deadline() && !behind) {
+            if let Some(age) = age.filter(|age| *age > schedule.deadline() && !behind) {
                 behind = true;
                 self.emit(self.age_event(true, age));
             }
             // As far as known here the platform may be away, and who cannot write has not had
             // the time to: upstreams that live would be given up in an outage after a copy.
             self.config.borrow_mut().restart_timer(self.ports.clock.now());
-            self.ask_for_newer(failures).await;
+            self.query_newer(failures).await;
             if self.is_overdue() {
-                self.ports.clock.sleep(pace.retry_pause(failures)).await;
+                self.ports.clock.sleep(schedule.retry_pause(failures)).await;
                 failures = failures.saturating_add(1);
             }
         }
@@ -125,34 +125,35 @@
     /// Asks the platform for what is newer, once for all that want it by the time the round
     /// begins; says whether nothing that was confirmed by then is missing here.
     pub(super) fn refresh(self: &Rc<Self>, reply: Sender<bool>) {
-        self.refreshing.borrow_mut().push(reply);
-        if self.refreshing.borrow().len() > 1 {
+        self.refresh_waiters.borrow_mut().push(reply);
+        if self.refresh_waiters.borrow().len() > 1 {
             return;
         }
         let this = Rc::clone(self);
-        let rounds = async move {
+        let refresh = async move {
             // Those that come while a round is under way want one that began later.
             loop {
-                let waiting = this.refreshing.borrow().len();
-                let sure = this.refresh_once().await;
-                for reply in this.refreshing.borrow_mut().drain(..waiting) {
-                    let _ = reply.try_send(sure);
+                let waiting = this.refresh_waiters.borrow().len();
+                let is_current = this.refresh_once().await;
+                for reply in this.refresh_waiters.borrow_mut().drain(..waiting) {
+                    let _ = reply.try_send(is_current);
                 }
-                if this.refreshing.borrow().is_empty() {
+                if this.refresh_waiters.borrow().is_empty() {
                     return;
                 }
             }
         };
-        self.executor.spawn(rounds).detach();
+        self.executor.spawn(refresh).detach();
     }
 
     async fn refresh_once(self: &Rc<Self>) -> bool {
-        let began = self.ports.clock.now();
-        let sure = || self.proven().is_some_and(|proven| proven >= began);
-        let hosts = if self.was_away() { self.draw_sources(0) } else { Vec::new() };
-        let make = |this: &Self, _host: &HostId| this.bare_message();
-        self.ask_round(Asking { hosts, platform: true, make, limit: REFRESH_LIMIT }, sure).await;
-        sure()
+        let started = self.ports.clock.now();
+        let is_current = || self.proven().is_some_and(|proven| proven >= started);
+        let hosts = if self.platform_unreachable() { self.draw_sources(0) } else { Vec::new() };
+        let make = |this: &Self, _host: &HostId| this.marks_message();
+        self.run_round(QueryRound { hosts, platform: true, make, timeout: REFRESH_TIMEOUT }, is_current)
+            .await;
+        is_current()
     }
 
     fn age_event(&self, behind: bool, age: Duration) -> Event {
@@ -167,20 +168,20 @@
     /// Asks those that should know for what is newer, until there is a proof. Daemons that
     /// do not read ask the platform only where a round before brought none: it
     /// would be called by all of them at once.
-    async fn ask_for_newer(self: &Rc<Self>, before: u32) {
-        let platform = (before > 0 || self.is_reader()) && !self.asked_platform();
-        let hosts = self.draw_sources(before);
+    async fn query_newer(self: &Rc<Self>, failures: u32) {
+        let platform = (failures > 0 || self.is_reader()) && !self.queried_recently();
+        let hosts = self.draw_sources(failures);
         // How far each of them is, and no more: rounds go on through an outage.
-        let make = |this: &Self, _host: &HostId| this.bare_message();
-        let asking = Asking { hosts, platform, make, limit: ROUND_LIMIT };
-        self.ask_round(asking, || !self.is_overdue()).await;
+        let make = |this: &Self, _host: &HostId| this.marks_message();
+        let round = QueryRound { hosts, platform, make, timeout: ROUND_TIMEOUT };
+        self.run_round(round, || !self.is_overdue()).await;
     }
 
     /// Returns whether the platform was asked a moment ago.
-    fn asked_platform(&self) -> bool {
-        let recent = self.settings.pace.retry_pause(0);
+    fn queried_recently(&self) -> bool {
+        let recent = self.settings.freshness.retry_pause(0);
         let now = self.ports.clock.now();
-        self.asked.get().is_some_and(|asked| now.saturating_duration_since(asked) < recent)
+        self.last_query.get().is_some_and(|asked| now.saturating_duration_since(asked) < recent)
     }
 
     /// Returns daemons that should know what is newer; any that are known where those are
@@ -190,10 +191,10 @@
             let members = self.members.borrow();
             let round = usize::try_from(round).unwrap_or_default();
             let own = members.row(&self.settings.own.host);
-            own.map(|own| pull_sources(own, members.rows(), ASKED, round)).unwrap_or_default()
+            own.map(|own| pull_sources(own, members.rows(), ROUND_PEERS, round)).unwrap_or_default()
         };
-        let others = self.draw_peers(ASKED).into_iter().filter(|host| !hosts.contains(host));
-        let others: Vec<HostId> = others.take(ASKED.saturating_sub(hosts.len())).collect();
+        let others = self.draw_peers(ROUND_PEERS).into_iter().filter(|host| !hosts.contains(host));
+        let others: Vec<HostId> = others.take(ROUND_PEERS.saturating_sub(hosts.len())).collect();
         hosts.extend(others);
         hosts
     }
--- a/crates/harefield/src/control/gossip.rs
+++ b/crates/harefield/src/control/gossip.rs
@@ -9,7 +9,7 @@
 use rand::seq::IndexedRandom;
 
 use super::duty::Control;
-use super::reader::FOLD_PAUSE;
+use super::reader::BATCH_PAUSE;
 use crate::domain::event::Event;
 use crate::domain::ids::HostId;
 use crate::domain::topology::Distance;
@@ -27,15 +27,15 @@
 const ROUND_WIDTH: usize = 1;
 
 /// How long one exchange may take.
-pub(super) const EXCHANGE_LIMIT: Duration = Duration::from_millis(800);
+pub(super) const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// How long a daemon that holds the watch waits before it pulls what another one
 /// has already: the same news is on its way, and a configuration may be large. It
 /// is a small part of the 3 s within which a change is to be in force.
-const PULL_PATIENCE: Duration = Duration::from_millis(400);
+const PULL_DELAY: Duration = Duration::from_millis(400);
 
 /// How long a pull may take; a whole configuration may be large.
-const PULL_LIMIT: Duration = Duration::from_secs(3);
+const PULL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How often the daemon that is spoken to may stand in another availability zone of
 /// the region, or anywhere: of ten daemons in a zone that speak once a second, two
@@ -44,7 +44,7 @@
 const ANYWHERE_SHARE: f64 = 0.1;
 
 /// Turns a number drawn from 0..1 into how far away the next daemon may be.
-fn draw_reach(draw: f64) -> Distance {
+fn draw_distance(draw: f64) -> Distance {
     if draw < ANYWHERE_SHARE {
         Distance::Far
     } else if draw < ANYWHERE_SHARE + REGION_SHARE {
@@ -56,7 +56,7 @@
 
 impl<F: Platform, P: Peers, C: Clock> Control<F, P, C> {
     /// Speaks to a few daemons in each round.
-    pub(super) async fn speak(self: Rc<Self>) {
+    pub(super) async fn gossip(self: Rc<Self>) {
         loop {
             for host in self.draw_peers(ROUND_WIDTH) {
                 let this = Rc::clone(&self);
@@ -67,14 +67,14 @@
                     .detach();
             }
             let jitter = rand::rng().random_range(0.8..1.2);
-            self.ports.clock.sleep(self.settings.exchange.mul_f64(jitter)).await;
+            self.ports.clock.sleep(self.settings.gossip_interval.mul_f64(jitter)).await;
         }
     }
 
     /// Tells a few daemons at once how far this one is, and no more: they pull
     /// what is newer.
     pub(super) fn relay_marks(&self) {
-        self.relay_to(|this, _host| this.bare_message());
+        self.relay_to(|this, _host| this.marks_message());
     }
 
     /// Tells a few daemons at once what is known here.
@@ -83,18 +83,18 @@
     }
 
     pub(super) fn relay_to(&self, make: impl Fn(&Self, &HostId) -> Exchange) {
-        self.tell_all(self.draw_peers(RELAY_WIDTH), make);
+        self.send_all(self.draw_peers(RELAY_WIDTH), make);
     }
 
     /// Tells daemons something at once; what they answer is not awaited.
-    pub(super) fn tell_all(&self, hosts: Vec<HostId>, make: impl Fn(&Self, &HostId) -> Exchange) {
+    pub(super) fn send_all(&self, hosts: Vec<HostId>, make: impl Fn(&Self, &HostId) -> Exchange) {
         for host in hosts {
             let message = make(self, &host);
             let peers = self.ports.peers.clone();
-            let told = async move {
-                let _reply = peers.exchange(&host, &message, EXCHANGE_LIMIT).await;
+            let send = async move {
+                let _reply = peers.exchange(&host, &message, EXCHANGE_TIMEOUT).await;
             };
-            self.executor.spawn(told).detach();
+            self.executor.spawn(send).detach();
         }
     }
 
@@ -105,7 +105,7 @@
     /// Returns all other daemons that are known, listed or named as seeds.
     pub(super) fn others(&self) -> Vec<HostId> {
         let mut peers = self.members.borrow().peers();
-        let listed = self.list.borrow().daemons();
+        let listed = self.host_list.borrow().daemons();
         let known: Vec<HostId> = self.seeds.borrow().iter().chain(&listed).map(Arc::clone).collect();
         for host in known {
             if host != self.settings.own.host && !peers.contains(&host) {
@@ -122,8 +122,9 @@
         let mut random = rand::rng();
         let mut drawn = Vec::new();
         while drawn.len() < count && !peers.is_empty() {
-            let reach = draw_reach(random.random());
-            let within: Vec<usize> = (0..peers.len()).filter(|at| self.reaches(&peers[*at], reach)).collect();
+            let max_distance = draw_distance(random.random());
+            let within: Vec<usize> =
+                (0..peers.len()).filter(|at| self.is_within(&peers[*at], max_distance)).collect();
             let at =
                 within.choose(&mut random).copied().unwrap_or_else(|| random.random_range(0..peers.len()));
             drawn.push(peers.swap_remove(at));
@@ -131,8 +132,8 @@
         drawn
     }
 
-    fn reaches(&self, host: &HostId, reach: Distance) -> bool {
-        self.distance_of(host) <= reach
+    fn is_within(&self, host: &HostId, max_distance: Distance) -> bool {
+        self.distance_of(host) <= max_distance
     }
 
     /// Returns how far a daemon is.
@@ -140,83 +141,84 @@
         let members = self.members.borrow();
         // One that is not known yet, such as a seed, may stand anywhere.
         let zone = members.row(host).map_or("", |row| &row.zone);
-        self.settings.places.distance(zone)
+        self.settings.topology.distance(zone)
     }
 
     /// Speaks to one daemon and takes what it has that is newer; returns
     /// whether it answered.
     pub(super) async fn exchange_with(self: &Rc<Self>, host: &HostId) -> bool {
         let message = self.message(host);
-        self.ask(host, message).await
+        self.send_exchange(host, message).await
     }
 
     /// Says something to one daemon and takes what it has that is newer; returns whether it
     /// answered.
-    pub(super) async fn ask(self: &Rc<Self>, host: &HostId, message: Exchange) -> bool {
-        let asked = self.ports.clock.now();
-        let reply = self.ports.peers.exchange(host, &message, EXCHANGE_LIMIT).await;
+    pub(super) async fn send_exchange(self: &Rc<Self>, host: &HostId, message: Exchange) -> bool {
+        let started = self.ports.clock.now();
+        let reply = self.ports.peers.exchange(host, &message, EXCHANGE_TIMEOUT).await;
         let Ok(reply) = reply else {
-            self.unanswered(host);
+            self.record_unanswered(host);
             return false;
         };
-        self.take_exchange(&reply, asked).await;
+        self.merge_exchange(&reply, started).await;
         true
     }
 
     /// Takes what a daemon said at `at` or later, and pulls what it has that is newer.
-    pub(super) async fn take_exchange(self: &Rc<Self>, said: &Exchange, at: Instant) {
-        self.hybrid.borrow_mut().receive(self.ports.clock.wall(), said.stamp);
-        self.meet(&said.rows);
-        self.hear(&said.announcements);
-        self.hear_suspects(&said.suspects);
-        for mark in &said.marks {
-            self.hear_mark(mark, &said.from);
-            self.pull_newer(&said.from, *mark).await;
-            self.take_proof(*mark, at);
+    pub(super) async fn merge_exchange(self: &Rc<Self>, received: &Exchange, at: Instant) {
+        self.hybrid.borrow_mut().receive(self.ports.clock.wall(), received.stamp);
+        self.merge_rows(&received.rows);
+        self.merge_announcements(&received.announcements);
+        self.merge_suspects(&received.suspects);
+        for mark in &received.marks {
+            self.record_mark(mark, &received.from);
+            self.pull_newer(&received.from, *mark).await;
+            self.accept_proof(*mark, at);
         }
     }
 
     /// Takes a daemon's word that nothing confirmed is missing in what it has, where
     /// this daemon has as much.
-    fn take_proof(&self, mark: Mark, at: Instant) {
-        let holds = mark.revision.is_some_and(|theirs| self.holds(mark.space, theirs)) && !self.lacks(&mark);
+    fn accept_proof(&self, mark: Mark, at: Instant) {
+        let holds =
+            mark.revision.is_some_and(|theirs| self.holds(mark.space, theirs)) && !self.is_behind(&mark);
         let age = mark.age.map(Duration::from_millis).filter(|_| holds);
         if let Some(proven) = age.and_then(|age| at.checked_sub(age)) {
-            self.prove(mark.space, proven);
+            self.record_proof(mark.space, proven);
         }
     }
 
     async fn pull_newer(self: &Rc<Self>, host: &HostId, mark: Mark) {
-        if !self.lacks(&mark) || self.leaves_to_others(host) {
+        if !self.is_behind(&mark) || self.defers_pull(host) {
             return;
         }
-        if mark.revision > self.revision(mark.space) && self.hears_otherwise(host) {
-            self.ports.clock.sleep(PULL_PATIENCE).await;
+        if mark.revision > self.revision(mark.space) && self.expects_update(host) {
+            self.ports.clock.sleep(PULL_DELAY).await;
         }
-        self.await_pull_turn().await;
-        if !self.lacks(&mark) {
+        self.throttle_pulls().await;
+        if !self.is_behind(&mark) {
             return;
         }
-        self.pulled.set(Some(self.ports.clock.now()));
+        self.last_pull.set(Some(self.ports.clock.now()));
         let (space, retained) = (mark.space, self.retained_mark(mark.space));
         let pull = Pull { space, have: self.revision(space), retained };
-        if let Ok(news) = self.ports.peers.pull(host, pull, PULL_LIMIT).await {
-            self.learn(mark.space, news, host);
+        if let Ok(news) = self.ports.peers.pull(host, pull, PULL_TIMEOUT).await {
+            self.apply_news(mark.space, news, host);
         }
     }
 
     /// Waits until some time after the last pull: each pull brings all news there
     /// are, and each makes a new view.
-    async fn await_pull_turn(&self) {
-        let Some(last) = self.pulled.get().filter(|_| self.joined.get()) else { return };
-        self.ports.clock.sleep_until(last + FOLD_PAUSE).await;
+    async fn throttle_pulls(&self) {
+        let Some(last) = self.last_pull.get().filter(|_| self.joined.get()) else { return };
+        self.ports.clock.sleep_until(last + BATCH_PAUSE).await;
     }
 
     /// Says whether this daemon, which starts, leaves it to the readers of its zone to pull
     /// from another region: what all daemons of a fleet that starts pull there would cross
     /// once for each of them. One that knows nobody of its zone cannot tell who reads.
-    fn leaves_to_others(&self, host: &HostId) -> bool {
-        let learning = self.learning.get().is_some_and(|until| self.ports.clock.now() < until);
+    fn defers_pull(&self, host: &HostId) -> bool {
+        let learning = self.learning_until.get().is_some_and(|until| self.ports.clock.now() < until);
         learning && self.distance_of(host) == Distance::Far && (self.is_alone() || !self.is_reader())
     }
 
@@ -229,23 +231,23 @@
 
     /// Returns whether what a daemon has that is newer is on its way here without it: by the
     /// watch, or by the daemons of the own zone, which hold it as well.
-    fn hears_otherwise(&self, host: &HostId) -> bool {
-        let settled = self.joined.get() && !self.confirming.get();
-        settled && self.distance_of(host) == Distance::Far || self.hears_platform()
+    fn expects_update(&self, host: &HostId) -> bool {
+        let has_joined = self.joined.get() && !self.confirming.get();
+        has_joined && self.distance_of(host) == Distance::Far || self.is_watching()
     }
 
     /// Returns whether this daemon holds the watch itself and it works, so that
     /// the platform tells it what others have told first.
-    fn hears_platform(&self) -> bool {
+    fn is_watching(&self) -> bool {
         self.joined.get()
             && !self.confirming.get()
             && self.is_reader()
-            && !self.was_away()
+            && !self.platform_unreachable()
             && !self.is_overdue()
     }
 
     /// Notes that a daemon did not answer.
-    pub(super) fn unanswered(self: &Rc<Self>, host: &HostId) {
+    pub(super) fn record_unanswered(self: &Rc<Self>, host: &HostId) {
         let news = self.members.borrow_mut().suspect(host);
         if news {
             self.emit(Event::PeerSeen { host: Arc::clone(host), state: "suspect".to_owned() });
@@ -262,12 +264,12 @@
             rows.extend(members.row(host).cloned());
         }
         drop(members);
-        let words = self.words.borrow_mut().digest();
-        Exchange { rows, announcements: words, ..self.warning() }
+        let announcements = self.announcements.borrow_mut().digest();
+        Exchange { rows, announcements, ..self.suspects_message() }
     }
 
     /// Returns a message that says only how far this daemon is.
-    pub(super) fn bare_message(&self) -> Exchange {
+    pub(super) fn marks_message(&self) -> Exchange {
         Exchange {
             from: Arc::clone(&self.settings.own.host),
             incarnation: self.settings.own.incarnation,
--- a/crates/harefield/src/control/inbox.rs
+++ b/crates/harefield/src/control/inbox.rs
@@ -16,47 +16,48 @@
     /// Takes the workers' messages until their ring is closed.
     pub(super) async fn listen(self: Rc<Self>, inbox: Receiver<ToControl>) {
         while let Ok(message) = inbox.recv().await {
-            self.take(message);
+            self.handle(message);
         }
     }
 
-    fn take(self: &Rc<Self>, message: ToControl) {
+    fn handle(self: &Rc<Self>, message: ToControl) {
         match message {
-            ToControl::Exchange(said, reply) => self.answer_exchange(*said, &reply),
+            ToControl::Exchange(received, reply) => self.reply_exchange(*received, &reply),
             ToControl::Pull(pull, reply) => {
                 drop(reply.try_send(self.news(&pull)));
             }
             ToControl::Announcement(named) => {
-                let words = [named];
-                self.hear(&words);
+                let announcements = [named];
+                self.merge_announcements(&announcements);
                 self.relay();
             }
-            ToControl::Suspect(suspect) => self.take_suspect(&suspect),
+            ToControl::Suspect(suspect) => self.record_suspect(&suspect),
             ToControl::Unconfirmed => self.start_confirming(),
             ToControl::Refresh(reply) => self.refresh(reply),
-            ToControl::Unresponsive(host) => self.unanswered(&host),
+            ToControl::Unresponsive(host) => self.record_unanswered(&host),
             ToControl::Seeds(seeds) => *self.seeds.borrow_mut() = seeds,
             ToControl::Stop => {
                 self.members.borrow_mut().leave();
-                self.tell(&ToWorker::Stop);
+                self.send_workers(&ToWorker::Stop);
                 self.relay();
             }
         }
     }
 
     /// Answers with what is known, then takes what was said.
-    fn answer_exchange(self: &Rc<Self>, said: Exchange, reply: &async_channel::Sender<Exchange>) {
+    fn reply_exchange(self: &Rc<Self>, received: Exchange, reply: &async_channel::Sender<Exchange>) {
         // One that started again knows nothing of what was told before.
-        let incarnation = self.members.borrow().row(&said.from).map(|row| row.incarnation);
-        let known = incarnation == Some(said.incarnation);
-        let mut answer = if said.rows.is_empty() { self.bare_message() } else { self.message(&said.from) };
-        if !known && !said.rows.is_empty() {
-            answer.announcements = self.words.borrow().all();
-            answer.suspects = self.gravest_reports();
+        let incarnation = self.members.borrow().row(&received.from).map(|row| row.incarnation);
+        let known = incarnation == Some(received.incarnation);
+        let mut answer =
+            if received.rows.is_empty() { self.marks_message() } else { self.message(&received.from) };
+        if !known && !received.rows.is_empty() {
+            answer.announcements = self.announcements.borrow().all();
+            answer.suspects = self.severe_reports();
         }
         drop(reply.try_send(answer));
         let this = Rc::clone(self);
-        let heard = self.ports.clock.now();
-        self.executor.spawn(async move { this.take_exchange(&said, heard).await }).detach();
+        let received_at = self.ports.clock.now();
+        self.executor.spawn(async move { this.merge_exchange(&received, received_at).await }).detach();
     }
 }
--- a/crates/harefield/src/control/join.rs
+++ b/crates/harefield/src/control/join.rs
@@ -23,119 +23,119 @@
 use crate::ports::Space;
 
 /// The pause before those that did not answer are asked again.
-const AGAIN: Duration = Duration::from_millis(100);
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// The most daemons asked at the start: enough that one of them is up to date.
-const MOST_ASKED: usize = 16;
+const MAX_QUERIED: usize = 16;
 
 /// The most of them in other zones of the region, and in other regions, where there are
 /// daemons in the own zone.
-const MOST_BEYOND: usize = 2;
+const MAX_REMOTE: usize = 2;
 
 impl<F: Platform, P: Peers, C: Clock> Control<F, P, C> {
     /// Asks until every copy and daemon has answered or refused, or the time
     /// is up; with no configuration at all, it goes on in the background.
     pub(super) async fn join(self: &Rc<Self>) {
-        let limit = self.ports.clock.now() + self.settings.join;
-        let asking = async { self.ask_everyone().await };
+        let limit = self.ports.clock.now() + self.settings.join_timeout;
+        let querying = async { self.query_all().await };
         let expired = async {
             self.ports.clock.sleep_until(limit).await;
             warn!("joining took its whole time; some did not answer");
         };
-        asking.or(expired).await;
+        querying.or(expired).await;
         info!("joined at revision {:?}", self.revision(Space::Config));
     }
 
-    async fn ask_everyone(self: &Rc<Self>) {
-        if self.settings.listed || self.seeds.borrow().is_empty() {
-            self.read_copies().await;
+    async fn query_all(self: &Rc<Self>) {
+        if self.settings.lists_daemons || self.seeds.borrow().is_empty() {
+            self.list_replicas().await;
         } else {
-            self.learn_or_read().await;
+            self.query_or_list().await;
         }
-        let mut asked: Vec<HostId> = Vec::new();
-        while let Some(host) = self.next_to_ask(&asked) {
-            self.ask_daemon(&host).await;
-            asked.push(host);
+        let mut queried: Vec<HostId> = Vec::new();
+        while let Some(host) = self.next_peer(&queried) {
+            self.query_daemon(&host).await;
+            queried.push(host);
         }
-        self.await_entered().await;
+        self.await_laggards().await;
     }
 
     /// Asks other daemons until one vouches for what it has, and the platform beside them:
     /// at once where this daemon is a seed, which all others ask, else after a while.
-    async fn learn_or_read(self: &Rc<Self>) {
+    async fn query_or_list(self: &Rc<Self>) {
         let is_seed = self.seeds.borrow().contains(&self.settings.own.host);
-        let wait = platform_delay(is_seed, self.settings.first_start, self.settings.join);
-        self.learning.set(Some(self.ports.clock.now() + wait));
+        let wait = platform_delay(is_seed, self.settings.first_start, self.settings.join_timeout);
+        self.learning_until.set(Some(self.ports.clock.now() + wait));
         let reading = async {
             self.ports.clock.sleep(wait).await;
-            self.read_until_answered().await;
+            self.list_until_answered().await;
         };
-        self.ask_known().or(reading).await;
-        self.learning.set(None);
+        self.query_peers().or(reading).await;
+        self.learning_until.set(None);
     }
 
     /// Asks one daemon after the other until one vouches for what it has.
-    async fn ask_known(self: &Rc<Self>) {
+    async fn query_peers(self: &Rc<Self>) {
         while self.is_overdue() {
             if let Some(host) = self.draw_peers(1).pop() {
-                self.ask_daemon(&host).await;
+                self.query_daemon(&host).await;
             }
-            self.ports.clock.sleep(AGAIN).await;
+            self.ports.clock.sleep(RETRY_PAUSE).await;
         }
     }
 
     /// Reads the copies in turn until one answers.
-    async fn read_until_answered(self: &Rc<Self>) {
-        for copy in self.settings.copies.iter().cycle() {
-            let Err(error) = self.list(*copy, Space::Config).await else { return };
-            debug!("platform copy {copy} while joining: {error}");
-            self.ports.clock.sleep(AGAIN).await;
+    async fn list_until_answered(self: &Rc<Self>) {
+        for replica in self.settings.replicas.iter().cycle() {
+            let Err(error) = self.list(*replica, Space::Config).await else { return };
+            debug!("platform replica {replica} while joining: {error}");
+            self.ports.clock.sleep(RETRY_PAUSE).await;
         }
     }
 
-    async fn read_copies(self: &Rc<Self>) {
-        for copy in self.settings.copies.clone() {
+    async fn list_replicas(self: &Rc<Self>) {
+        for replica in self.settings.replicas.clone() {
             for space in self.spaces() {
-                self.ask_copy(copy, *space).await;
+                self.list_replica(replica, *space).await;
             }
         }
     }
 
     /// Reads a copy until it answers; an unreachable one is asked until joining
     /// ends, unless another copy has answered.
-    async fn ask_copy(self: &Rc<Self>, copy: std::net::SocketAddr, space: Space) {
-        while let Err(error) = self.list(copy, space).await {
-            if self.settings.copies.len() > 1 || self.revision(space).is_some() {
-                warn!("platform copy {copy}: {error}");
+    async fn list_replica(self: &Rc<Self>, replica: std::net::SocketAddr, space: Space) {
+        while let Err(error) = self.list(replica, space).await {
+            if self.settings.replicas.len() > 1 || self.revision(space).is_some() {
+                warn!("platform replica {replica}: {error}");
                 return;
             }
             if !self.seeds.borrow().is_empty() {
                 return;
             }
-            self.ports.clock.sleep(AGAIN).await;
+            self.ports.clock.sleep(RETRY_PAUSE).await;
         }
     }
 
     /// Returns the next daemon to ask: those of the own availability zone first, and few of
     /// others, since what all of a fleet that starts ask there crosses regions.
-    fn next_to_ask(&self, asked: &[HostId]) -> Option<HostId> {
-        if asked.len() >= MOST_ASKED {
+    fn next_peer(&self, queried: &[HostId]) -> Option<HostId> {
+        if queried.len() >= MAX_QUERIED {
             return None;
         }
         let others = self.others();
         let has_near = others.iter().any(|host| self.distance_of(host) == Distance::Near);
-        let most = if has_near { MOST_BEYOND } else { MOST_ASKED };
+        let most = if has_near { MAX_REMOTE } else { MAX_QUERIED };
         let may = |host: &&HostId| {
             let distance = self.distance_of(host);
-            let beyond = asked.iter().filter(|other| self.distance_of(other) == distance).count();
-            !asked.contains(host) && (distance == Distance::Near || beyond < most)
+            let beyond = queried.iter().filter(|other| self.distance_of(other) == distance).count();
+            !queried.contains(host) && (distance == Distance::Near || beyond < most)
         };
         let members = self.members.borrow();
         let reads = |host: &HostId| members.row(host).is_some_and(|row| !row.blind);
         others.iter().filter(may).min_by_key(|host| (self.distance_of(host), !reads(host))).cloned()
     }
 
-    async fn ask_daemon(self: &Rc<Self>, host: &HostId) {
+    async fn query_daemon(self: &Rc<Self>, host: &HostId) {
         if !self.exchange_with(host).await {
             info!("daemon {host} did not answer while joining");
         }
--- a/crates/harefield/src/control/mod.rs
+++ b/crates/harefield/src/control/mod.rs
@@ -9,9 +9,9 @@
 mod gossip;
 mod inbox;
 mod join;
-mod lapsed;
 mod publish;
 mod reader;
+mod recently_removed;
 mod suspicion;
 
 pub use announcements::Announcements;
--- a/crates/harefield/src/control/publish.rs
+++ b/crates/harefield/src/control/publish.rs
@@ -7,7 +7,7 @@
 use log::warn;
 
 use super::duty::Control;
-use super::lapsed::GRACE;
+use super::recently_removed::GRACE;
 use crate::domain::announcement::NamedAnnouncement;
 use crate::domain::cell::Candidate;
 use crate::domain::event::Event;
@@ -29,28 +29,28 @@
         *self.fleet.borrow_mut() = self.candidates();
         let view = Arc::new(self.next_view());
         *self.view.borrow_mut() = Arc::clone(&view);
-        self.tell(&ToWorker::View(view));
-        self.tell_peers();
-        self.show_config();
-        self.await_lapse();
-        self.await_expiry();
+        self.send_workers(&ToWorker::View(view));
+        self.publish_peers();
+        self.publish_config();
+        self.schedule_removal();
+        self.schedule_expiry();
     }
 
     fn next_view(&self) -> View {
         let config = self.config.borrow();
         let now = self.ports.clock.now();
-        let set = self.lapsed.borrow_mut().patch(config.set(), self.was_away(), now);
+        let set = self.recently_removed.borrow_mut().patch(config.set(), self.platform_unreachable(), now);
         self.view.borrow().next(&ViewInputs {
             own: &self.settings.own.host,
             revision: config.revision(),
             set: &set,
             hosts_revision: self.hosts.borrow().revision(),
-            hosts: &self.list.borrow(),
+            hosts: &self.host_list.borrow(),
             fleet: &self.fleet.borrow(),
-            size: self.settings.cell,
-            places: &self.settings.places,
-            cold: self.settings.cold,
-            require_keys: self.settings.keyed,
+            size: self.settings.cell_size,
+            places: &self.settings.topology,
+            cold: self.settings.cold_bounds,
+            require_keys: self.settings.require_keys,
         })
     }
 
@@ -61,7 +61,7 @@
         // A daemon that is stopping still serves what is in progress.
         let own = &self.settings.own.host;
         let stays = |row: &&MemberRow| row.host == *own || row.state != PeerState::Leaving;
-        let present = members.rows().filter(|row| !self.settings.listed && stays(row));
+        let present = members.rows().filter(|row| !self.settings.lists_daemons && stays(row));
         let candidate = |row: &MemberRow| Candidate {
             host: Arc::clone(&row.host),
             zone: Arc::clone(&row.zone),
@@ -77,12 +77,12 @@
         if changed && self.joined.get() {
             self.publish();
         } else {
-            self.tell_peers();
+            self.publish_peers();
         }
     }
 
     /// Tells every worker; the rings are long enough for what control sends.
-    pub(super) fn tell(&self, message: &ToWorker) {
+    pub(super) fn send_workers(&self, message: &ToWorker) {
         for worker in &self.workers {
             if worker.try_send(message.clone()).is_err() {
                 warn!("a worker's ring is full or closed");
@@ -91,22 +91,22 @@
     }
 
     /// Tells the workers which daemons are seen how.
-    pub(super) fn tell_peers(&self) {
+    pub(super) fn publish_peers(&self) {
         let rows: Vec<MemberRow> = self.members.borrow().rows().cloned().collect();
         self.board.status().peers.clone_from(&rows);
-        self.tell(&ToWorker::Peers(Arc::new(PeerView { rows })));
+        self.send_workers(&ToWorker::Peers(Arc::new(PeerView { rows })));
     }
 
     /// Takes upstreams' words; tells the workers what was news.
-    pub(super) fn hear(&self, words: &[NamedAnnouncement]) {
-        let news = self.words.borrow_mut().join(words);
+    pub(super) fn merge_announcements(&self, announcements: &[NamedAnnouncement]) {
+        let news = self.announcements.borrow_mut().merge(announcements);
         if !news.is_empty() {
-            self.tell(&ToWorker::Announcements(news.into()));
+            self.send_workers(&ToWorker::Announcements(news.into()));
         }
     }
 
     /// Takes rows from a peer; tells the workers what was news.
-    pub(super) fn meet(self: &Rc<Self>, rows: &[MemberRow]) {
+    pub(super) fn merge_rows(self: &Rc<Self>, rows: &[MemberRow]) {
         let news = self.members.borrow_mut().merge(rows);
         for row in &news {
             let (host, state) = (Arc::clone(&row.host), row.state.to_string());
@@ -118,7 +118,7 @@
     }
 
     /// Shows operators which configuration is in force.
-    pub(super) fn show_config(&self) {
+    pub(super) fn publish_config(&self) {
         let config = self.config.borrow();
         let refused = config.rejected();
         self.board.put_set(Arc::clone(config.set()));
@@ -133,21 +133,21 @@
 
     /// Returns whether the platform does not answer for the configuration, or came back
     /// a moment ago.
-    pub(super) fn was_away(&self) -> bool {
-        let reach = self.reach.borrow().get(&Space::Config).copied().unwrap_or_default();
-        reach.was_unreachable(self.ports.clock.now(), GRACE)
+    pub(super) fn platform_unreachable(&self) -> bool {
+        let reachability = self.reachability.borrow().get(&Space::Config).copied().unwrap_or_default();
+        reachability.was_unreachable(self.ports.clock.now(), GRACE)
     }
 
     /// Publishes once more when what was kept is taken to be gone.
-    pub(super) fn await_lapse(self: &Rc<Self>) {
-        let Some(until) = self.lapsed.borrow().next() else { return };
-        if self.lapsing.replace(true) {
+    pub(super) fn schedule_removal(self: &Rc<Self>) {
+        let Some(until) = self.recently_removed.borrow().next_removal() else { return };
+        if self.removal_pending.replace(true) {
             return;
         }
         let this = Rc::clone(self);
         let wait = async move {
             this.ports.clock.sleep_until(until).await;
-            this.lapsing.set(false);
+            this.removal_pending.set(false);
             this.publish();
         };
         self.executor.spawn(wait).detach();
--- a/crates/harefield/src/control/reader.rs
+++ b/crates/harefield/src/control/reader.rs
@@ -32,7 +32,7 @@
 
 /// The longest pause after failures: a third of the 3 s within which a change is to be in
 /// force, so that one is read in time also after a long outage.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(1);
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
 /// After this many failures in a row a daemon says that it cannot reach the
 /// platform.
@@ -41,88 +41,88 @@
 /// The pause after news before the watch is held again: upstreams that register
 /// one by one then come together, and each call costs. It is a tenth of the 3 s
 /// within which a change is to be in force.
-pub(super) const FOLD_PAUSE: Duration = Duration::from_millis(300);
+pub(super) const BATCH_PAUSE: Duration = Duration::from_millis(300);
 
 /// An answer to a watch with as many revisions may have been cut: the users' store tells some
 /// 500 at a time.
-const LONG_ANSWER: usize = 256;
+const LONG_RESPONSE: usize = 256;
 
 /// The most revisions that are read before they are put in force: some seconds of the users'
 /// largest site while all its upstreams start.
-const MOST_AT_ONCE: usize = 16_384;
+const MAX_BATCH: usize = 16_384;
 
 /// How often a daemon that is not a reader looks whether it has become one.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 impl<F: Platform, P: Peers, C: Clock> Control<F, P, C> {
     /// Holds the watch on one space while this daemon is a reader.
-    pub(super) async fn read(self: Rc<Self>, space: Space) {
-        let mut turn: usize = 0;
+    pub(super) async fn read_space(self: Rc<Self>, space: Space) {
+        let mut index: usize = 0;
         let mut failures: u32 = 0;
         loop {
             if !self.is_reader() {
-                self.ports.clock.sleep(LOOK_EVERY).await;
+                self.ports.clock.sleep(CHECK_INTERVAL).await;
                 continue;
             }
-            let copies = &self.settings.copies;
-            let copy = copies[turn % copies.len()];
-            let asked = self.ports.clock.now();
-            match self.read_once(copy, space).await {
+            let replicas = &self.settings.replicas;
+            let replica = replicas[index % replicas.len()];
+            let started = self.ports.clock.now();
+            match self.read_once(replica, space).await {
                 Ok(()) => {
-                    self.note_regained(space);
+                    self.record_recovery(space);
                     failures = 0;
-                    self.say_blind(space, false);
+                    self.announce_blind(space, false);
                 }
                 Err(error) => {
-                    debug!("platform copy {copy}: {error}");
-                    self.hear_error(space, &error);
-                    self.note_lost(space, &error, asked);
+                    debug!("platform replica {replica}: {error}");
+                    self.record_rejection(space, &error);
+                    self.record_failure(space, &error, started);
                     failures = failures.saturating_add(1);
-                    self.say_blind(space, failures >= BLIND_AFTER);
-                    turn += 1;
-                    self.ports.clock.sleep(pause(failures)).await;
+                    self.announce_blind(space, failures >= BLIND_AFTER);
+                    index += 1;
+                    self.ports.clock.sleep(retry_pause(failures)).await;
                 }
             }
         }
     }
 
-    fn note_lost(&self, space: Space, error: &PlatformError, asked: Instant) {
+    fn record_failure(&self, space: Space, error: &PlatformError, started: Instant) {
         // One that answers, and has nothing yet, is not lost.
         if !matches!(error, PlatformError::Unreachable | PlatformError::Rejected(_)) {
             return;
         }
         let now = self.ports.clock.now();
-        if self.reach.borrow_mut().entry(space).or_default().record_failure(now) {
-            let waited = millis(now.saturating_duration_since(asked));
+        if self.reachability.borrow_mut().entry(space).or_default().record_failure(now) {
+            let waited = millis(now.saturating_duration_since(started));
             self.emit(Event::PlatformLost { space: space.name().to_owned(), why: error.to_string(), waited });
         }
     }
 
-    fn note_regained(&self, space: Space) {
+    fn record_recovery(&self, space: Space) {
         let now = self.ports.clock.now();
-        let regained = self.reach.borrow_mut().entry(space).or_default().record_answer(now);
+        let regained = self.reachability.borrow_mut().entry(space).or_default().record_answer(now);
         if let Some(gap) = regained {
             self.emit(Event::PlatformRegained { space: space.name().to_owned(), millis: millis(gap) });
         }
     }
 
     /// Notes that the platform is asked now, and returns when that is.
-    fn note_asked(&self, space: Space) -> Instant {
+    fn record_query(&self, space: Space) -> Instant {
         let now = self.ports.clock.now();
         if space == Space::Config {
-            self.asked.set(Some(now));
+            self.last_query.set(Some(now));
         }
         now
     }
 
     /// Tells the others whether this daemon can reach the platform.
-    fn say_blind(&self, space: Space, blind: bool) {
+    fn announce_blind(&self, space: Space, blind: bool) {
         if space != Space::Config {
             return;
         }
         let news = self.members.borrow_mut().set_blind(blind);
         if news {
-            self.tell_peers();
+            self.publish_peers();
             self.relay();
         }
     }
@@ -132,15 +132,15 @@
         is_reader(&self.settings.own, members.rows(), self.settings.readers)
     }
 
-    async fn read_once(self: &Rc<Self>, copy: SocketAddr, space: Space) -> Result<(), PlatformError> {
+    async fn read_once(self: &Rc<Self>, replica: SocketAddr, space: Space) -> Result<(), PlatformError> {
         let Some(seen) = self.seen(space) else {
-            return self.list(copy, space).await;
+            return self.list(replica, space).await;
         };
-        let wait = self.settings.watch.min(self.settings.pace.watch_wait(self.age(space)));
-        self.watch(copy, space, seen, wait).await?;
+        let wait = self.settings.max_watch.min(self.settings.freshness.watch_wait(self.age(space)));
+        self.watch(replica, space, seen, wait).await?;
         if self.seen(space) > Some(seen) {
-            let fold = self.settings.pace.batch_time(self.age(space), FOLD_PAUSE);
-            self.ports.clock.sleep(fold).await;
+            let batch_time = self.settings.freshness.batch_time(self.age(space), BATCH_PAUSE);
+            self.ports.clock.sleep(batch_time).await;
         }
         Ok(())
     }
@@ -154,48 +154,52 @@
 
     /// Reads a whole space; pages read at different revisions are brought to
     /// one by watching, before anything is offered.
-    pub(super) async fn list(self: &Rc<Self>, copy: SocketAddr, space: Space) -> Result<(), PlatformError> {
-        let asked = self.note_asked(space);
-        let mut listing = self.ports.platform.list(copy, space).await?;
+    pub(super) async fn list(
+        self: &Rc<Self>,
+        replica: SocketAddr,
+        space: Space,
+    ) -> Result<(), PlatformError> {
+        let started = self.record_query(space);
+        let mut listing = self.ports.platform.list(replica, space).await?;
         while listing.first < listing.last {
-            let watched = self.ports.platform.watch(copy, space, listing.first, Duration::ZERO).await?;
+            let watched = self.ports.platform.watch(replica, space, listing.first, Duration::ZERO).await?;
             catch_up(&mut listing, watched)?;
         }
         let listed = listing.first;
-        self.hear_era(space, listed.era, "platform");
+        self.record_era(space, listed.era, "platform");
         // A copy that is behind vouches for nothing, and is read again after a pause: without
         // one, a daemon made 1,822 calls in 2 s.
         if self.seen(space) > Some(listed) {
-            self.note_refused(space, listed);
+            self.report_stale(space, listed);
             return Err(PlatformError::Behind(listed));
         }
-        self.take_listing(space, listing);
+        self.apply_listing(space, listing);
         if self.is_of_era(space, listed.era) {
-            self.prove(space, asked);
+            self.record_proof(space, started);
         }
         Ok(())
     }
 
-    fn take_listing(self: &Rc<Self>, space: Space, listing: Listing) {
+    fn apply_listing(self: &Rc<Self>, space: Space, listing: Listing) {
         let Listing { first, items, .. } = listing;
         match space {
             Space::Config => {
                 let offer = self.config.borrow_mut().offer_all(first, &items);
-                self.judged(&offer);
+                self.handle_offer(&offer);
             }
             Space::Hosts => {
                 let newer = self.replace_hosts(first, &items);
                 if newer {
-                    self.changed(Space::Hosts, "platform");
+                    self.on_change(Space::Hosts, "platform");
                 }
             }
         }
     }
 
     /// Tells of a listing that is older than what is held, once for each pair of revisions.
-    fn note_refused(&self, space: Space, revision: Revision) {
+    fn report_stale(&self, space: Space, revision: Revision) {
         let held = self.seen(space).unwrap_or_default();
-        if self.refused.replace(Some((revision, held))) != Some((revision, held)) {
+        if self.last_stale.replace(Some((revision, held))) != Some((revision, held)) {
             self.emit(Event::NewsRefused { revision, held });
         }
     }
@@ -203,7 +207,7 @@
     /// Watches a space once.
     pub(super) async fn watch(
         self: &Rc<Self>,
-        copy: SocketAddr,
+        replica: SocketAddr,
         space: Space,
         after: Revision,
         wait: Duration,
@@ -212,25 +216,25 @@
             Space::Config => after.max(self.cursor.get()),
             Space::Hosts => after,
         };
-        let asked = self.note_asked(space);
-        let (deltas, at) = match self.ports.platform.watch(copy, space, after, wait).await? {
+        let started = self.record_query(space);
+        let (deltas, at) = match self.ports.platform.watch(replica, space, after, wait).await? {
             WatchResult::Changes { deltas, at } => (deltas, at),
-            WatchResult::Compacted => return self.list(copy, space).await,
-            WatchResult::Restored(era) => return self.enter_era(copy, space, era).await,
+            WatchResult::Compacted => return self.list(replica, space).await,
+            WatchResult::Restored(era) => return self.enter_era(replica, space, era).await,
         };
-        self.hear_era(space, at.era, "platform");
-        let shown = proven_by_watch(asked, self.ports.clock.now(), wait, deltas.is_empty());
-        let mut read = Read { deltas, at, shown };
-        let rest = self.read_rest(copy, space, &mut read).await;
-        self.take_deltas(space, &rebase(read.deltas, self.seen(space)));
-        self.advance_cursor(space, read.at);
-        match rest? {
-            Rest::Read if read.at >= after && self.is_of_era(space, read.at.era) => {
-                self.prove(space, read.shown);
+        self.record_era(space, at.era, "platform");
+        let proven = proven_by_watch(started, self.ports.clock.now(), wait, deltas.is_empty());
+        let mut watched = WatchedChanges { deltas, at, proven };
+        let end = self.read_remaining(replica, space, &mut watched).await;
+        self.apply_deltas(space, &rebase(watched.deltas, self.seen(space)));
+        self.advance_cursor(space, watched.at);
+        match end? {
+            CatchUpEnd::Complete if watched.at >= after && self.is_of_era(space, watched.at.era) => {
+                self.record_proof(space, watched.proven);
             }
-            Rest::Read | Rest::More => {}
-            Rest::Gone => self.list(copy, space).await?,
-            Rest::Restored(era) => self.enter_era(copy, space, era).await?,
+            CatchUpEnd::Complete | CatchUpEnd::More => {}
+            CatchUpEnd::Compacted => self.list(replica, space).await?,
+            CatchUpEnd::Restored(era) => self.enter_era(replica, space, era).await?,
         }
         Ok(())
     }
@@ -240,38 +244,38 @@
     /// shows nothing of what comes after it. With 580 changes a second of 1,350 upstreams,
     /// 500 to an answer, daemons were seconds behind; behind 8,000 changes, one is in force at
     /// four daemons after 0.08 s in place of 4.96 (a run of the test each).
-    async fn read_rest(
+    async fn read_remaining(
         &self,
-        copy: SocketAddr,
+        replica: SocketAddr,
         space: Space,
-        read: &mut Read,
-    ) -> Result<Rest, PlatformError> {
-        let mut last = read.deltas.len();
-        while last >= LONG_ANSWER && read.deltas.len() < MOST_AT_ONCE {
-            let asked = self.note_asked(space);
-            let next = self.ports.platform.watch(copy, space, read.at, Duration::ZERO).await?;
+        watched: &mut WatchedChanges,
+    ) -> Result<CatchUpEnd, PlatformError> {
+        let mut last = watched.deltas.len();
+        while last >= LONG_RESPONSE && watched.deltas.len() < MAX_BATCH {
+            let started = self.record_query(space);
+            let next = self.ports.platform.watch(replica, space, watched.at, Duration::ZERO).await?;
             let (deltas, at) = match next {
                 WatchResult::Changes { deltas, at } => (deltas, at),
-                WatchResult::Compacted => return Ok(Rest::Gone),
-                WatchResult::Restored(era) => return Ok(Rest::Restored(era)),
+                WatchResult::Compacted => return Ok(CatchUpEnd::Compacted),
+                WatchResult::Restored(era) => return Ok(CatchUpEnd::Restored(era)),
             };
             last = deltas.len();
-            read.shown = asked;
-            read.at = at;
-            let end = read.deltas.last().map(|delta| delta.revision);
-            read.deltas.extend(rebase(deltas, end));
+            watched.proven = started;
+            watched.at = at;
+            let last_read = watched.deltas.last().map(|delta| delta.revision);
+            watched.deltas.extend(rebase(deltas, last_read));
         }
-        Ok(if last < LONG_ANSWER { Rest::Read } else { Rest::More })
+        Ok(if last < LONG_RESPONSE { CatchUpEnd::Complete } else { CatchUpEnd::More })
     }
 
     /// Takes changes in order; what they lead to is told once.
-    fn take_deltas(self: &Rc<Self>, space: Space, deltas: &[Delta]) {
+    fn apply_deltas(self: &Rc<Self>, space: Space, deltas: &[Delta]) {
         let newer = match space {
             Space::Config => self.offer_deltas(deltas),
             Space::Hosts => deltas.iter().filter(|delta| self.apply_hosts(delta)).count() > 0,
         };
         if newer {
-            self.changed(space, "platform");
+            self.on_change(space, "platform");
         }
     }
 
@@ -286,7 +290,7 @@
             match offer {
                 OfferOutcome::Accepted => newer = true,
                 OfferOutcome::Stale => {}
-                OfferOutcome::Rejected(_) => self.judged(&offer),
+                OfferOutcome::Rejected(_) => self.handle_offer(&offer),
             }
         }
         newer
@@ -302,22 +306,22 @@
 }
 
 /// What watches in a row have told.
-struct Read {
+struct WatchedChanges {
     deltas: Vec<Delta>,
     /// The revision up to which nothing else changed.
     at: Revision,
     /// As of when nothing confirmed is missing in it.
-    shown: Instant,
+    proven: Instant,
 }
 
 /// How reading on ended.
-enum Rest {
+enum CatchUpEnd {
     /// Nothing more was there.
-    Read,
+    Complete,
     /// There may be more.
     More,
     /// The platform no longer has it.
-    Gone,
+    Compacted,
     /// It came back from a copy, and is in this era.
     Restored(Era),
 }
@@ -358,6 +362,6 @@
     Ok(())
 }
 
-fn pause(failures: u32) -> Duration {
-    backoff(BACKOFF, failures, LONGEST_BACKOFF).mul_f64(rand::rng().random_range(0.5..1.0))
+fn retry_pause(failures: u32) -> Duration {
+    backoff(BACKOFF, failures, MAX_BACKOFF).mul_f64(rand::rng().random_range(0.5..1.0))
 }
--- a/crates/harefield/src/control/lapsed.rs
+++ b/crates/harefield/src/control/recently_removed.rs
@@ -24,37 +24,37 @@
 
 /// How close together that is: news of the platform is folded for 300 ms at a
 /// time, so three that vanish one by one come within 900 ms.
-const OUTAGE_SPAN: Duration = Duration::from_secs(1);
+const OUTAGE_WINDOW: Duration = Duration::from_secs(1);
 
 /// The upstreams that stay in the view for a while.
 #[derive(Debug, Default)]
-pub(super) struct Lapsed {
-    shown: BTreeMap<UpstreamId, Arc<Upstream>>,
+pub(super) struct RecentlyRemoved {
+    previous: BTreeMap<UpstreamId, Arc<Upstream>>,
     kept: BTreeMap<UpstreamId, (Arc<Upstream>, Instant)>,
     /// Those that vanished a moment ago.
-    vanished: Vec<(UpstreamId, Arc<Upstream>, Instant)>,
+    removed: Vec<(UpstreamId, Arc<Upstream>, Instant)>,
 }
 
-impl Lapsed {
+impl RecentlyRemoved {
     /// Takes the set in force, and whether the platform was away a moment ago;
     /// returns the set with what may have lapsed.
     pub(super) fn patch(&mut self, set: &Arc<ResourceSet>, away: bool, now: Instant) -> Arc<ResourceSet> {
         self.kept.retain(|name, (_, until)| now < *until && !set.upstreams.contains_key(name));
         let gone: Vec<(UpstreamId, Arc<Upstream>)> = self
-            .shown
+            .previous
             .iter()
             .filter(|(name, upstream)| !set.upstreams.contains_key(*name) && !upstream.leaving)
             .map(|(name, upstream)| (Arc::clone(name), Arc::clone(upstream)))
             .collect();
-        self.vanished.retain(|(name, _, at)| {
-            now.saturating_duration_since(*at) < OUTAGE_SPAN && !set.upstreams.contains_key(name)
+        self.removed.retain(|(name, _, at)| {
+            now.saturating_duration_since(*at) < OUTAGE_WINDOW && !set.upstreams.contains_key(name)
         });
-        self.vanished.extend(gone.into_iter().map(|(name, upstream)| (name, upstream, now)));
-        if away || self.vanished.len() >= OUTAGE_COUNT {
-            let vanished = self.vanished.drain(..);
-            self.kept.extend(vanished.map(|(name, upstream, _)| (name, (upstream, now + GRACE))));
+        self.removed.extend(gone.into_iter().map(|(name, upstream)| (name, upstream, now)));
+        if away || self.removed.len() >= OUTAGE_COUNT {
+            let removed = self.removed.drain(..);
+            self.kept.extend(removed.map(|(name, upstream, _)| (name, (upstream, now + GRACE))));
         }
-        self.shown.clone_from(&set.upstreams);
+        self.previous.clone_from(&set.upstreams);
         if self.kept.is_empty() {
             return Arc::clone(set);
         }
@@ -62,12 +62,12 @@
     }
 
     /// Takes an upstream for gone at once: it has had its time to write.
-    pub(super) fn give_up(&mut self, upstream: &str) {
-        self.shown.remove(upstream);
+    pub(super) fn forget(&mut self, upstream: &str) {
+        self.previous.remove(upstream);
     }
 
     /// Returns when the next upstream that was kept is taken to be gone.
-    pub(super) fn next(&self) -> Option<Instant> {
+    pub(super) fn next_removal(&self) -> Option<Instant> {
         self.kept.values().map(|(_, until)| *until).min()
     }
 }
--- a/crates/harefield/src/control/suspicion.rs
+++ b/crates/harefield/src/control/suspicion.rs
@@ -22,36 +22,36 @@
 
 impl<F: Platform, P: Peers, C: Clock> Control<F, P, C> {
     /// Takes what a worker found, and passes it on.
-    pub(super) fn take_suspect(self: &Rc<Self>, suspect: &Suspect) {
-        if self.join_suspect(suspect) {
-            self.warn_soon();
+    pub(super) fn record_suspect(self: &Rc<Self>, suspect: &Suspect) {
+        if self.merge_suspect(suspect) {
+            self.schedule_warning();
         }
     }
 
     /// Takes what another daemon knows, and passes on what was news.
-    pub(super) fn hear_suspects(self: &Rc<Self>, reports: &[SuspectReport]) {
+    pub(super) fn merge_suspects(self: &Rc<Self>, reports: &[SuspectReport]) {
         let now = self.ports.clock.now();
-        let news = reports.iter().filter(|report| self.join_suspect(&report.to_suspect(now)));
+        let news = reports.iter().filter(|report| self.merge_suspect(&report.to_suspect(now)));
         if news.count() > 0 {
-            self.warn_soon();
+            self.schedule_warning();
         }
     }
 
     /// Joins what is known of a work; returns whether others are to be told.
-    fn join_suspect(&self, suspect: &Suspect) -> bool {
+    fn merge_suspect(&self, suspect: &Suspect) -> bool {
         let now = self.ports.clock.now();
         let mut suspects = self.suspects.borrow_mut();
-        let heard = suspects.merge(suspect, now);
-        let Some(known) = suspects.suspect(suspect.work).filter(|_| heard.changed) else {
-            return heard.cleared;
+        let outcome = suspects.merge(suspect, now);
+        let Some(known) = suspects.suspect(suspect.work).filter(|_| outcome.changed) else {
+            return outcome.cleared;
         };
         drop(suspects);
-        self.note(&known);
-        self.tell(&ToWorker::Suspects(Arc::new([known])));
+        self.emit_suspect(&known);
+        self.send_workers(&ToWorker::Suspects(Arc::new([known])));
         true
     }
 
-    fn note(&self, Suspect { work, evidence }: &Suspect) {
+    fn emit_suspect(&self, Suspect { work, evidence }: &Suspect) {
         let (work, ends, alone) = (*work, evidence.ends().len(), evidence.alone());
         let event = match evidence.clearance(self.ports.clock.now()) {
             Clearance::Free if ends == 0 => Event::WorkCleared { work },
@@ -63,35 +63,35 @@
     }
 
     /// Tells a few daemons at once, unless that was done a moment ago: then after a pause.
-    fn warn_soon(self: &Rc<Self>) {
+    fn schedule_warning(self: &Rc<Self>) {
         let now = self.ports.clock.now();
-        let last = self.warned.get();
+        let last = self.warning_at.get();
         let next = last.map_or(now, |last| now.max(last + WARN_PAUSE));
         if last.is_some_and(|last| last > now) {
             return;
         }
-        self.warned.set(Some(next));
+        self.warning_at.set(Some(next));
         let this = Rc::clone(self);
-        let warn = async move {
+        let send = async move {
             this.ports.clock.sleep_until(next).await;
-            let message = this.warning();
+            let message = this.suspects_message();
             this.relay_to(move |_this, _host| message.clone());
         };
-        self.executor.spawn(warn).detach();
+        self.executor.spawn(send).detach();
     }
 
     /// Returns what a daemon that has just started is told of such works.
-    pub(super) fn gravest_reports(&self) -> Vec<SuspectReport> {
+    pub(super) fn severe_reports(&self) -> Vec<SuspectReport> {
         let now = self.ports.clock.now();
-        let gravest = self.suspects.borrow().most_severe(now);
-        gravest.iter().map(|suspect| SuspectReport::new(suspect, now)).collect()
+        let severe = self.suspects.borrow().most_severe(now);
+        severe.iter().map(|suspect| SuspectReport::new(suspect, now)).collect()
     }
 
     /// Returns a message that says how far this daemon is and what works it suspects.
-    pub(super) fn warning(&self) -> Exchange {
+    pub(super) fn suspects_message(&self) -> Exchange {
         let now = self.ports.clock.now();
-        let told = self.suspects.borrow_mut().digest(now);
-        let suspects = told.iter().map(|suspect| SuspectReport::new(suspect, now)).collect();
-        Exchange { suspects, ..self.bare_message() }
+        let suspects = self.suspects.borrow_mut().digest(now);
+        let suspects = suspects.iter().map(|suspect| SuspectReport::new(suspect, now)).collect();
+        Exchange { suspects, ..self.marks_message() }
     }
 }
--- a/crates/harefield/tests/decisions/announcements.rs
+++ b/crates/harefield/tests/decisions/announcements.rs
@@ -37,8 +37,8 @@
 fn gossiped_for_a_while() {
     let mut announcements = Announcements::default();
     let named = NamedAnnouncement { upstream: "u".into(), announcement: announcement(1, 1) };
-    assert_eq!(announcements.join(std::slice::from_ref(&named)).len(), 1);
-    assert!(announcements.join(std::slice::from_ref(&named)).is_empty(), "it is no longer new");
+    assert_eq!(announcements.merge(std::slice::from_ref(&named)).len(), 1);
+    assert!(announcements.merge(std::slice::from_ref(&named)).is_empty(), "it is no longer new");
     let mut messages = 0;
     while !announcements.digest().is_empty() {
         messages += 1;
