--- a/crates/harefield/src/control/announcements.rs
+++ b/crates/harefield/src/control/announcements.rs
@@ -1,4 +1,4 @@
-//! The upstreams' words as the fleet passes them on.
+//! The announcements of upstreams, as they are gossiped through the fleet.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,10 +7,10 @@
 use crate::domain::announcement::NamedAnnouncement;
 use crate::domain::ids::UpstreamId;
 
-/// How often a changed word is passed on.
+/// How many messages carry an announcement after it changed.
 const TRANSMITS: u32 = 8;
 
-/// The most words in one message.
+/// The most announcements in one message.
 const MAX_ANNOUNCEMENTS: usize = 32;
 
 #[derive(Debug)]
@@ -19,14 +19,14 @@
     transmits: u32,
 }
 
-/// The newest word of each upstream that was heard of.
+/// The newest known announcement of each upstream.
 #[derive(Debug, Default)]
 pub struct Announcements {
     entries: HashMap<UpstreamId, GossipEntry>,
 }
 
 impl Announcements {
-    /// Joins words; returns those that were news.
+    /// Merges announcements; returns those that were newer than the held ones.
     pub fn merge(&mut self, announcements: &[NamedAnnouncement]) -> Vec<NamedAnnouncement> {
         announcements.iter().filter(|named| self.merge_one(named)).cloned().collect()
     }
@@ -43,7 +43,7 @@
         newer
     }
 
-    /// Returns the words for the next message.
+    /// Returns the announcements for the next message and counts them as sent.
     pub fn digest(&mut self) -> Vec<NamedAnnouncement> {
         let mut announcements = Vec::new();
         for (upstream, entry) in self.entries.iter_mut().filter(|(_, entry)| entry.transmits > 0) {
@@ -59,8 +59,7 @@
         announcements
     }
 
-    /// Returns the words of draining upstreams and of those that say what they
-    /// hold, for a daemon that has just started.
+    /// Returns all held announcements, for a daemon that has just started.
     #[must_use]
     pub fn all(&self) -> Vec<NamedAnnouncement> {
         let announcements = self.entries.iter();
@@ -72,7 +71,7 @@
             .collect()
     }
 
-    /// Drops the words of upstreams that no longer exist.
+    /// Removes the announcements of upstreams that no longer exist.
     pub fn prune(&mut self, exists: impl Fn(&UpstreamId) -> bool) {
         self.entries.retain(|upstream, _| exists(upstream));
     }
--- a/crates/harefield/src/control/confirm.rs
+++ b/crates/harefield/src/control/confirm.rs
@@ -1,4 +1,4 @@
-//! Rounds of asking for what is newer; after a pause, one confirms what is known.
+//! Rounds of queries for updates. After a pause of this process, one round confirms what is held.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,28 +15,28 @@
 use crate::ports::Platform;
 use crate::ports::Space;
 
-/// How long one round may take; those who did not answer by then are not
-/// waited for, since the fleet must go on without a platform.
+/// How long a round of queries may take. Later answers are not awaited, since the fleet has to go
+/// on without a platform.
 pub(super) const ROUND_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How many daemons are asked in a round.
+/// How many daemons are queried in a round.
 pub(super) const ROUND_PEERS: usize = 3;
 
-/// Whom one round asks.
+/// What one round queries.
 #[derive(Debug)]
 pub(super) struct QueryRound<M> {
-    /// The daemons.
+    /// The daemons to query.
     pub(super) hosts: Vec<HostId>,
-    /// Whether the platform is asked too.
+    /// Whether the platform is queried too.
     pub(super) platform: bool,
-    /// What each daemon is told; it answers with as much.
+    /// Makes the message to each daemon, which replies with a message of the same extent.
     pub(super) make: M,
     /// How long the round may take.
     pub(super) timeout: Duration,
 }
 
 impl<F: Platform, P: Peers, C: Clock> Control<F, P, C> {
-    /// Starts a round, unless one is under way.
+    /// Starts a round that confirms what is held, unless one is in progress.
     pub(super) fn start_confirming(self: &Rc<Self>) {
         if self.confirming.replace(true) {
             return;
@@ -53,8 +53,8 @@
         self.executor.spawn(confirm).detach();
     }
 
-    /// Asks daemons, and the platform where wanted, at once for what is newer, until all
-    /// have answered, it is `enough`, or the round is over.
+    /// Queries daemons, and the platform if requested, concurrently for updates until all have
+    /// answered, `enough` returns true after an answer, or the round times out.
     pub(super) async fn run_round<M>(self: &Rc<Self>, round: QueryRound<M>, enough: impl Fn() -> bool)
     where
         M: Fn(&Self, &HostId) -> Exchange,
--- a/crates/harefield/src/control/duty.rs
+++ b/crates/harefield/src/control/duty.rs
@@ -1,5 +1,5 @@
-//! The state of the control duty, and what it takes into it; what it tells the workers
-//! of that stands in `publish`.
+//! The state of the control duty, and how updates are applied to it. The `publish` module sends the
+//! results to the workers.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -57,50 +57,50 @@
 use crate::telemetry::Telemetry;
 use crate::telemetry::Trace;
 
-/// What the control duty is told when it is made.
+/// The settings of the control duty.
 #[derive(Clone, Debug)]
 pub struct ControlSettings {
-    /// The daemon's own row.
+    /// The row of this daemon.
     pub own: MemberRow,
-    /// The platform's copies.
+    /// The addresses of the platform's replicas.
     pub replicas: Vec<std::net::SocketAddr>,
-    /// Daemons to ask at the start.
+    /// Daemons to query at the start.
     pub seeds: Vec<HostId>,
-    /// How often peers are spoken to.
+    /// The mean interval at which this daemon gossips with peers.
     pub gossip_interval: Duration,
-    /// How long joining may take.
+    /// How long joining the fleet may take.
     pub join_timeout: Duration,
     /// Whether the whole fleet starts for the first time.
     pub first_start: bool,
     /// How long one watch waits at most.
     pub max_watch: Duration,
-    /// How often this daemon makes sure of what it has.
+    /// When this daemon renews its proof of freshness.
     pub freshness: FreshnessSchedule,
-    /// How many daemons of an availability zone hold the watch.
+    /// How many daemons of an availability zone watch the platform.
     pub readers: usize,
-    /// For how long what a copy of the platform lacks stays in force.
+    /// For how long values stay in force that a restored platform lacks.
     pub retention: RetentionTimes,
-    /// Where this daemon and the availability zones are.
+    /// The availability zone of this daemon, and the region of each zone.
     pub topology: Topology,
     /// How large cells may be.
     pub cell_size: CellSize,
-    /// How far above what cold upstreams bear the fleet may go.
+    /// How far the fleet may exceed the load that cold upstreams can take.
     pub cold_bounds: ColdBounds,
-    /// Whether lookups ask for keys also where no account is published.
+    /// Whether lookups need a key even if no account is published.
     pub require_keys: bool,
-    /// Whether the platform lists the daemons; else cells are assigned among
-    /// those that know each other.
+    /// Whether the platform lists the daemons. If not, cells are assigned among the daemons that
+    /// know each other.
     pub lists_daemons: bool,
 }
 
 /// The ports of the control duty.
 #[derive(Clone, Debug)]
 pub struct ControlPorts<F, P, C> {
-    /// The platform.
+    /// The configuration and membership service.
     pub platform: F,
     /// The other daemons.
     pub peers: P,
-    /// The clock.
+    /// The source of time and timers.
     pub clock: C,
 }
 
@@ -119,51 +119,51 @@
     pub(super) members: RefCell<Membership>,
     pub(super) announcements: RefCell<Announcements>,
     pub(super) suspects: RefCell<Suspects>,
-    /// When works under which upstreams ended were last told of at once.
+    /// When the suspected works were last sent to other daemons at once, or are to be sent next.
     pub(super) warning_at: Cell<Option<Instant>>,
     pub(super) workers: Vec<Sender<ToWorker>>,
     pub(super) hybrid: Rc<RefCell<HybridClock>>,
     pub(super) telemetry: Telemetry,
     pub(super) board: Arc<Board>,
     pub(super) joined: Cell<bool>,
-    /// Until when this daemon, which starts, leaves it to others of its zone to pull what
-    /// other regions have.
+    /// Until when this daemon, while it starts, leaves it to others of its zone to pull from other
+    /// regions.
     pub(super) learning_until: Cell<Option<Instant>>,
     pub(super) confirming: Cell<bool>,
-    /// Who wants whatever is newer than what is held.
+    /// The requests for a refresh that are not answered yet.
     pub(super) refresh_waiters: RefCell<Vec<Sender<bool>>>,
-    /// Daemons to ask besides those that are known.
+    /// Daemons to query besides the known ones.
     pub(super) seeds: RefCell<Vec<HostId>>,
-    /// Upstreams that may have lapsed with the platform away.
+    /// Upstreams that may have been removed only because the platform was unreachable.
     pub(super) recently_removed: RefCell<RecentlyRemoved>,
-    /// Whether a task waits to take them out.
+    /// Whether a task is waiting to remove them.
     pub(super) removal_pending: Cell<bool>,
-    /// When news were last pulled from another daemon.
+    /// When updates were last pulled from another daemon.
     pub(super) last_pull: Cell<Option<Instant>>,
-    /// How the platform answers, by space.
+    /// Whether the platform responds, by space.
     pub(super) reachability: RefCell<BTreeMap<Space, Reachability>>,
-    /// How sure this daemon is that nothing confirmed is missing here, by space.
+    /// The proof that nothing confirmed is missing here, by space.
     pub(super) freshness: RefCell<BTreeMap<Space, Freshness>>,
-    /// The proof that those below this daemon were last told.
+    /// The proof that was last sent to the children of this daemon.
     pub(super) last_sent: Cell<Option<Instant>>,
-    /// When the platform was last asked for the configuration.
+    /// When the platform was last queried for the configuration.
     pub(super) last_query: Cell<Option<Instant>>,
-    /// The revision of the platform up to which nothing is missing here.
+    /// The revision of the platform up to which no change of the configuration is missing here.
     pub(super) cursor: Cell<Revision>,
-    /// What was last told to be refused as older, and what was held then.
+    /// The revision that was last reported as older than what is held, and the revision held then.
     pub(super) last_stale: Cell<Option<(Revision, Revision)>>,
-    /// The latest era that was heard of, by space.
+    /// The latest known era, by space.
     pub(super) latest_eras: RefCell<BTreeMap<Space, Era>>,
-    /// Daemons that were heard of in an earlier era than this one is in.
+    /// Daemons that are known to be in an earlier era than this one.
     pub(super) daemons_behind: RefCell<BTreeSet<HostId>>,
-    /// Whether a listing is being read.
+    /// Whether a listing of a new era is in progress.
     pub(super) listing: Cell<bool>,
-    /// Whether a task waits to drop what is carried on.
+    /// Whether a task is waiting to drop expired retained values.
     pub(super) expiry_pending: Cell<bool>,
 }
 
 impl<F: Platform, P: Peers, C: Clock> Control<F, P, C> {
-    /// Creates the duty of a daemon that knows nothing yet.
+    /// Creates the control duty of a daemon without data.
     #[must_use]
     pub fn new(
         settings: ControlSettings,
@@ -213,7 +213,7 @@
         })
     }
 
-    /// Joins the fleet, then keeps it until the workers' ring is closed.
+    /// Joins the fleet, then keeps the state current until the workers' channel is closed.
     pub async fn run(self: Rc<Self>, inbox: Receiver<ToControl>, ready: Sender<()>) {
         let listening = self.executor.spawn(Rc::clone(&self).listen(inbox));
         self.join().await;
@@ -228,13 +228,13 @@
         listening.await;
     }
 
-    /// Returns the spaces that the platform keeps: one that lists no hosts has no answer
-    /// for them, and only an answer shows that a space is back.
+    /// Returns the spaces that the platform provides. A platform that lists no hosts never answers
+    /// for them, and only an answer shows that a space is available again.
     pub(super) fn spaces(&self) -> &'static [Space] {
         if self.settings.lists_daemons { &Space::ALL } else { &[Space::Config] }
     }
 
-    /// Returns how far this daemon is in a space.
+    /// Returns the revision held of a space.
     pub(super) fn revision(&self, space: Space) -> Option<Revision> {
         match space {
             Space::Config => self.config.borrow().revision(),
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Returns how far this daemon is in every space.
+    /// Returns the marks of this daemon in all spaces.
     pub(super) fn marks(&self) -> Vec<Mark> {
         let mark = |space| Mark {
             space,
@@ -253,7 +253,7 @@
         self.spaces().iter().copied().map(mark).collect()
     }
 
-    /// Returns what brings a peer up to date.
+    /// Returns the updates that a peer lacks.
     pub(super) fn news(&self, pull: &Pull) -> News {
         match pull.space {
             Space::Config => self.config.borrow().news(pull.have, pull.retained, self.ports.clock.now()),
@@ -261,7 +261,7 @@
         }
     }
 
-    /// Takes news from a peer; returns whether any were newer.
+    /// Applies updates from a peer; returns whether any were newer.
     pub(super) fn apply_news(self: &Rc<Self>, space: Space, news: News, from: &str) -> bool {
         let (news, retained) = news.split();
         let changed = match space {
@@ -288,7 +288,7 @@
         }
     }
 
-    /// Takes a change of the host list if it fits; returns whether it did.
+    /// Applies a change of the host list if it continues the held revision; returns whether it did.
     pub(super) fn apply_hosts(&self, delta: &Delta) -> bool {
         let fits = self.hosts.borrow_mut().apply(delta);
         if fits {
@@ -297,7 +297,7 @@
         fits
     }
 
-    /// Takes a whole host list if it is newer; returns whether it was.
+    /// Replaces the host list if the given one is newer; returns whether it was.
     pub(super) fn replace_hosts(&self, revision: Revision, items: &Items) -> bool {
         let newer = self.hosts.borrow_mut().replace(revision, items);
         if newer {
@@ -306,7 +306,7 @@
         newer
     }
 
-    /// Takes what became of a revision read from the platform.
+    /// Handles the outcome of a revision that was read from the platform.
     pub(super) fn handle_offer(self: &Rc<Self>, offer: &OfferOutcome) {
         match offer {
             OfferOutcome::Accepted => self.on_change(Space::Config, "platform"),
@@ -315,14 +315,14 @@
                 let revision = self.config.borrow().seen().unwrap_or_default();
                 let first = faults.first().map(|f| format!("{} {}: {}", f.code, f.key, f.detail));
                 let first = first.unwrap_or_default();
-                warn!("revision {revision} is refused: {first}");
+                warn!("revision {revision} is rejected: {first}");
                 self.emit(Event::ConfigRefused { revision, faults: faults.len(), first });
                 self.publish_config();
             }
         }
     }
 
-    /// Notes a newer revision of a space: tells workers, and peers at once.
+    /// Publishes a newer revision of a space to the workers, and its mark to peers at once.
     pub(super) fn on_change(self: &Rc<Self>, space: Space, from: &str) {
         let revision = self.revision(space).unwrap_or_default();
         self.record_era(space, revision.era, from);
--- a/crates/harefield/src/control/eras.rs
+++ b/crates/harefield/src/control/eras.rs
@@ -1,5 +1,6 @@
-//! The eras of the platform: each time that it comes back from a copy of itself, what was
-//! held of the era before proves nothing any more, and goes before what the copy lacks.
+//! Eras of the platform. Each time that the platform is restored from a backup copy of itself, a
+//! new era begins: data of the era before proves nothing any more, but takes precedence over a copy
+//! that lacks it.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -23,17 +24,17 @@
 use crate::ports::PlatformError;
 use crate::ports::Space;
 
-/// For how long a daemon that does not read the platform for others waits for their word
-/// of a new era before it lists by itself: at least, and at most. Readers list it once each;
-/// of all others, those that have not heard by then list one after the other and tell as they
-/// do. With it the last daemon has a change within 3 s of the platform's return; see
-/// `docs/PROMISES.md`.
+/// How long a daemon that is not a reader waits for updates of a new era before it lists the space
+/// itself, at least and at most. Each reader lists it once. Of the others, those that have received
+/// nothing by then list it one after the other and pass it on. With this delay the last daemon has
+/// a change within 3 s of the platform's recovery; see `docs/PROMISES.md`.
 const LIST_DELAY: (Duration, Duration) = (Duration::from_millis(200), Duration::from_millis(500));
 
-/// How often one that waits for a listing looks whether it has ended.
+/// How often a task checks whether a listing in progress has ended, or daemons that are behind have
+/// caught up.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A listing that is being read; it ends with this.
+/// Marks a listing as in progress until it is dropped.
 struct ListingGuard<'a>(&'a Cell<bool>);
 
 impl Drop for ListingGuard<'_> {
@@ -43,7 +44,7 @@
 }
 
 impl<F: Platform, P: Peers, C: Clock> Control<F, P, C> {
-    /// Returns the era of what is held of a space; none before the first revision.
+    /// Returns the era of what is held of a space. `None` before the first revision.
     fn era(&self, space: Space) -> Option<Era> {
         match space {
             Space::Config => self.config.borrow().era(),
@@ -51,7 +52,8 @@
         }
     }
 
-    /// Notes that the platform is in an era: what is held of an earlier one proves nothing.
+    /// Records that the platform is in an era. What is held of an earlier one proves nothing any
+    /// more.
     pub(super) fn record_era(&self, space: Space, era: Era, from: &str) {
         let latest = self.latest_eras.borrow().get(&space).copied();
         if latest >= Some(era) {
@@ -65,7 +67,7 @@
         }
     }
 
-    /// Notes which era a daemon is in, and whether it knows of eras and is behind.
+    /// Records which era a daemon is in, and whether one that supports retained values is behind.
     pub(super) fn record_mark(&self, mark: &Mark, from: &HostId) {
         let Some(revision) = mark.revision else { return };
         self.record_era(mark.space, revision.era, from);
@@ -76,9 +78,9 @@
         }
     }
 
-    /// Asks daemons that are behind until they have entered the era too, or do not answer:
-    /// what they carry into it is told then. A daemon that starts would else serve by what
-    /// the platform's copy has, though it heard of those who know better.
+    /// Queries the daemons that are behind until they have entered the era too or do not answer,
+    /// since they then report the values that they retain. Otherwise a daemon that starts would
+    /// serve what the platform's copy has although it knows of daemons with newer data.
     pub(super) async fn await_laggards(self: &Rc<Self>) {
         loop {
             let behind: Vec<HostId> = self.daemons_behind.borrow().iter().map(Arc::clone).collect();
@@ -94,27 +96,27 @@
         }
     }
 
-    /// Notes which era an answer is of that told nothing else.
+    /// Records the era that a rejection by the platform states.
     pub(super) fn record_rejection(&self, space: Space, error: &PlatformError) {
         if let PlatformError::Rejected(era) = error {
             self.record_era(space, *era, "platform");
         }
     }
 
-    /// Returns whether a space is held in the latest era that was heard of: one that is
-    /// behind vouches for nothing.
+    /// Returns whether `era` is the latest known one and the space is held in it. Anything of an
+    /// earlier era is no proof of freshness.
     pub(super) fn is_of_era(&self, space: Space, era: Era) -> bool {
         let latest = self.latest_eras.borrow().get(&space).copied().unwrap_or_default();
         era == latest && self.era(space) == Some(era)
     }
 
-    /// Returns whether all that a daemon at a revision has of the platform is held here, in
-    /// the same era.
+    /// Returns whether everything that a daemon at a revision has read from the platform is held
+    /// here, in the same era.
     pub(super) fn holds(&self, space: Space, revision: Revision) -> bool {
         self.is_of_era(space, revision.era) && self.revision(space) >= Some(revision)
     }
 
-    /// Returns whether a daemon with a mark has something that is missing here.
+    /// Returns whether a daemon with this mark has something that is missing here.
     pub(super) fn is_behind(&self, mark: &Mark) -> bool {
         match mark.space {
             Space::Config => self.config.borrow().is_behind(mark.revision, mark.retained),
@@ -122,18 +124,20 @@
         }
     }
 
-    /// Returns how far this daemon is in what is carried on.
+    /// Returns the mark of the retained values. `None` for the host list, of which none are
+    /// retained.
     pub(super) fn retained_mark(&self, space: Space) -> Option<RetainedMark> {
         (space == Space::Config).then(|| self.config.borrow().retained_mark())
     }
 
-    /// Joins what another daemon carries on; returns whether that changes what is in force.
+    /// Merges the values that another daemon retains; returns whether that changes what is in
+    /// force.
     pub(super) fn merge_report(&self, retained: RetainedReport) -> bool {
         let retained = retained.into_retained(self.ports.clock.now());
         self.config.borrow_mut().merge_retained(&retained)
     }
 
-    /// Lists a space that is in a new era, unless it is told meanwhile.
+    /// Lists a space that is in a new era, unless its updates arrive meanwhile from other daemons.
     pub(super) async fn enter_era(
         self: &Rc<Self>,
         replica: std::net::SocketAddr,
@@ -157,7 +161,7 @@
         self.list(replica, space).await
     }
 
-    /// Drops what is carried on and has had its time.
+    /// Drops the retained values whose time is over.
     pub(super) fn expire_retained(&self) {
         let now = self.ports.clock.now();
         let gone = self.config.borrow_mut().expire(now, self.settings.retention);
@@ -167,7 +171,7 @@
         }
     }
 
-    /// Tells the workers when what is carried on has had its time.
+    /// Publishes the view again once the next retained value expires.
     pub(super) fn schedule_expiry(self: &Rc<Self>) {
         let next = self.config.borrow().next_expiry(self.settings.retention);
         let Some(until) = next.filter(|_| !self.expiry_pending.replace(true)) else { return };
@@ -181,7 +185,8 @@
         self.executor.spawn(wait).detach();
     }
 
-    /// Says what is carried on where an era was just entered, and why it cannot be in force.
+    /// Reports the values that are retained if an era was just entered, and why any are not
+    /// applied.
     pub(super) fn report_retained(&self) {
         let config = self.config.borrow();
         if let Some(retained) = config.retained().filter(|retained| retained.entered_at.is_none()) {
@@ -189,7 +194,7 @@
             self.emit(Event::CarriedOn { era: retained.era, kept, doubted });
         }
         for fault in config.conflicts() {
-            warn!("what is carried on is left out: {} {}: {}", fault.code, fault.key, fault.detail);
+            warn!("retained values are not applied: {} {}: {}", fault.code, fault.key, fault.detail);
         }
     }
 }
--- a/crates/harefield/src/control/freshness.rs
+++ b/crates/harefield/src/control/freshness.rs
@@ -1,5 +1,5 @@
-//! Keeping what is in force fresh: a daemon whose proof is overdue asks by itself, so that no
-//! change rests on one message, one watch or one daemon.
+//! Keeping the data in force fresh. A daemon whose proof of freshness is overdue sends queries
+//! itself, so that no change depends on one message, one watch or one daemon.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,12 +23,12 @@
 use crate::ports::Platform;
 use crate::ports::Space;
 
-/// How long asking for what is newer may take: a caller waits for it.
+/// How long a refresh may take, since a caller waits for it.
 const REFRESH_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl<F: Platform, P: Peers, C: Clock> Control<F, P, C> {
-    /// Notes that all that the platform confirmed in a space up to `at` is held here, and
-    /// passes it on.
+    /// Records that everything that the platform confirmed in a space up to `at` is held here, and
+    /// passes the proof on.
     pub(super) fn record_proof(&self, space: Space, at: Instant) {
         let newer = self.freshness.borrow_mut().entry(space).or_default().record_proof(at);
         if !newer {
@@ -48,14 +48,14 @@
         }
     }
 
-    /// Forgets what was proven of a space: nothing of an earlier era proves that nothing is
-    /// missing in a later one.
+    /// Clears the proof of a space: data of an earlier era does not prove that nothing is missing
+    /// in a later one.
     pub(super) fn clear_proof(&self, space: Space) {
         self.freshness.borrow_mut().remove(&space);
     }
 
-    /// Returns up to when nothing is missing in any space; none while one was never
-    /// proven.
+    /// Returns the time up to which nothing is missing in any space. `None` until all have been
+    /// proven once.
     fn proven(&self) -> Option<Instant> {
         let freshness = self.freshness.borrow();
         let proven = |space| freshness.get(space).and_then(Freshness::proven);
@@ -63,7 +63,7 @@
         all?.into_iter().min()
     }
 
-    /// Tells the daemons below this one how far it is.
+    /// Sends the marks of this daemon to its children.
     pub(super) fn notify_children(&self) {
         self.last_sent.set(self.proven());
         let children = {
@@ -73,26 +73,26 @@
         self.send_all(children, |this, _host| this.marks_message());
     }
 
-    /// Returns for how long a change may have been confirmed that is missing here;
-    /// none before anything was proven.
+    /// Returns how long ago the oldest change may have been confirmed that is missing here. `None`
+    /// before the first proof.
     pub(super) fn age(&self, space: Space) -> Option<Duration> {
         let now = self.ports.clock.now();
         self.freshness.borrow().get(&space).and_then(|freshness| freshness.age(now))
     }
 
-    /// Returns the greatest age of all spaces; none while one was never proven.
+    /// Returns the greatest age of all spaces. `None` until all have been proven once.
     fn max_age(&self) -> Option<Duration> {
         let now = self.ports.clock.now();
         self.proven().map(|proven| now.saturating_duration_since(proven))
     }
 
-    /// Returns whether nothing has vouched in time for what is held.
+    /// Returns whether the proof of what is held is overdue or missing.
     pub(super) fn is_overdue(&self) -> bool {
         self.max_age().is_none_or(|age| age >= self.settings.freshness.overdue_age())
     }
 
-    /// Asks for what is newer whenever the proof of what is held is overdue, until there
-    /// is one; says when this daemon cannot vouch for it, and when it can again.
+    /// Queries for updates whenever the proof of what is held is overdue, until there is a new one.
+    /// Emits an event when this daemon misses the deadline, and when it is current again.
     pub(super) async fn keep_current(self: Rc<Self>) {
         let schedule = self.settings.freshness;
         let mut behind = false;
@@ -111,8 +111,9 @@
                 behind = true;
                 self.emit(self.age_event(true, age));
             }
-            // As far as known here the platform may be away, and who cannot write has not had
-            // the time to: upstreams that live would be given up in an outage after a copy.
+            // As far as known here the platform may be unreachable, and upstreams that cannot write
+            // have not had the time to. Without the restart, live upstreams would be treated as
+            // gone in an outage that follows a restore.
             self.config.borrow_mut().restart_timer(self.ports.clock.now());
             self.query_newer(failures).await;
             if self.is_overdue() {
@@ -122,8 +123,8 @@
         }
     }
 
-    /// Asks the platform for what is newer, once for all that want it by the time the round
-    /// begins; says whether nothing that was confirmed by then is missing here.
+    /// Queries the platform for updates, once for all requests that are waiting when the round
+    /// begins. Replies whether nothing that was confirmed by then is missing here.
     pub(super) fn refresh(self: &Rc<Self>, reply: Sender<bool>) {
         self.refresh_waiters.borrow_mut().push(reply);
         if self.refresh_waiters.borrow().len() > 1 {
@@ -131,7 +132,7 @@
         }
         let this = Rc::clone(self);
         let refresh = async move {
-            // Those that come while a round is under way want one that began later.
+            // Requests that arrive during a round need one that began later.
             loop {
                 let waiting = this.refresh_waiters.borrow().len();
                 let is_current = this.refresh_once().await;
@@ -165,27 +166,26 @@
         }
     }
 
-    /// Asks those that should know for what is newer, until there is a proof. Daemons that
-    /// do not read ask the platform only where a round before brought none: it
-    /// would be called by all of them at once.
+    /// Queries the daemons that are expected to be current for updates, until there is a proof.
+    /// Daemons that are not readers query the platform only if the round before brought none, since
+    /// otherwise all of them would call it at once.
     async fn query_newer(self: &Rc<Self>, failures: u32) {
         let platform = (failures > 0 || self.is_reader()) && !self.queried_recently();
         let hosts = self.draw_sources(failures);
-        // How far each of them is, and no more: rounds go on through an outage.
+        // Sends only the marks, since rounds continue throughout an outage.
         let make = |this: &Self, _host: &HostId| this.marks_message();
         let round = QueryRound { hosts, platform, make, timeout: ROUND_TIMEOUT };
         self.run_round(round, || !self.is_overdue()).await;
     }
 
-    /// Returns whether the platform was asked a moment ago.
+    /// Returns whether the platform was queried a moment ago.
     fn queried_recently(&self) -> bool {
         let recent = self.settings.freshness.retry_pause(0);
         let now = self.ports.clock.now();
-        self.last_query.get().is_some_and(|asked| now.saturating_duration_since(asked) < recent)
+        self.last_query.get().is_some_and(|at| now.saturating_duration_since(at) < recent)
     }
 
-    /// Returns daemons that should know what is newer; any that are known where those are
-    /// few.
+    /// Returns daemons that are expected to be current, filled up with random known ones.
     fn draw_sources(&self, round: u32) -> Vec<HostId> {
         let mut hosts = {
             let members = self.members.borrow();
--- a/crates/harefield/src/control/gossip.rs
+++ b/crates/harefield/src/control/gossip.rs
@@ -1,4 +1,4 @@
-//! Speaking to other daemons: exchanges in turn, and at once when there is news.
+//! Gossip with other daemons: exchanges at a regular interval, and at once after a change.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -20,30 +20,30 @@
 use crate::ports::Platform;
 use crate::ports::Pull;
 
-/// How many daemons are told of news at once.
+/// How many daemons an update is sent to at once.
 const RELAY_WIDTH: usize = 3;
 
-/// How many daemons are spoken to in one round.
+/// How many daemons are contacted in one gossip round.
 const ROUND_WIDTH: usize = 1;
 
 /// How long one exchange may take.
 pub(super) const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// How long a daemon that holds the watch waits before it pulls what another one
-/// has already: the same news is on its way, and a configuration may be large. It
-/// is a small part of the 3 s within which a change is to be in force.
+/// How long a daemon that watches the platform, or expects the update from its zone, waits before
+/// it pulls what another daemon already has: the same update is on its way, and a configuration may
+/// be large. It is a small part of the 3 s within which a change has to be in force.
 const PULL_DELAY: Duration = Duration::from_millis(400);
 
-/// How long a pull may take; a whole configuration may be large.
+/// How long a pull may take, since a whole configuration may be large.
 const PULL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How often the daemon that is spoken to may stand in another availability zone of
-/// the region, or anywhere: of ten daemons in a zone that speak once a second, two
-/// bring news from the region and one from beyond.
+/// How often the peer of a gossip round may be in another availability zone of the region
+/// (`REGION_SHARE`), or anywhere (`ANYWHERE_SHARE`). Of ten daemons in a zone that gossip once a
+/// second, two exchange updates with the region and one with any zone.
 const REGION_SHARE: f64 = 0.2;
 const ANYWHERE_SHARE: f64 = 0.1;
 
-/// Turns a number drawn from 0..1 into how far away the next daemon may be.
+/// Converts a number drawn from 0..1 into how far away the next peer may be.
 fn draw_distance(draw: f64) -> Distance {
     if draw < ANYWHERE_SHARE {
         Distance::Far
@@ -55,7 +55,7 @@
 }
 
 impl<F: Platform, P: Peers, C: Clock> Control<F, P, C> {
-    /// Speaks to a few daemons in each round.
+    /// Exchanges updates with a few daemons in each round.
     pub(super) async fn gossip(self: Rc<Self>) {
         loop {
             for host in self.draw_peers(ROUND_WIDTH) {
@@ -71,13 +71,12 @@
         }
     }
 
-    /// Tells a few daemons at once how far this one is, and no more: they pull
-    /// what is newer.
+    /// Sends only the marks of this daemon to a few others at once; they pull what is newer.
     pub(super) fn relay_marks(&self) {
         self.relay_to(|this, _host| this.marks_message());
     }
 
-    /// Tells a few daemons at once what is known here.
+    /// Sends what is known here to a few daemons at once.
     pub(super) fn relay(&self) {
         self.relay_to(Self::message);
     }
@@ -86,7 +85,7 @@
         self.send_all(self.draw_peers(RELAY_WIDTH), make);
     }
 
-    /// Tells daemons something at once; what they answer is not awaited.
+    /// Sends a message to each of several daemons at once, without waiting for their replies.
     pub(super) fn send_all(&self, hosts: Vec<HostId>, make: impl Fn(&Self, &HostId) -> Exchange) {
         for host in hosts {
             let message = make(self, &host);
@@ -102,7 +101,7 @@
         self.draw_near(self.others(), count)
     }
 
-    /// Returns all other daemons that are known, listed or named as seeds.
+    /// Returns all other daemons that are known, listed or configured as seeds.
     pub(super) fn others(&self) -> Vec<HostId> {
         let mut peers = self.members.borrow().peers();
         let listed = self.host_list.borrow().daemons();
@@ -115,9 +114,9 @@
         peers
     }
 
-    /// Draws daemons, most of them from the own availability zone: bytes between
-    /// zones, and more so between regions, are dear. Few from elsewhere do, since
-    /// each zone has daemons that hold the watch.
+    /// Draws daemons, most of them from the own availability zone, since traffic between zones is
+    /// expensive and traffic between regions even more so. A few from elsewhere are enough, since
+    /// each zone has daemons that watch the platform.
     fn draw_near(&self, mut peers: Vec<HostId>, count: usize) -> Vec<HostId> {
         let mut random = rand::rng();
         let mut drawn = Vec::new();
@@ -136,23 +135,21 @@
         self.distance_of(host) <= max_distance
     }
 
-    /// Returns how far a daemon is.
+    /// Returns how far away a daemon is.
     pub(super) fn distance_of(&self, host: &HostId) -> Distance {
         let members = self.members.borrow();
-        // One that is not known yet, such as a seed, may stand anywhere.
+        // A daemon that is not known yet, such as a seed, may be in any zone.
         let zone = members.row(host).map_or("", |row| &row.zone);
         self.settings.topology.distance(zone)
     }
 
-    /// Speaks to one daemon and takes what it has that is newer; returns
-    /// whether it answered.
+    /// Exchanges updates with one daemon; returns whether it answered.
     pub(super) async fn exchange_with(self: &Rc<Self>, host: &HostId) -> bool {
         let message = self.message(host);
         self.send_exchange(host, message).await
     }
 
-    /// Says something to one daemon and takes what it has that is newer; returns whether it
-    /// answered.
+    /// Sends a message to one daemon and merges its reply; returns whether it answered.
     pub(super) async fn send_exchange(self: &Rc<Self>, host: &HostId, message: Exchange) -> bool {
         let started = self.ports.clock.now();
         let reply = self.ports.peers.exchange(host, &message, EXCHANGE_TIMEOUT).await;
@@ -164,7 +161,7 @@
         true
     }
 
-    /// Takes what a daemon said at `at` or later, and pulls what it has that is newer.
+    /// Merges a message that a daemon sent at `at` or later, and pulls what it has that is newer.
     pub(super) async fn merge_exchange(self: &Rc<Self>, received: &Exchange, at: Instant) {
         self.hybrid.borrow_mut().receive(self.ports.clock.wall(), received.stamp);
         self.merge_rows(&received.rows);
@@ -177,8 +174,8 @@
         }
     }
 
-    /// Takes a daemon's word that nothing confirmed is missing in what it has, where
-    /// this daemon has as much.
+    /// Accepts another daemon's proof of freshness if this daemon has everything that the other one
+    /// has.
     fn accept_proof(&self, mark: Mark, at: Instant) {
         let holds =
             mark.revision.is_some_and(|theirs| self.holds(mark.space, theirs)) && !self.is_behind(&mark);
@@ -207,37 +204,39 @@
         }
     }
 
-    /// Waits until some time after the last pull: each pull brings all news there
-    /// are, and each makes a new view.
+    /// Waits until some time after the last pull: each pull transfers all updates there are, and
+    /// each results in a new view.
     async fn throttle_pulls(&self) {
         let Some(last) = self.last_pull.get().filter(|_| self.joined.get()) else { return };
         self.ports.clock.sleep_until(last + BATCH_PAUSE).await;
     }
 
-    /// Says whether this daemon, which starts, leaves it to the readers of its zone to pull
-    /// from another region: what all daemons of a fleet that starts pull there would cross
-    /// once for each of them. One that knows nobody of its zone cannot tell who reads.
+    /// Returns whether this daemon, while it starts, leaves it to the readers of its zone to pull
+    /// from another region. Otherwise every daemon of a fleet that starts would transfer the same
+    /// data between regions. A daemon that knows no other of its zone cannot tell who reads, and
+    /// waits too.
     fn defers_pull(&self, host: &HostId) -> bool {
         let learning = self.learning_until.get().is_some_and(|until| self.ports.clock.now() < until);
         learning && self.distance_of(host) == Distance::Far && (self.is_alone() || !self.is_reader())
     }
 
-    /// Says whether no other daemon of the own availability zone is known.
+    /// Returns whether no other daemon of the own availability zone is known.
     fn is_alone(&self) -> bool {
         let members = self.members.borrow();
         let own = &self.settings.own;
         !members.rows().any(|row| row.zone == own.zone && row.host != own.host)
     }
 
-    /// Returns whether what a daemon has that is newer is on its way here without it: by the
-    /// watch, or by the daemons of the own zone, which hold it as well.
+    /// Returns whether what a newer daemon has will arrive here without a pull from it: by the
+    /// watch, or, if that daemon is in another region, from the daemons of the own zone, which
+    /// receive it as well.
     fn expects_update(&self, host: &HostId) -> bool {
         let has_joined = self.joined.get() && !self.confirming.get();
         has_joined && self.distance_of(host) == Distance::Far || self.is_watching()
     }
 
-    /// Returns whether this daemon holds the watch itself and it works, so that
-    /// the platform tells it what others have told first.
+    /// Returns whether this daemon watches the platform itself and the watch works, so that updates
+    /// which other daemons have already received arrive from there.
     fn is_watching(&self) -> bool {
         self.joined.get()
             && !self.confirming.get()
@@ -246,17 +245,17 @@
             && !self.is_overdue()
     }
 
-    /// Notes that a daemon did not answer.
+    /// Records that a daemon did not answer.
     pub(super) fn record_unanswered(self: &Rc<Self>, host: &HostId) {
-        let news = self.members.borrow_mut().suspect(host);
-        if news {
+        let changed = self.members.borrow_mut().suspect(host);
+        if changed {
             self.emit(Event::PeerSeen { host: Arc::clone(host), state: "suspect".to_owned() });
             self.members_changed();
         }
     }
 
-    /// Returns what is to be told a daemon: its own row is always in it, so
-    /// that it can answer rumours about itself.
+    /// Returns the message to send to a daemon. It always contains that daemon's row, so that the
+    /// daemon can correct wrong information about itself.
     pub(super) fn message(&self, host: &HostId) -> Exchange {
         let mut members = self.members.borrow_mut();
         let mut rows = members.digest();
@@ -268,7 +267,7 @@
         Exchange { rows, announcements, ..self.suspects_message() }
     }
 
-    /// Returns a message that says only how far this daemon is.
+    /// Returns a message that contains only the marks of this daemon.
     pub(super) fn marks_message(&self) -> Exchange {
         Exchange {
             from: Arc::clone(&self.settings.own.host),
--- a/crates/harefield/src/control/inbox.rs
+++ b/crates/harefield/src/control/inbox.rs
@@ -1,4 +1,4 @@
-//! What workers tell the control duty.
+//! The messages that workers send to the control duty.
 
 use std::rc::Rc;
 
@@ -13,7 +13,7 @@
 use crate::ports::Platform;
 
 impl<F: Platform, P: Peers, C: Clock> Control<F, P, C> {
-    /// Takes the workers' messages until their ring is closed.
+    /// Handles the workers' messages until their channel is closed.
     pub(super) async fn listen(self: Rc<Self>, inbox: Receiver<ToControl>) {
         while let Ok(message) = inbox.recv().await {
             self.handle(message);
@@ -44,9 +44,9 @@
         }
     }
 
-    /// Answers with what is known, then takes what was said.
+    /// Replies with what is known here, then merges what was received.
     fn reply_exchange(self: &Rc<Self>, received: Exchange, reply: &async_channel::Sender<Exchange>) {
-        // One that started again knows nothing of what was told before.
+        // A daemon that was restarted no longer has what it was sent before.
         let incarnation = self.members.borrow().row(&received.from).map(|row| row.incarnation);
         let known = incarnation == Some(received.incarnation);
         let mut answer =
--- a/crates/harefield/src/control/join.rs
+++ b/crates/harefield/src/control/join.rs
@@ -1,9 +1,9 @@
-//! Joining the fleet: a daemon that starts with nothing asks every copy of the
-//! platform and every daemon it knows of before it serves.
+//! Joining the fleet: a daemon that starts without data queries every replica of the platform, and
+//! daemons that it knows of, before it serves.
 //!
-//! Where the platform lists no daemons, a fleet that starts or comes back together would
-//! read the whole of it once a daemon. There the seeds read it, and the others ask those
-//! that they know first: what one vouches for is as good as a listing.
+//! If the platform does not list daemons, a fleet that starts or restarts together would read the
+//! whole platform once for each daemon. There the seeds read it, and the others query the daemons
+//! that they know first: data with a proof of freshness from a daemon is as good as a listing.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,25 +22,25 @@
 use crate::ports::Platform;
 use crate::ports::Space;
 
-/// The pause before those that did not answer are asked again.
+/// The pause before a query that was not answered is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// The most daemons asked at the start: enough that one of them is up to date.
+/// The most daemons queried at the start; enough that one of them is up to date.
 const MAX_QUERIED: usize = 16;
 
-/// The most of them in other zones of the region, and in other regions, where there are
+/// The most of them in other zones of the region, and the most in other regions, if there are
 /// daemons in the own zone.
 const MAX_REMOTE: usize = 2;
 
 impl<F: Platform, P: Peers, C: Clock> Control<F, P, C> {
-    /// Asks until every copy and daemon has answered or refused, or the time
-    /// is up; with no configuration at all, it goes on in the background.
+    /// Queries until every replica and daemon has answered or refused, or the time is up. Without
+    /// any configuration by then, reading continues in the background.
     pub(super) async fn join(self: &Rc<Self>) {
         let limit = self.ports.clock.now() + self.settings.join_timeout;
         let querying = async { self.query_all().await };
         let expired = async {
             self.ports.clock.sleep_until(limit).await;
-            warn!("joining took its whole time; some did not answer");
+            warn!("joining timed out; some daemons or replicas did not answer");
         };
         querying.or(expired).await;
         info!("joined at revision {:?}", self.revision(Space::Config));
@@ -60,8 +60,8 @@
         self.await_laggards().await;
     }
 
-    /// Asks other daemons until one vouches for what it has, and the platform beside them:
-    /// at once where this daemon is a seed, which all others ask, else after a while.
+    /// Queries other daemons until one provides a proof of freshness, and the platform
+    /// concurrently: at once if this daemon is a seed, which all others query, else after a delay.
     async fn query_or_list(self: &Rc<Self>) {
         let is_seed = self.seeds.borrow().contains(&self.settings.own.host);
         let wait = platform_delay(is_seed, self.settings.first_start, self.settings.join_timeout);
@@ -74,7 +74,7 @@
         self.learning_until.set(None);
     }
 
-    /// Asks one daemon after the other until one vouches for what it has.
+    /// Queries one daemon after the other until one provides a proof of freshness.
     async fn query_peers(self: &Rc<Self>) {
         while self.is_overdue() {
             if let Some(host) = self.draw_peers(1).pop() {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Reads the copies in turn until one answers.
+    /// Lists the configuration from the replicas in turn until one answers.
     async fn list_until_answered(self: &Rc<Self>) {
         for replica in self.settings.replicas.iter().cycle() {
             let Err(error) = self.list(*replica, Space::Config).await else { return };
@@ -101,8 +101,9 @@
         }
     }
 
-    /// Reads a copy until it answers; an unreachable one is asked until joining
-    /// ends, unless another copy has answered.
+    /// Lists a space from a replica until it answers. An unreachable replica is queried until
+    /// joining ends, unless there are other replicas, the space is already held, or there are seeds
+    /// to query.
     async fn list_replica(self: &Rc<Self>, replica: std::net::SocketAddr, space: Space) {
         while let Err(error) = self.list(replica, space).await {
             if self.settings.replicas.len() > 1 || self.revision(space).is_some() {
@@ -116,8 +117,9 @@
         }
     }
 
-    /// Returns the next daemon to ask: those of the own availability zone first, and few of
-    /// others, since what all of a fleet that starts ask there crosses regions.
+    /// Returns the next daemon to query. Those of the own availability zone come first, and only a
+    /// few of other zones follow, since these queries of a whole fleet that starts would cross
+    /// regions.
     fn next_peer(&self, queried: &[HostId]) -> Option<HostId> {
         if queried.len() >= MAX_QUERIED {
             return None;
--- a/crates/harefield/src/control/mod.rs
+++ b/crates/harefield/src/control/mod.rs
@@ -1,5 +1,5 @@
-//! The control duty: keeps the configuration, the host list and the fleet's
-//! membership, and tells the workers.
+//! The control duty: keeps the configuration, the host list and the fleet's membership up to date,
+//! and publishes them to the workers.
 
 mod announcements;
 mod confirm;
--- a/crates/harefield/src/control/publish.rs
+++ b/crates/harefield/src/control/publish.rs
@@ -1,5 +1,5 @@
-//! What the control duty tells the workers and operators: the view, how daemons are
-//! seen, and upstreams' words.
+//! What the control duty publishes to the workers and operators: the view, the state of other
+//! daemons, and the announcements of upstreams.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 use crate::telemetry::ConfigStatus;
 
 impl<F: Platform, P: Peers, C: Clock> Control<F, P, C> {
-    /// Works out the view and tells the workers.
+    /// Computes the view and sends it to the workers.
     pub(super) fn publish(self: &Rc<Self>) {
         *self.fleet.borrow_mut() = self.candidates();
         let view = Arc::new(self.next_view());
@@ -54,11 +54,11 @@
         })
     }
 
-    /// Returns the daemons that cells are assigned among, in a stable order;
-    /// none where the platform lists them.
+    /// Returns the daemons that cells are assigned among, in a stable order. Empty if the platform
+    /// lists the daemons.
     fn candidates(&self) -> Vec<Candidate> {
         let members = self.members.borrow();
-        // A daemon that is stopping still serves what is in progress.
+        // A daemon that is stopping still completes its requests in progress.
         let own = &self.settings.own.host;
         let stays = |row: &&MemberRow| row.host == *own || row.state != PeerState::Leaving;
         let present = members.rows().filter(|row| !self.settings.lists_daemons && stays(row));
@@ -71,7 +71,7 @@
         present.map(candidate).collect()
     }
 
-    /// Tells the workers how daemons are seen now, and what cells that makes.
+    /// Publishes the state of the daemons to the workers, with a new view if the cells change.
     pub(super) fn members_changed(self: &Rc<Self>) {
         let changed = *self.fleet.borrow() != self.candidates();
         if changed && self.joined.get() {
@@ -81,38 +81,38 @@
         }
     }
 
-    /// Tells every worker; the rings are long enough for what control sends.
+    /// Sends a message to every worker. Their channels are long enough for what control sends.
     pub(super) fn send_workers(&self, message: &ToWorker) {
         for worker in &self.workers {
             if worker.try_send(message.clone()).is_err() {
-                warn!("a worker's ring is full or closed");
+                warn!("the channel of a worker is full or closed");
             }
         }
     }
 
-    /// Tells the workers which daemons are seen how.
+    /// Sends the state of all daemons to the workers and the status page.
     pub(super) fn publish_peers(&self) {
         let rows: Vec<MemberRow> = self.members.borrow().rows().cloned().collect();
         self.board.status().peers.clone_from(&rows);
         self.send_workers(&ToWorker::Peers(Arc::new(PeerView { rows })));
     }
 
-    /// Takes upstreams' words; tells the workers what was news.
+    /// Merges announcements of upstreams, and sends the newer ones to the workers.
     pub(super) fn merge_announcements(&self, announcements: &[NamedAnnouncement]) {
-        let news = self.announcements.borrow_mut().merge(announcements);
-        if !news.is_empty() {
-            self.send_workers(&ToWorker::Announcements(news.into()));
+        let newer = self.announcements.borrow_mut().merge(announcements);
+        if !newer.is_empty() {
+            self.send_workers(&ToWorker::Announcements(newer.into()));
         }
     }
 
-    /// Takes rows from a peer; tells the workers what was news.
+    /// Merges rows of daemons received from a peer, and publishes those that were newer.
     pub(super) fn merge_rows(self: &Rc<Self>, rows: &[MemberRow]) {
-        let news = self.members.borrow_mut().merge(rows);
-        for row in &news {
+        let newer = self.members.borrow_mut().merge(rows);
+        for row in &newer {
             let (host, state) = (Arc::clone(&row.host), row.state.to_string());
             self.emit(Event::PeerSeen { host, state });
         }
-        if !news.is_empty() {
+        if !newer.is_empty() {
             self.members_changed();
         }
     }
@@ -131,14 +131,14 @@
         };
     }
 
-    /// Returns whether the platform does not answer for the configuration, or came back
-    /// a moment ago.
+    /// Returns whether the platform does not respond for the configuration, or recovered less than
+    /// [`GRACE`] ago.
     pub(super) fn platform_unreachable(&self) -> bool {
         let reachability = self.reachability.borrow().get(&Space::Config).copied().unwrap_or_default();
         reachability.was_unreachable(self.ports.clock.now(), GRACE)
     }
 
-    /// Publishes once more when what was kept is taken to be gone.
+    /// Publishes the view again once the next kept upstream is treated as gone.
     pub(super) fn schedule_removal(self: &Rc<Self>) {
         let Some(until) = self.recently_removed.borrow().next_removal() else { return };
         if self.removal_pending.replace(true) {
--- a/crates/harefield/src/control/reader.rs
+++ b/crates/harefield/src/control/reader.rs
@@ -1,5 +1,5 @@
-//! Reading the platform: a few daemons of each availability zone hold the
-//! watch; the others hear from them.
+//! Reading the platform: a few daemons of each availability zone watch it, and the others receive
+//! its updates from them.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -27,35 +27,34 @@
 use crate::ports::Space;
 use crate::ports::WatchResult;
 
-/// The first pause after a copy did not answer; it doubles with each failure.
+/// The first pause after a replica did not answer. It doubles with each failure.
 const BACKOFF: Duration = Duration::from_millis(250);
 
-/// The longest pause after failures: a third of the 3 s within which a change is to be in
-/// force, so that one is read in time also after a long outage.
+/// The longest pause after failures: a third of the 3 s within which a change has to be in force,
+/// so that one is read in time even after a long outage.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// After this many failures in a row a daemon says that it cannot reach the
-/// platform.
+/// After this many consecutive failures a daemon announces that it cannot reach the platform.
 const BLIND_AFTER: u32 = 2;
 
-/// The pause after news before the watch is held again: upstreams that register
-/// one by one then come together, and each call costs. It is a tenth of the 3 s
-/// within which a change is to be in force.
+/// The pause after an update before the next watch, a tenth of the 3 s within which a change has to
+/// be in force. Upstreams that register one by one are then read together, since each call has a
+/// cost.
 pub(super) const BATCH_PAUSE: Duration = Duration::from_millis(300);
 
-/// An answer to a watch with as many revisions may have been cut: the users' store tells some
+/// A response to a watch with this many revisions may be truncated: the users' store returns some
 /// 500 at a time.
 const LONG_RESPONSE: usize = 256;
 
-/// The most revisions that are read before they are put in force: some seconds of the users'
+/// The most revisions that are read before they are applied: some seconds of changes at the users'
 /// largest site while all its upstreams start.
 const MAX_BATCH: usize = 16_384;
 
-/// How often a daemon that is not a reader looks whether it has become one.
+/// How often a daemon that is not a reader checks whether it has become one.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 impl<F: Platform, P: Peers, C: Clock> Control<F, P, C> {
-    /// Holds the watch on one space while this daemon is a reader.
+    /// Watches one space while this daemon is a reader.
     pub(super) async fn read_space(self: Rc<Self>, space: Space) {
         let mut index: usize = 0;
         let mut failures: u32 = 0;
@@ -87,7 +86,7 @@
     }
 
     fn record_failure(&self, space: Space, error: &PlatformError, started: Instant) {
-        // One that answers, and has nothing yet, is not lost.
+        // A platform that answers, but has no data yet, is not lost.
         if !matches!(error, PlatformError::Unreachable | PlatformError::Rejected(_)) {
             return;
         }
@@ -106,7 +105,7 @@
         }
     }
 
-    /// Notes that the platform is asked now, and returns when that is.
+    /// Records that the platform is queried now, and returns the current time.
     fn record_query(&self, space: Space) -> Instant {
         let now = self.ports.clock.now();
         if space == Space::Config {
@@ -115,13 +114,14 @@
         now
     }
 
-    /// Tells the others whether this daemon can reach the platform.
+    /// Informs the workers and other daemons whether this daemon can reach the platform, if that
+    /// changed.
     fn announce_blind(&self, space: Space, blind: bool) {
         if space != Space::Config {
             return;
         }
-        let news = self.members.borrow_mut().set_blind(blind);
-        if news {
+        let changed = self.members.borrow_mut().set_blind(blind);
+        if changed {
             self.publish_peers();
             self.relay();
         }
@@ -152,8 +152,8 @@
         }
     }
 
-    /// Reads a whole space; pages read at different revisions are brought to
-    /// one by watching, before anything is offered.
+    /// Reads a whole space. Pages read at different revisions are brought to a single one by
+    /// watching before anything is applied.
     pub(super) async fn list(
         self: &Rc<Self>,
         replica: SocketAddr,
@@ -167,8 +167,8 @@
         }
         let listed = listing.first;
         self.record_era(space, listed.era, "platform");
-        // A copy that is behind vouches for nothing, and is read again after a pause: without
-        // one, a daemon made 1,822 calls in 2 s.
+        // A replica that is behind proves nothing, and is read again after a pause: without one, a
+        // daemon made 1,822 calls in 2 s.
         if self.seen(space) > Some(listed) {
             self.report_stale(space, listed);
             return Err(PlatformError::Behind(listed));
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Tells of a listing that is older than what is held, once for each pair of revisions.
+    /// Reports a listing that is older than what is held, once for each pair of revisions.
     fn report_stale(&self, space: Space, revision: Revision) {
         let held = self.seen(space).unwrap_or_default();
         if self.last_stale.replace(Some((revision, held))) != Some((revision, held)) {
@@ -239,11 +239,12 @@
         Ok(())
     }
 
-    /// Reads on at once while answers are as long as those that are cut: what comes behind
-    /// thousands of other changes would wait for as many pauses, and an answer that is cut
-    /// shows nothing of what comes after it. With 580 changes a second of 1,350 upstreams,
-    /// 500 to an answer, daemons were seconds behind; behind 8,000 changes, one is in force at
-    /// four daemons after 0.08 s in place of 4.96 (a run of the test each).
+    /// Continues reading at once while responses are as long as truncated ones. Otherwise a change
+    /// behind thousands of others would wait for as many pauses as there are responses, and a
+    /// truncated response proves nothing about later changes. With 580 changes a second from 1,350
+    /// upstreams and 500 changes in a response, daemons were seconds behind. Behind 8,000 changes,
+    /// a change is in force at four daemons after 0.08 s instead of 4.96 s (one run of the test
+    /// each).
     async fn read_remaining(
         &self,
         replica: SocketAddr,
@@ -268,7 +269,7 @@
         Ok(if last < LONG_RESPONSE { CatchUpEnd::Complete } else { CatchUpEnd::More })
     }
 
-    /// Takes changes in order; what they lead to is told once.
+    /// Applies changes in order, and publishes their combined result once.
     fn apply_deltas(self: &Rc<Self>, space: Space, deltas: &[Delta]) {
         let newer = match space {
             Space::Config => self.offer_deltas(deltas),
@@ -296,8 +297,8 @@
         newer
     }
 
-    /// Notes that nothing else has changed up to a revision, if what changed
-    /// before it was taken.
+    /// Records that there are no other changes up to a revision. The changes before it must have
+    /// been applied.
     fn advance_cursor(&self, space: Space, at: Revision) {
         if space == Space::Config {
             self.cursor.set(self.cursor.get().max(at));
@@ -305,29 +306,29 @@
     }
 }
 
-/// What watches in a row have told.
+/// The changes returned by consecutive watches.
 struct WatchedChanges {
     deltas: Vec<Delta>,
-    /// The revision up to which nothing else changed.
+    /// The revision up to which there are no other changes.
     at: Revision,
-    /// As of when nothing confirmed is missing in it.
+    /// The time up to which every confirmed change is included.
     proven: Instant,
 }
 
-/// How reading on ended.
+/// How reading the remaining changes ended.
 enum CatchUpEnd {
-    /// Nothing more was there.
+    /// Nothing is left to read.
     Complete,
-    /// There may be more.
+    /// There may be more changes.
     More,
-    /// The platform no longer has it.
+    /// The platform no longer has the changes.
     Compacted,
-    /// It came back from a copy, and is in this era.
+    /// The platform was restored from a backup copy and is in this era.
     Restored(Era),
 }
 
-/// Puts watched changes on top of what is held: a daemon may have heard of the
-/// first of them elsewhere, and revisions that changed nothing are left out.
+/// Makes watched changes continue what is held: the first ones may have arrived from another
+/// daemon, and revisions without changes are left out.
 fn rebase(mut deltas: Vec<Delta>, held: Option<Revision>) -> Vec<Delta> {
     deltas.retain(|delta| Some(delta.revision) > held);
     if let (Some(first), Some(held)) = (deltas.first_mut(), held) {
@@ -342,11 +343,11 @@
         WatchResult::Changes { deltas, at } => (deltas, at),
         WatchResult::Restored(_) => return Err(PlatformError::Restored),
         WatchResult::Compacted => {
-            return Err(PlatformError::Malformed("changes are gone while listing".to_owned()));
+            return Err(PlatformError::Malformed("changes were compacted during a listing".to_owned()));
         }
     };
     if deltas.is_empty() && at <= listing.first {
-        return Err(PlatformError::Malformed("a page is newer than all changes".to_owned()));
+        return Err(PlatformError::Malformed("a page of a listing is newer than all changes".to_owned()));
     }
     let reached = at;
     for delta in deltas {
--- a/crates/harefield/src/control/recently_removed.rs
+++ b/crates/harefield/src/control/recently_removed.rs
@@ -1,8 +1,8 @@
-//! Upstreams whose entries lapsed while the platform was away.
+//! Upstreams whose entries disappeared while the platform was unreachable.
 //!
-//! Entries of upstreams that live are back soon after the platform's return; until
-//! then they stay in the view, so that an outage of the platform is none of the
-//! fleet's. One that is missing after that is gone.
+//! Upstreams that are still running register again soon after the platform has recovered. Until
+//! then they stay in the view, so that an outage of the platform does not become an outage of the
+//! fleet. An upstream that is still missing after that is gone.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,31 +13,30 @@
 use crate::domain::resources::ResourceSet;
 use crate::domain::resources::Upstream;
 
-/// How long entries may be missing after the platform's return: the users'
-/// upstreams are back within some 2 s, and no work may reach one that is gone
-/// for 3 s.
+/// How long entries may be missing after the platform has recovered. The users' upstreams register
+/// again within some 2 s, and no work may be sent to an upstream that has been gone for 3 s.
 pub(super) const GRACE: Duration = Duration::from_millis(2200);
 
-/// This many upstreams that vanish at once show an outage that went unnoticed:
-/// a watch may hang through it.
+/// This many upstreams that are removed together indicate an outage that went unnoticed, since a
+/// watch may hang throughout it.
 const OUTAGE_COUNT: usize = 3;
 
-/// How close together that is: news of the platform is folded for 300 ms at a
-/// time, so three that vanish one by one come within 900 ms.
+/// The time within which they count as removed together. Updates of the platform are batched for
+/// 300 ms at a time, so three upstreams that are removed one by one arrive within 900 ms.
 const OUTAGE_WINDOW: Duration = Duration::from_secs(1);
 
-/// The upstreams that stay in the view for a while.
+/// The upstreams that stay in the view for some time after their removal.
 #[derive(Debug, Default)]
 pub(super) struct RecentlyRemoved {
     previous: BTreeMap<UpstreamId, Arc<Upstream>>,
     kept: BTreeMap<UpstreamId, (Arc<Upstream>, Instant)>,
-    /// Those that vanished a moment ago.
+    /// The upstreams removed within the last [`OUTAGE_WINDOW`].
     removed: Vec<(UpstreamId, Arc<Upstream>, Instant)>,
 }
 
 impl RecentlyRemoved {
-    /// Takes the set in force, and whether the platform was away a moment ago;
-    /// returns the set with what may have lapsed.
+    /// Returns `set` extended by the upstreams that may still be running. `away` says whether the
+    /// platform is unreachable or recovered a moment ago.
     pub(super) fn patch(&mut self, set: &Arc<ResourceSet>, away: bool, now: Instant) -> Arc<ResourceSet> {
         self.kept.retain(|name, (_, until)| now < *until && !set.upstreams.contains_key(name));
         let gone: Vec<(UpstreamId, Arc<Upstream>)> = self
@@ -61,12 +60,12 @@
         Arc::new(set.with_upstreams(self.kept.iter().map(|(name, (upstream, _))| (name, upstream))))
     }
 
-    /// Takes an upstream for gone at once: it has had its time to write.
+    /// Treats an upstream as gone at once, since it has had the time to write again.
     pub(super) fn forget(&mut self, upstream: &str) {
         self.previous.remove(upstream);
     }
 
-    /// Returns when the next upstream that was kept is taken to be gone.
+    /// Returns when the next kept upstream is treated as gone.
     pub(super) fn next_removal(&self) -> Option<Instant> {
         self.kept.values().map(|(_, until)| *until).min()
     }
--- a/crates/harefield/src/control/suspicion.rs
+++ b/crates/harefield/src/control/suspicion.rs
@@ -1,4 +1,4 @@
-//! Works under which upstreams ended: what workers and other daemons know of them.
+//! Works suspected of crashing upstreams: merges what workers and other daemons know of them.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -16,28 +16,28 @@
 use crate::ports::Peers;
 use crate::ports::Platform;
 
-/// News of such works goes to other daemons at once, and again after this pause for what came
-/// meanwhile: under thousands of such works it bounds what is sent to 12 messages a second.
+/// Changes of such works are sent to other daemons at once, and after this pause again for what
+/// arrived meanwhile. With thousands of such works it limits the traffic to 12 messages a second.
 const WARN_PAUSE: Duration = Duration::from_millis(250);
 
 impl<F: Platform, P: Peers, C: Clock> Control<F, P, C> {
-    /// Takes what a worker found, and passes it on.
+    /// Merges what a worker found, and passes it on if it was new.
     pub(super) fn record_suspect(self: &Rc<Self>, suspect: &Suspect) {
         if self.merge_suspect(suspect) {
             self.schedule_warning();
         }
     }
 
-    /// Takes what another daemon knows, and passes on what was news.
+    /// Merges what another daemon knows, and passes on what was new.
     pub(super) fn merge_suspects(self: &Rc<Self>, reports: &[SuspectReport]) {
         let now = self.ports.clock.now();
-        let news = reports.iter().filter(|report| self.merge_suspect(&report.to_suspect(now)));
-        if news.count() > 0 {
+        let changed = reports.iter().filter(|report| self.merge_suspect(&report.to_suspect(now)));
+        if changed.count() > 0 {
             self.schedule_warning();
         }
     }
 
-    /// Joins what is known of a work; returns whether others are to be told.
+    /// Merges what is known of one work; returns whether other daemons have to be informed.
     fn merge_suspect(&self, suspect: &Suspect) -> bool {
         let now = self.ports.clock.now();
         let mut suspects = self.suspects.borrow_mut();
@@ -62,7 +62,8 @@
         self.emit(event);
     }
 
-    /// Tells a few daemons at once, unless that was done a moment ago: then after a pause.
+    /// Sends the suspected works to a few daemons at once, or after a pause if that was done a
+    /// moment ago.
     fn schedule_warning(self: &Rc<Self>) {
         let now = self.ports.clock.now();
         let last = self.warning_at.get();
@@ -80,14 +81,14 @@
         self.executor.spawn(send).detach();
     }
 
-    /// Returns what a daemon that has just started is told of such works.
+    /// Returns the works to send to a daemon that has just started.
     pub(super) fn severe_reports(&self) -> Vec<SuspectReport> {
         let now = self.ports.clock.now();
         let severe = self.suspects.borrow().most_severe(now);
         severe.iter().map(|suspect| SuspectReport::new(suspect, now)).collect()
     }
 
-    /// Returns a message that says how far this daemon is and what works it suspects.
+    /// Returns a message with this daemon's marks and the suspected works that are due to be sent.
     pub(super) fn suspects_message(&self) -> Exchange {
         let now = self.ports.clock.now();
         let suspects = self.suspects.borrow_mut().digest(now);
