--- a/crates/harefield/src/control/gossip.rs
+++ b/crates/harefield/src/control/gossip.rs
@@ -213,7 +213,7 @@
 
     /// Returns whether this daemon, while it starts, leaves it to the readers of its zone to pull
     /// from another region. Otherwise every daemon of a fleet that starts would transfer the same
-    /// data between regions. A daemon that knows no other of its zone cannot tell who reads, and
+    /// data between regions. A daemon that knows no other of its zone does not know who reads, and
     /// waits too.
     fn defers_pull(&self, host: &HostId) -> bool {
         let learning = self.learning_until.get().is_some_and(|until| self.ports.clock.now() < until);
--- a/crates/harefield/src/control/recently_removed.rs
+++ b/crates/harefield/src/control/recently_removed.rs
@@ -35,9 +35,14 @@
 }
 
 impl RecentlyRemoved {
-    /// Returns `set` extended by the upstreams that may still be running. `away` says whether the
-    /// platform is unreachable or recovered a moment ago.
-    pub(super) fn patch(&mut self, set: &Arc<ResourceSet>, away: bool, now: Instant) -> Arc<ResourceSet> {
+    /// Returns `set` extended by the upstreams that may still be running. `unreachable` says
+    /// whether the platform does not respond or recovered less than [`GRACE`] ago.
+    pub(super) fn patch(
+        &mut self,
+        set: &Arc<ResourceSet>,
+        unreachable: bool,
+        now: Instant,
+    ) -> Arc<ResourceSet> {
         self.kept.retain(|name, (_, until)| now < *until && !set.upstreams.contains_key(name));
         let gone: Vec<(UpstreamId, Arc<Upstream>)> = self
             .previous
@@ -49,7 +54,7 @@
             now.saturating_duration_since(*at) < OUTAGE_WINDOW && !set.upstreams.contains_key(name)
         });
         self.removed.extend(gone.into_iter().map(|(name, upstream)| (name, upstream, now)));
-        if away || self.removed.len() >= OUTAGE_COUNT {
+        if unreachable || self.removed.len() >= OUTAGE_COUNT {
             let removed = self.removed.drain(..);
             self.kept.extend(removed.map(|(name, upstream, _)| (name, (upstream, now + GRACE))));
         }
--- a/crates/harefield/tests/fleet/link.rs
+++ b/crates/harefield/tests/fleet/link.rs
@@ -1,4 +1,5 @@
-//! The network and the platform between control duties, which can be cut and go silent.
+//! A network and a platform that connect control duties. Links can be cut, and the platform can
+//! stop answering.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -37,35 +38,35 @@
 use harefield::ports::Space;
 use harefield::ports::WatchResult;
 
-/// How often a waiting watch looks for changes.
-const STEP: Duration = Duration::from_millis(20);
+/// How often a waiting watch checks for changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What daemons and the platform share in the test.
+/// The state of the network and the platform, shared by all daemons of a test.
 #[derive(Debug, Default)]
 pub struct Shared {
     pub inboxes: BTreeMap<HostId, Sender<ToControl>>,
     pub cut: BTreeSet<(usize, usize)>,
     pub blind: BTreeSet<usize>,
-    /// The spaces whose watches are never answered where they wait.
+    /// The spaces whose watches are never answered if they wait.
     pub mute: BTreeSet<Space>,
-    /// Calls of the platform by each daemon.
+    /// The number of calls to the platform, by daemon.
     pub calls: BTreeMap<usize, usize>,
-    /// Exchanges that each daemon began.
+    /// The number of exchanges begun, by daemon.
     pub exchanges: BTreeMap<usize, usize>,
     pub log: Vec<(Space, u64, Change)>,
     pub revisions: BTreeMap<Space, u64>,
-    /// How often it came back from a copy.
+    /// How often the platform was restored from a backup.
     pub era: Era,
     /// How often the resources were listed.
     pub listings: usize,
-    /// The bytes of news that daemons were sent.
-    pub pulled: usize,
+    /// The bytes of updates that daemons have pulled from each other.
+    pub pulled_bytes: usize,
     /// The region of each daemon.
     pub regions: Vec<usize>,
-    /// How often news were pulled from another region.
-    pub crossed: usize,
-    /// The most changes that one watch tells; none for all.
-    pub most: Option<usize>,
+    /// How often updates were pulled from another region.
+    pub cross_region_pulls: usize,
+    /// The most changes that one watch returns. `None` if there is no limit.
+    pub max_changes: Option<usize>,
 }
 
 /// The network and the platform, as one daemon reaches them.
@@ -85,7 +86,7 @@
 }
 
 impl Link {
-    fn reach(&self, to: &HostId) -> Result<Sender<ToControl>, PeerError> {
+    fn inbox_of(&self, to: &HostId) -> Result<Sender<ToControl>, PeerError> {
         let shared = self.shared.borrow();
         let cut = shared.cut.contains(&(self.own, number(to)));
         let inbox = shared.inboxes.get(to).filter(|_| !cut);
@@ -99,7 +100,7 @@
 
     async fn call<R>(&self, to: &HostId, wrap: impl FnOnce(Sender<R>) -> ToControl) -> Result<R, PeerError> {
         let (sender, receiver) = async_channel::bounded(1);
-        let inbox = self.reach(to)?;
+        let inbox = self.inbox_of(to)?;
         inbox.try_send(wrap(sender)).map_err(|_full| PeerError::Silent)?;
         receiver.recv().await.map_err(|_gone| PeerError::Silent)
     }
@@ -110,14 +111,14 @@
         Revision::new(self.era, self.revisions.get(&space).copied().unwrap_or(0))
     }
 
-    /// Comes back from a copy of its resources as they were at a revision.
-    pub fn restore(&mut self, copy: Revision) {
-        self.log.retain(|(space, number, _)| *space != Space::Config || *number <= copy.number);
-        self.revisions.insert(Space::Config, copy.number);
+    /// Restores the resources from a backup at a revision, which begins a new era.
+    pub fn restore(&mut self, backup: Revision) {
+        self.log.retain(|(space, number, _)| *space != Space::Config || *number <= backup.number);
+        self.revisions.insert(Space::Config, backup.number);
         self.era += 1;
     }
 
-    fn of(&self, space: Space) -> impl Iterator<Item = (Revision, &Change)> {
+    fn changes_in(&self, space: Space) -> impl Iterator<Item = (Revision, &Change)> {
         let own = self.log.iter().filter(move |(held, ..)| *held == space);
         own.map(|(_, number, change)| (Revision::new(self.era, *number), change))
     }
@@ -148,8 +149,8 @@
 
     async fn exchange(&self, host: &HostId, message: &Exchange, _: Duration) -> Result<Exchange, PeerError> {
         *self.shared.borrow_mut().exchanges.entry(self.own).or_default() += 1;
-        let said = Box::new(message.clone());
-        self.call(host, |reply| ToControl::Exchange(said, reply)).await
+        let boxed = Box::new(message.clone());
+        self.call(host, |reply| ToControl::Exchange(boxed, reply)).await
     }
 
     async fn pull(&self, host: &HostId, message: Pull, _: Duration) -> Result<News, PeerError> {
@@ -157,8 +158,8 @@
         let size = rmp_serde::to_vec_named(&news).map_or(0, |bytes| bytes.len());
         let far = usize::from(self.is_far(host));
         let mut shared = self.shared.borrow_mut();
-        shared.pulled += size;
-        shared.crossed += far;
+        shared.pulled_bytes += size;
+        shared.cross_region_pulls += far;
         Ok(news)
     }
 }
@@ -172,7 +173,7 @@
             return Err(PlatformError::Unreachable);
         }
         let mut items = Items::new();
-        for (_, change) in shared.of(space) {
+        for (_, change) in shared.changes_in(space) {
             match &change.value {
                 Some(value) => items.insert(Arc::clone(&change.key), Arc::clone(value)),
                 None => items.remove(&change.key),
@@ -192,9 +193,9 @@
         if self.shared.borrow().mute.contains(&space) && !wait.is_zero() {
             return std::future::pending().await;
         }
-        let until = Instant::now() + wait.max(STEP);
+        let until = Instant::now() + wait.max(POLL_INTERVAL);
         while Instant::now() < until && !self.is_newer(space, after) {
-            Timer::after(STEP).await;
+            Timer::after(POLL_INTERVAL).await;
         }
         let shared = self.shared.borrow();
         if shared.blind.contains(&self.own) {
@@ -203,15 +204,15 @@
         if shared.era > after.era {
             return Ok(WatchResult::Restored(shared.era));
         }
-        let newer = shared.of(space).filter(|(revision, _)| *revision > after);
+        let newer = shared.changes_in(space).filter(|(revision, _)| *revision > after);
         let deltas = newer.map(|(revision, change)| Delta {
             base: Revision::new(revision.era, revision.number - 1),
             revision,
             changes: vec![change.clone()],
             kind: DeltaKind::Single,
         });
-        let deltas: Vec<Delta> = deltas.take(shared.most.unwrap_or(usize::MAX)).collect();
-        let cut = shared.most.is_some_and(|most| deltas.len() == most);
+        let deltas: Vec<Delta> = deltas.take(shared.max_changes.unwrap_or(usize::MAX)).collect();
+        let cut = shared.max_changes.is_some_and(|limit| deltas.len() == limit);
         let at = deltas.last().filter(|_| cut).map_or(shared.revision(space), |delta| delta.revision);
         Ok(WatchResult::Changes { deltas, at })
     }
--- a/crates/harefield/tests/fleet/main.rs
+++ b/crates/harefield/tests/fleet/main.rs
@@ -1,10 +1,10 @@
-//! Tests of the control duty of several daemons over a network that can be cut,
-//! on one thread, with fakes at the ports.
+//! Tests of the control duties of several daemons over a network that can be cut, on one thread,
+//! with fakes at the ports.
 
 mod current;
 mod eras;
 mod joining;
 mod link;
+mod preconnect;
 mod split;
 mod support;
-mod warming;
--- a/crates/harefield/tests/fleet/warming.rs
+++ b/crates/harefield/tests/fleet/preconnect.rs
@@ -1,4 +1,4 @@
-//! Connections opened ahead of need to an upstream that is not there.
+//! Opening connections ahead of need to an upstream that is not running.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,26 +18,26 @@
 use harefield::ports::Upstreams;
 
 #[test]
-fn dead_left_alone() {
+fn unreachable_backoff() {
     let executor: Rc<LocalExecutor<'static>> = Rc::default();
     let upstreams = HttpUpstreams::new(OwnProtocol, Rc::clone(&executor), Memory::default());
-    // A port that was just free refuses connections.
+    // A port that was free a moment ago refuses connections.
     let listener = std::net::TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
     let address = listener.local_addr().expect("it has an address");
     drop(listener);
-    let place = Endpoint { upstream: "gone".into(), address };
-    let begun = Instant::now();
-    let mut tries = 0;
-    while begun.elapsed() < Duration::from_millis(900) {
-        tries += u32::from(upstreams.preconnect(&place, 3, 2));
+    let endpoint = Endpoint { upstream: "gone".into(), address };
+    let started = Instant::now();
+    let mut attempts = 0;
+    while started.elapsed() < Duration::from_millis(900) {
+        attempts += u32::from(upstreams.preconnect(&endpoint, 3, 2));
         async_io::block_on(executor.run(Timer::after(Duration::from_millis(5))));
     }
-    assert!((1..=6).contains(&tries), "{tries} tries in 0.9 s");
+    assert!((1..=6).contains(&attempts), "{attempts} attempts in 0.9 s");
 }
 
 #[test]
-fn own_limit_says_nothing() {
-    // That no connection was free here is no word of the upstream's.
+fn local_limit_neutral() {
+    // That no local connection was free says nothing about the upstream.
     assert_eq!(unsent(Gap::Overloaded).verdict, AttemptOutcome::Declined);
     assert_eq!(unsent(Gap::Unreachable).verdict, AttemptOutcome::Failed);
 }
--- a/crates/harefield/tests/fleet/support.rs
+++ b/crates/harefield/tests/fleet/support.rs
@@ -1,4 +1,4 @@
-//! Daemons' control duties joined by a network that can be cut.
+//! The control duties of several daemons, connected by a network that can be cut.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -36,35 +36,35 @@
 use harefield::telemetry;
 use harefield::telemetry::Board;
 
-/// How long anything that should happen may take: far longer than it does.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How long any expected event may take: far longer than it does.
+const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
-/// How daemons are set up.
+/// The settings that differ between the daemons of different tests.
 #[derive(Clone, Copy, Debug)]
 pub struct Tuning {
-    pub exchange: Duration,
-    pub watch: Duration,
+    pub gossip_interval: Duration,
+    pub max_watch: Duration,
     pub apply: Duration,
     pub readers: usize,
 }
 
-/// Quick exchanges and watches.
+/// Short intervals between exchanges and short watches.
 const QUICK: Tuning = Tuning {
-    exchange: Duration::from_millis(50),
-    watch: Duration::from_millis(20),
+    gossip_interval: Duration::from_millis(50),
+    max_watch: Duration::from_millis(20),
     apply: Duration::from_secs(3),
     readers: 2,
 };
 
-/// Heartbeats that come often.
-pub const CARRY: RetentionTimes =
+/// Retention times for frequent heartbeats.
+pub const RETENTION: RetentionTimes =
     RetentionTimes { upstream: Duration::from_millis(1500), operator: Duration::from_millis(2500) };
 
-/// The regions of a fleet, and its availability zones.
+/// The number of regions and of availability zones of a fleet in several regions.
 const REGIONS: usize = 3;
 pub const ZONES: usize = 6;
 
-/// A lookup.
+/// A valid lookup.
 pub const LOOKUP: &str =
     r#"{"index":"i","urgency":"bulk","deadline-ms":5,"repeatable":true,"prefer":"time"}"#;
 
@@ -73,7 +73,7 @@
     format!("z{}", own % ZONES).into()
 }
 
-/// Several daemons' control duties.
+/// The control duties of several daemons.
 pub struct Fleet {
     executor: Rc<LocalExecutor<'static>>,
     shared: Rc<RefCell<Shared>>,
@@ -89,7 +89,7 @@
         Self::start_as(count, QUICK)
     }
 
-    /// The same with another tuning.
+    /// Starts daemons that know each other as seeds, with other settings.
     pub fn start_as(count: usize, tuning: Tuning) -> Self {
         let executor: Rc<LocalExecutor<'static>> = Rc::default();
         let shared = Rc::default();
@@ -116,8 +116,8 @@
         own
     }
 
-    /// Starts a fleet of which the first three daemons are seeds, in three regions of two
-    /// availability zones, beside a configuration of `lookups` lookups.
+    /// Starts a fleet in three regions with two availability zones each, and with a configuration
+    /// of `lookups` lookups. Its first three daemons are seeds.
     pub fn start_in_regions(count: usize, lookups: usize, tuning: Tuning) -> Self {
         let mut fleet = Self::start_as(0, tuning);
         for number in 0..lookups {
@@ -126,24 +126,24 @@
         fleet.shared.borrow_mut().regions = (0..count).map(|own| own % REGIONS).collect();
         for own in 0..count {
             let regions = |zone: usize| (zone_of(zone), format!("r{}", zone % REGIONS).into());
-            let places = Topology { zone: zone_of(own), regions: (0..ZONES).map(regions).collect() };
-            fleet.add_at(own, REGIONS, tuning, places);
+            let topology = Topology { zone: zone_of(own), regions: (0..ZONES).map(regions).collect() };
+            fleet.add_at(own, REGIONS, tuning, topology);
         }
         fleet.newest = RefCell::new(vec![None; count]);
         fleet
     }
 
-    /// Returns how often daemons pulled news from another region.
-    pub fn crossed(&self) -> usize {
-        self.shared.borrow().crossed
+    /// Returns how often daemons pulled updates from another region.
+    pub fn cross_region_pulls(&self) -> usize {
+        self.shared.borrow().cross_region_pulls
     }
 
     fn add(&mut self, own: usize, count: usize, tuning: Tuning) {
         self.add_at(own, count, tuning, Topology { zone: "a".into(), ..Topology::default() });
     }
 
-    fn add_at(&mut self, own: usize, count: usize, tuning: Tuning, places: Topology) {
-        let listed = places.regions.is_empty();
+    fn add_at(&mut self, own: usize, count: usize, tuning: Tuning, topology: Topology) {
+        let listed = topology.regions.is_empty();
         let (control, inbox) = async_channel::bounded(1024);
         self.shared.borrow_mut().inboxes.insert(host(own), control);
         let link = Link { own, shared: Rc::clone(&self.shared) };
@@ -151,7 +151,7 @@
         let settings = ControlSettings {
             own: MemberRow {
                 host: host(own),
-                zone: Arc::clone(&places.zone),
+                zone: Arc::clone(&topology.zone),
                 operators: "127.0.0.1:1".into(),
                 incarnation: 1,
                 version: 0,
@@ -161,22 +161,22 @@
             },
             replicas: vec![SocketAddr::from(([127, 0, 0, 1], 1))],
             seeds: (0..count).map(host).collect(),
-            gossip_interval: tuning.exchange,
+            gossip_interval: tuning.gossip_interval,
             join_timeout: if listed { Duration::from_millis(200) } else { Duration::from_secs(3) },
             first_start: !listed,
-            max_watch: tuning.watch,
+            max_watch: tuning.max_watch,
             freshness: FreshnessSchedule::new(tuning.apply),
             readers: tuning.readers,
-            retention: CARRY,
+            retention: RETENTION,
             cold_bounds: ColdBounds::default(),
             cell_size: CellSize::default(),
-            topology: places,
+            topology,
             require_keys: false,
             lists_daemons: listed,
         };
         let ports = ControlPorts { platform: link.clone(), peers: link, clock: SystemClock };
-        let (worker, told) = async_channel::unbounded();
-        self.workers.push(told);
+        let (worker, messages) = async_channel::unbounded();
+        self.workers.push(messages);
         let (events, _batches) = telemetry::ring();
         let duty = Control::new(
             settings,
@@ -210,13 +210,13 @@
         shared.revision(space)
     }
 
-    /// Comes back from a copy of the resources as they were at a revision.
-    pub fn restore(&self, copy: Revision) {
-        self.shared.borrow_mut().restore(copy);
+    /// Restores the platform from a backup of the resources at a revision.
+    pub fn restore(&self, backup: Revision) {
+        self.shared.borrow_mut().restore(backup);
     }
 
-    /// Takes one value away as one revision, and returns it.
-    pub fn take_away(&self, key: &str) -> Revision {
+    /// Removes one value as one revision, and returns it.
+    pub fn remove(&self, key: &str) -> Revision {
         self.publish_in(Space::Config, key, None)
     }
 
@@ -225,63 +225,63 @@
         self.boards[daemon].set()
     }
 
-    /// Tells a daemon's control duty something, as its worker does.
-    pub fn say(&self, daemon: usize, message: ToControl) {
+    /// Sends a message to the control duty of a daemon, as its worker does.
+    pub fn send(&self, daemon: usize, message: ToControl) {
         let inbox = self.shared.borrow().inboxes[&host(daemon)].clone();
         inbox.try_send(message).expect("the control duty runs");
     }
 
-    /// Returns what a daemon's worker was told since it was asked before.
-    pub fn told(&self, daemon: usize) -> Vec<ToWorker> {
+    /// Returns the messages that the worker of a daemon has received since the last call.
+    pub fn drain_messages(&self, daemon: usize) -> Vec<ToWorker> {
         std::iter::from_fn(|| self.workers[daemon].try_recv().ok()).collect()
     }
 
-    /// Says which daemons cannot reach the platform.
-    pub fn blind(&self, daemons: impl IntoIterator<Item = usize>) {
+    /// Sets which daemons cannot reach the platform.
+    pub fn set_blind(&self, daemons: impl IntoIterator<Item = usize>) {
         self.shared.borrow_mut().blind = daemons.into_iter().collect();
     }
 
-    /// Says in which spaces watches that wait are never answered from now on.
-    pub fn mute(&self, spaces: &[Space]) {
+    /// Sets the spaces whose waiting watches are never answered from now on.
+    pub fn mute_watches(&self, spaces: &[Space]) {
         self.shared.borrow_mut().mute = spaces.iter().copied().collect();
     }
 
-    /// Says how many changes one watch tells from now on.
-    pub fn limit_watches(&self, most: usize) {
-        self.shared.borrow_mut().most = Some(most);
+    /// Sets how many changes one watch returns from now on.
+    pub fn limit_watches(&self, limit: usize) {
+        self.shared.borrow_mut().max_changes = Some(limit);
     }
 
     /// Returns how often each daemon has called the platform.
     pub fn calls(&self) -> Vec<usize> {
-        self.of_each(&self.shared.borrow().calls)
+        self.per_daemon(&self.shared.borrow().calls)
     }
 
-    /// Returns how often the platform was listed.
+    /// Returns how often the resources were listed.
     pub fn listings(&self) -> usize {
         self.shared.borrow().listings
     }
 
-    /// Returns how many bytes of news daemons were sent.
-    pub fn pulled(&self) -> usize {
-        self.shared.borrow().pulled
+    /// Returns how many bytes of updates daemons have pulled from each other.
+    pub fn pulled_bytes(&self) -> usize {
+        self.shared.borrow().pulled_bytes
     }
 
     /// Returns how many exchanges each daemon has begun.
     pub fn exchanges(&self) -> Vec<usize> {
-        self.of_each(&self.shared.borrow().exchanges)
+        self.per_daemon(&self.shared.borrow().exchanges)
     }
 
-    fn of_each(&self, counts: &BTreeMap<usize, usize>) -> Vec<usize> {
+    fn per_daemon(&self, counts: &BTreeMap<usize, usize>) -> Vec<usize> {
         (0..self.boards.len()).map(|own| counts.get(&own).copied().unwrap_or(0)).collect()
     }
 
-    /// Returns for how many seconds a change may have been confirmed that the daemons lack,
-    /// the most of all of them.
-    pub fn oldest(&self) -> f64 {
+    /// Returns the greatest age of the data of all daemons in seconds: how long ago the oldest
+    /// change may have been confirmed that a daemon lacks.
+    pub fn max_age(&self) -> f64 {
         self.boards.iter().map(|board| age(board)).fold(0.0, f64::max)
     }
 
-    /// Cuts every link between two groups, one way or both.
+    /// Cuts every link between two groups, in one direction or in both.
     pub fn cut(&self, from: &[usize], to: &[usize], both: bool) {
         let mut shared = self.shared.borrow_mut();
         for a in from {
@@ -294,12 +294,13 @@
         }
     }
 
-    /// Mends every link.
+    /// Restores every link.
     pub fn heal(&self) {
         self.shared.borrow_mut().cut.clear();
     }
 
-    /// Returns the revision in force on each daemon; none of them goes back, nor the editions.
+    /// Returns the revision in force on each daemon. Asserts that no daemon goes back to an earlier
+    /// revision or edition.
     pub fn revisions(&self) -> Vec<Option<Revision>> {
         let now: Vec<_> = self.boards.iter().map(|board| board.status().config.revision).collect();
         let mut newest = self.newest.borrow_mut();
@@ -316,7 +317,7 @@
         now
     }
 
-    /// Lets the fleet run for a time.
+    /// Runs the fleet for a time.
     pub fn run_for(&self, time: Duration) {
         let until = Instant::now() + time;
         while Instant::now() < until {
@@ -325,10 +326,10 @@
         }
     }
 
-    /// Lets the fleet run until the daemons named have a revision in force.
+    /// Runs the fleet until the given daemons have a revision in force.
     pub fn await_revision(&self, daemons: impl IntoIterator<Item = usize>, revision: Revision) {
         let daemons: Vec<usize> = daemons.into_iter().collect();
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_LIMIT;
         loop {
             self.run_for(Duration::from_millis(10));
             let revisions = self.revisions();
@@ -339,17 +340,17 @@
         }
     }
 
-    /// Lets the fleet run until every daemon uses a revision of the list of hosts.
+    /// Runs the fleet until every daemon uses a revision of the list of hosts.
     pub fn await_listed(&self, revision: Revision) {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_LIMIT;
         while !self.boards.iter().all(|board| board.status().config.listed >= Some(revision)) {
             assert!(Instant::now() < until, "the list of hosts does not reach {revision}");
             self.run_for(Duration::from_millis(10));
         }
     }
 
-    /// Returns how one daemon sees another.
-    pub fn sees(&self, own: usize, other: usize) -> Option<PeerState> {
+    /// Returns the state of one daemon as another sees it.
+    pub fn peer_state(&self, own: usize, other: usize) -> Option<PeerState> {
         let status = self.boards[own].status();
         status.peers.iter().find(|row| row.host == host(other)).map(|row| row.state)
     }
