--- a/crates/harefield/src/control/mod.rs
+++ b/crates/harefield/src/control/mod.rs
@@ -1,5 +1,5 @@
-//! The control duty: keeps the configuration, the host list and the fleet's
-//! membership, and tells the workers.
+//! The control duty: keeps the configuration, the host list and the fleet's membership up to date,
+//! and publishes them to the workers.
 
 mod announcements;
 mod confirm;
@@ -9,9 +9,9 @@
 mod gossip;
 mod inbox;
 mod join;
-mod lapsed;
 mod publish;
 mod reader;
+mod recently_removed;
 mod suspicion;
 
 pub use announcements::Announcements;
--- a/crates/harefield/src/control/publish.rs
+++ b/crates/harefield/src/control/publish.rs
@@ -1,13 +1,11 @@
-//! What the control duty tells the workers and operators: the view, how daemons are
-//! seen, and upstreams' words.
+//! What the control duty publishes to the workers and operators: the view, the state of other
+//! daemons, and the announcements of upstreams.
 
 use std::rc::Rc;
 use std::sync::Arc;
 
 use log::warn;
 
-use super::duty::Control;
-use super::lapsed::GRACE;
 use crate::domain::announcement::NamedAnnouncement;
 use crate::domain::cell::Candidate;
 use crate::domain::event::Event;
@@ -22,46 +20,48 @@
 use crate::ports::Platform;
 use crate::ports::Space;
 use crate::telemetry::ConfigStatus;
+use super::duty::Control;
+use super::recently_removed::GRACE;
 
 impl<F: Platform, P: Peers, C: Clock> Control<F, P, C> {
-    /// Works out the view and tells the workers.
+    /// Computes the view and sends it to the workers.
     pub(super) fn publish(self: &Rc<Self>) {
         *self.fleet.borrow_mut() = self.candidates();
         let view = Arc::new(self.next_view());
         *self.view.borrow_mut() = Arc::clone(&view);
-        self.tell(&ToWorker::View(view));
-        self.tell_peers();
-        self.show_config();
-        self.await_lapse();
-        self.await_expiry();
+        self.send_workers(&ToWorker::View(view));
+        self.publish_peers();
+        self.publish_config();
+        self.schedule_removal();
+        self.schedule_expiry();
     }
 
     fn next_view(&self) -> View {
         let config = self.config.borrow();
         let now = self.ports.clock.now();
-        let set = self.lapsed.borrow_mut().patch(config.set(), self.was_away(), now);
+        let set = self.recently_removed.borrow_mut().patch(config.set(), self.platform_unreachable(), now);
         self.view.borrow().next(&ViewInputs {
             own: &self.settings.own.host,
             revision: config.revision(),
             set: &set,
             hosts_revision: self.hosts.borrow().revision(),
-            hosts: &self.list.borrow(),
+            hosts: &self.host_list.borrow(),
             fleet: &self.fleet.borrow(),
-            size: self.settings.cell,
-            topology: &self.settings.places,
-            cold: self.settings.cold,
-            require_keys: self.settings.keyed,
+            size: self.settings.cell_size,
+            topology: &self.settings.topology,
+            cold: self.settings.cold_bounds,
+            require_keys: self.settings.require_keys,
         })
     }
 
-    /// Returns the daemons that cells are assigned among, in a stable order;
-    /// none where the platform lists them.
+    /// Returns the daemons that cells are assigned among, in a stable order. Empty if the platform
+    /// lists the daemons.
     fn candidates(&self) -> Vec<Candidate> {
         let members = self.members.borrow();
-        // A daemon that is stopping still serves what is in progress.
+        // A daemon that is stopping still completes its requests in progress.
         let own = &self.settings.own.host;
         let stays = |row: &&MemberRow| row.host == *own || row.state != PeerState::Leaving;
-        let present = members.rows().filter(|row| !self.settings.listed && stays(row));
+        let present = members.rows().filter(|row| !self.settings.lists_daemons && stays(row));
         let candidate = |row: &MemberRow| Candidate {
             host: Arc::clone(&row.host),
             zone: Arc::clone(&row.zone),
@@ -71,54 +71,54 @@
         present.map(candidate).collect()
     }
 
-    /// Tells the workers how daemons are seen now, and what cells that makes.
+    /// Publishes the state of the daemons to the workers, with a new view if the cells change.
     pub(super) fn members_changed(self: &Rc<Self>) {
         let changed = *self.fleet.borrow() != self.candidates();
         if changed && self.joined.get() {
             self.publish();
         } else {
-            self.tell_peers();
+            self.publish_peers();
         }
     }
 
-    /// Tells every worker; the rings are long enough for what control sends.
-    pub(super) fn tell(&self, message: &ToWorker) {
+    /// Sends a message to every worker. Their channels are long enough for what control sends.
+    pub(super) fn send_workers(&self, message: &ToWorker) {
         for worker in &self.workers {
             if worker.try_send(message.clone()).is_err() {
-                warn!("a worker's ring is full or closed");
+                warn!("the channel of a worker is full or closed");
             }
         }
     }
 
-    /// Tells the workers which daemons are seen how.
-    pub(super) fn tell_peers(&self) {
+    /// Sends the state of all daemons to the workers and the status page.
+    pub(super) fn publish_peers(&self) {
         let rows: Vec<MemberRow> = self.members.borrow().rows().cloned().collect();
         self.board.status().peers.clone_from(&rows);
-        self.tell(&ToWorker::Peers(Arc::new(PeerView { rows })));
+        self.send_workers(&ToWorker::Peers(Arc::new(PeerView { rows })));
     }
 
-    /// Takes upstreams' words; tells the workers what was news.
-    pub(super) fn hear(&self, words: &[NamedAnnouncement]) {
-        let news = self.words.borrow_mut().join(words);
-        if !news.is_empty() {
-            self.tell(&ToWorker::Announcements(news.into()));
+    /// Merges announcements of upstreams, and sends the newer ones to the workers.
+    pub(super) fn merge_announcements(&self, announcements: &[NamedAnnouncement]) {
+        let newer = self.announcements.borrow_mut().merge(announcements);
+        if !newer.is_empty() {
+            self.send_workers(&ToWorker::Announcements(newer.into()));
         }
     }
 
-    /// Takes rows from a peer; tells the workers what was news.
-    pub(super) fn meet(self: &Rc<Self>, rows: &[MemberRow]) {
-        let news = self.members.borrow_mut().merge(rows);
-        for row in &news {
+    /// Merges rows of daemons received from a peer, and publishes those that were newer.
+    pub(super) fn merge_rows(self: &Rc<Self>, rows: &[MemberRow]) {
+        let newer = self.members.borrow_mut().merge(rows);
+        for row in &newer {
             let (host, state) = (Arc::clone(&row.host), row.state.to_string());
             self.emit(Event::PeerSeen { host, state });
         }
-        if !news.is_empty() {
+        if !newer.is_empty() {
             self.members_changed();
         }
     }
 
     /// Shows operators which configuration is in force.
-    pub(super) fn show_config(&self) {
+    pub(super) fn publish_config(&self) {
         let config = self.config.borrow();
         let refused = config.rejected();
         self.board.put_set(Arc::clone(config.set()));
@@ -131,23 +131,23 @@
         };
     }
 
-    /// Returns whether the platform does not answer for the configuration, or came back
-    /// a moment ago.
-    pub(super) fn was_away(&self) -> bool {
-        let reach = self.reach.borrow().get(&Space::Config).copied().unwrap_or_default();
-        reach.was_unreachable(self.ports.clock.now(), GRACE)
+    /// Returns whether the platform does not respond for the configuration, or recovered less than
+    /// [`GRACE`] ago.
+    pub(super) fn platform_unreachable(&self) -> bool {
+        let reachability = self.reachability.borrow().get(&Space::Config).copied().unwrap_or_default();
+        reachability.was_unreachable(self.ports.clock.now(), GRACE)
     }
 
-    /// Publishes once more when what was kept is taken to be gone.
-    pub(super) fn await_lapse(self: &Rc<Self>) {
-        let Some(until) = self.lapsed.borrow().next() else { return };
-        if self.lapsing.replace(true) {
+    /// Publishes the view again once the next kept upstream is treated as gone.
+    pub(super) fn schedule_removal(self: &Rc<Self>) {
+        let Some(until) = self.recently_removed.borrow().next_removal() else { return };
+        if self.removal_pending.replace(true) {
             return;
         }
         let this = Rc::clone(self);
         let wait = async move {
             this.ports.clock.sleep_until(until).await;
-            this.lapsing.set(false);
+            this.removal_pending.set(false);
             this.publish();
         };
         self.executor.spawn(wait).detach();
--- a/crates/harefield/src/daemon/threads.rs
+++ b/crates/harefield/src/daemon/threads.rs
@@ -13,16 +13,11 @@
 use async_io::Timer;
 use futures_lite::future;
 
-use super::context::AcceptedConnection;
-use super::context::Context;
-use super::context::Side;
-use super::protocols::HttpWorker;
-use super::protocols::Protocols;
 use crate::adapters::callers::RequestLimits;
 use crate::adapters::clock::SystemClock;
 use crate::adapters::http;
-use crate::adapters::peer_server;
 use crate::adapters::peer_server::PeerServer;
+use crate::adapters::peer_server;
 use crate::adapters::peers::HttpPeers;
 use crate::adapters::settings::PlatformKind;
 use crate::adapters::upstreams::HttpUpstreams;
@@ -40,6 +35,11 @@
 use crate::engine::ToWorker;
 use crate::engine::Worker;
 use crate::engine::WorkerSettings;
+use super::context::AcceptedConnection;
+use super::context::Context;
+use super::context::Side;
+use super::protocols::HttpWorker;
+use super::protocols::Protocols;
 
 /// How often a stopping worker checks whether its requests and connections have ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -224,19 +224,19 @@
             blind: false,
             capacity: settings.host.capacity(),
         },
-        copies: settings.platform.addresses.clone(),
+        replicas: settings.platform.addresses.clone(),
         seeds: settings.peers.seeds.iter().map(|seed| seed.to_string().into()).collect(),
-        exchange: Duration::from_millis(settings.peers.exchange_ms),
-        join: Duration::from_millis(settings.peers.join_ms),
+        gossip_interval: Duration::from_millis(settings.peers.exchange_ms),
+        join_timeout: Duration::from_millis(settings.peers.join_ms),
         first_start: settings.peers.first_start,
-        watch: Duration::from_millis(settings.platform.watch_ms),
-        pace: FreshnessSchedule::new(settings.platform.apply_limit()),
+        max_watch: Duration::from_millis(settings.platform.watch_ms),
+        freshness: FreshnessSchedule::new(settings.platform.apply_limit()),
         readers: settings.platform.readers,
-        carry: RetentionTimes::new(Duration::from_millis(settings.platform.heartbeat_ms)),
-        places: topology(context),
-        cell: settings.cell(),
-        cold: settings.routing.cold(),
-        keyed: settings.accounts.required,
-        listed: settings.platform.kind == PlatformKind::Own,
+        retention: RetentionTimes::new(Duration::from_millis(settings.platform.heartbeat_ms)),
+        topology: topology(context),
+        cell_size: settings.cell(),
+        cold_bounds: settings.routing.cold(),
+        require_keys: settings.accounts.required,
+        lists_daemons: settings.platform.kind == PlatformKind::Own,
     }
 }
