--- a/crates/harefield/tests/processes/accounts.rs
+++ b/crates/harefield/tests/processes/accounts.rs
@@ -1,4 +1,4 @@
-//! Client accounts on the product's own interface.
+//! Client accounts on the `/v1/lookups` interface.
 
 use std::io::Read;
 use std::io::Write;
@@ -15,7 +15,7 @@
 use crate::support::World;
 use crate::support::await_true;
 
-/// Asks for a lookup with some headers; returns status and answer.
+/// Sends a lookup with further headers and returns the HTTP status and the answer.
 fn ask(daemon: &Daemon, headers: &str) -> (String, Answer) {
     let mut stream = TcpStream::connect(daemon.addresses.callers).expect("it listens");
     stream.set_read_timeout(Some(PATIENCE)).expect("a timeout can be set");
@@ -29,7 +29,7 @@
     let mut text = String::new();
     stream.read_to_string(&mut text).expect("it is answered");
     let (head, body) = text.split_once("\r\n\r\n").expect("it has a head");
-    (head[9..12].to_owned(), serde_json::from_str(body).expect("it is an answer"))
+    (head[9..12].to_owned(), serde_json::from_str(body).expect("the body is an answer"))
 }
 
 fn publish(world: &World, name: &str, value: Option<serde_json::Value>) {
@@ -37,12 +37,12 @@
 }
 
 #[test]
-fn own_interface_asks() {
+fn lookups_require_key() {
     let world = World::start(2, "");
-    assert_eq!(ask(&world.daemons[0], "").1.code, Code::Whole, "there are no accounts");
+    assert_eq!(ask(&world.daemons[0], "").1.code, Code::Whole, "no key is required without accounts");
     publish(&world, "apex", Some(json!({ "keys": [KeyDigest::of(b"key-a").hex()] })));
     for daemon in &world.daemons {
-        await_true("a key is asked for", || ask(daemon, "").1.code == Code::KeyRequired);
+        await_true("a key is required", || ask(daemon, "").1.code == Code::KeyRequired);
         assert_eq!(ask(daemon, "").0, "401");
         assert_eq!(ask(daemon, "Authorization: Bearer key-x\r\n").1.code, Code::KeyUnknown);
         assert_eq!(ask(daemon, "Authorization: Bearer key-a\r\n").1.code, Code::Whole);
@@ -51,7 +51,7 @@
 
 #[test]
 fn required_without_accounts() {
-    // Where keys are to be asked for, taking the last account away opens nothing.
+    // With `required` set, a configuration without any account still demands a key.
     let world = World::start(1, "[accounts]\nrequired = true\n");
     assert_eq!(ask(&world.daemons[0], "").1.code, Code::KeyRequired);
 }
--- a/crates/harefield/tests/processes/administration.rs
+++ b/crates/harefield/tests/processes/administration.rs
@@ -1,4 +1,4 @@
-//! The operators' address: resources with what is observed, tokens, the page.
+//! The operators' address: resources with their observed conditions, tokens, the web page.
 
 use std::thread;
 use std::time::Duration;
@@ -31,16 +31,16 @@
     let world = World::start(1, "");
     world.searchers.change("parcels-00-0", |b| b.draining = true);
     let daemon = &world.daemons[0];
-    let mut asked = 0;
-    await_true("the draining is seen once it was asked", || {
+    let mut sent = 0;
+    await_true("the draining is observed by a request", || {
         world.query(0);
-        asked += 1;
+        sent += 1;
         item(daemon, "upstreams/parcels-00-0")["conditions"]["leaving"] == true
     });
     let upstream = item(daemon, "upstreams/parcels-00-1");
     assert_eq!(upstream["spec"]["slots"], 2);
     assert_eq!(upstream["conditions"]["held"], json!([1]));
-    await_true("answers are tallied", || item(daemon, "lookups/parcels")["conditions"]["whole"] == asked);
+    await_true("answers are counted", || item(daemon, "lookups/parcels")["conditions"]["whole"] == sent);
     assert_eq!(get(daemon, "/v1/resources/nothing").0, 404);
     assert_eq!(get(daemon, "/v1/resources/lookups/nothing").0, 404);
 }
@@ -57,12 +57,12 @@
 }
 
 #[test]
-fn refused_shown() {
+fn rejected_revision_shown() {
     let world = World::start(1, "");
     let bad = json!({ "index": "nowhere", "urgency": "urgent", "deadline-ms": 1, "repeatable": true, "prefer": "time" });
     let revision = world.publish("lookups/bad", bad);
     let daemon = &world.daemons[0];
-    await_true("the refusal is shown", || {
+    await_true("the rejected revision is shown", || {
         let (_, listing) = get(daemon, "/v1/resources/lookups");
         listing["refused"] == json!(revision)
     });
@@ -81,7 +81,7 @@
         Client::once(operators, "GET", path, "", PATIENCE).expect("it is answered")
     });
     thread::sleep(Duration::from_millis(300));
-    assert!(!watch.is_finished(), "it waits for a change");
+    assert!(!watch.is_finished(), "the watch waits for a change");
     let lookup = json!({ "index": "parcels", "urgency": "bulk", "deadline-ms": 5, "repeatable": true, "prefer": "time" });
     world.publish("lookups/new", lookup);
     let (_, body) = watch.join().expect("no panic");
@@ -102,9 +102,9 @@
 }
 
 #[test]
-fn tokens_asked() {
+fn tokens_required() {
     let path = std::env::temp_dir().join(format!("harefield-token-{}", std::process::id()));
-    std::fs::write(&path, "secret\n").expect("it can be written");
+    std::fs::write(&path, "secret\n").expect("the token can be written");
     let extra = format!("token-file = {path:?}\n[events]\ntoken-file = {path:?}\n");
     let world = World::start(0, "");
     let daemon = Daemon::start(&world.settings(&extra));
@@ -114,7 +114,7 @@
     let peers = Client::once(daemon.addresses.peers, "POST", "/v1/exchange", "", PATIENCE).expect("a reply");
     assert_eq!(peers.0, 401);
     let page = Client::once(daemon.addresses.operators, "GET", "/", "", PATIENCE).expect("a reply");
-    assert_eq!(page.0, 200, "the page itself holds nothing and asks for the token");
+    assert_eq!(page.0, 200, "the page itself contains no data and prompts for the token");
 }
 
 #[test]
@@ -128,7 +128,7 @@
     };
     assert!(text("/").contains("<title>harefield</title>"));
     let path = format!("/v1/fleet/waterfall?request={}", answer.request);
-    await_true("another daemon draws it", || text(&path).contains("parcels-02/0"));
+    await_true("another daemon renders the waterfall", || text(&path).contains("parcels-02/0"));
     let fleet: Value = serde_json::from_str(&text("/v1/fleet/status")).expect("it is JSON");
     assert_eq!(fleet["daemons"].as_array().map(Vec::len), Some(2));
 }
--- a/crates/harefield/tests/processes/bad_input.rs
+++ b/crates/harefield/tests/processes/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input gets a numbered answer, and the daemon goes on.
+//! Invalid input gets an answer with a result code, and the daemon keeps serving.
 
 use std::io::Read;
 use std::io::Write;
@@ -15,10 +15,10 @@
 fn post(world: &World, path: &str, body: &str) -> (u16, Answer) {
     let to = world.daemons[0].addresses.callers;
     let (status, reply) = Client::once(to, "POST", path, body, PATIENCE).expect("a reply");
-    (status, serde_json::from_slice(&reply).expect("a numbered answer"))
+    (status, serde_json::from_slice(&reply).expect("an answer with a result code"))
 }
 
-/// Sends raw bytes and returns what comes back until the end.
+/// Sends raw bytes and returns the response up to its closing brace or the end of the connection.
 fn raw(world: &World, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(world.daemons[0].addresses.callers).expect("it listens");
     stream.set_read_timeout(Some(Duration::from_secs(8))).expect("a time-out");
@@ -57,7 +57,7 @@
         let (found, answer) = post(&world, path, body);
         assert_eq!((found, answer.code), (status, code), "{path} {}", &body[..body.len().min(40)]);
     }
-    assert_eq!(world.searchers.tally().taken, 0, "nothing of it reached an upstream");
+    assert_eq!(world.searchers.tally().taken, 0, "no invalid request reached an upstream");
     assert_eq!(world.query(0).code, Code::Whole);
 }
 
@@ -68,7 +68,7 @@
     let (status, _) = Client::once(to, "GET", "/v1/lookups/parcels", "", PATIENCE).expect("a reply");
     assert_eq!(status, 405);
     let (status, _) = Client::once(to, "GET", "/v1/status", "", PATIENCE).expect("a reply");
-    assert_eq!(status, 404, "a caller's address does not answer what is the operators'");
+    assert_eq!(status, 404, "operators' paths are not served at the callers' address");
 }
 
 #[test]
@@ -97,7 +97,7 @@
     let world = World::start(1, "[limits]\nhead-ms = 200\n");
     let begun = std::time::Instant::now();
     raw(&world, b"POST /v1/lookups/parcels HTTP/1.1\r\nhost:");
-    assert!(begun.elapsed() < Duration::from_secs(5), "the connection is not held for ever");
+    assert!(begun.elapsed() < Duration::from_secs(5), "the connection is closed in time");
     assert_eq!(world.query(0).code, Code::Whole);
 }
 
--- a/crates/harefield/tests/processes/configuration.rs
+++ b/crates/harefield/tests/processes/configuration.rs
@@ -1,5 +1,5 @@
-//! An accepted configuration is in force everywhere within seconds and never
-//! reverts.
+//! An accepted configuration is in force on every daemon within seconds and is never replaced by
+//! an older one.
 
 use std::thread;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use harefield::domain::code::Code;
 use harefield::domain::revision::Revision;
 
-/// The target of the letter.
+/// The required time from publishing a revision to its being in force on every daemon.
 const IN_FORCE: Duration = Duration::from_secs(9);
 
 fn lookup(deadline: u64) -> Value {
@@ -37,7 +37,7 @@
 
 #[test]
 fn one_reader_is_enough() {
-    // Readers are two of each zone; with one reader the others hear from peers.
+    // Only two daemons of each zone read the platform; the others get changes by gossip.
     let world = World::start(4, "");
     let (before, _) = world.platform.calls();
     let revision = world.publish("lookups/new", lookup(500));
@@ -52,13 +52,13 @@
     let good = world.publish("lookups/new", lookup(500));
     world.await_revision(good);
     let bad = world.publish("lookups/new", faulty());
-    world.await_all("the refusal is told", |status| {
+    world.await_all("the rejection is reported", |status| {
         status.config.refused == Some(bad) || status.config.seen < Some(bad)
     });
     thread::sleep(Duration::from_millis(500));
     for daemon in &world.daemons {
         let config = daemon.status().config;
-        assert_eq!(config.revision, Some(good), "the last good one stays in force");
+        assert_eq!(config.revision, Some(good), "the last valid revision stays in force");
     }
     assert!(world.daemons.iter().any(|daemon| {
         let config = daemon.status().config;
@@ -70,8 +70,8 @@
 
 #[test]
 fn starts_while_faulty() {
-    // A daemon that starts while the newest revision has faults gets the one
-    // in force from its peers, not nothing and not another.
+    // A daemon that starts while the newest revision is invalid gets the revision in force from
+    // its peers, neither none nor another one.
     let mut world = World::start(2, "");
     let good = world.publish("lookups/new", lookup(500));
     world.await_revision(good);
@@ -84,8 +84,8 @@
 
 #[test]
 fn stale_platform() {
-    // A daemon that starts while the platform answers an old revision does not
-    // serve by it, since its peers know better.
+    // A daemon that starts while the platform returns an old revision does not serve by it, as
+    // its peers have a newer one.
     let mut world = World::start(2, "");
     let revision = world.publish("lookups/new", lookup(500));
     world.await_revision(revision);
@@ -94,7 +94,7 @@
     assert_eq!(world.daemons[late].status().config.revision, Some(revision));
     assert_eq!(world.ask(late, "new", &json!({ "query": 1 })).code, Code::Whole);
     for daemon in &world.daemons {
-        assert_eq!(daemon.status().config.revision, Some(revision), "nobody goes back");
+        assert_eq!(daemon.status().config.revision, Some(revision), "no daemon reverts to an older revision");
     }
 }
 
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn woken_hears_first() {
+fn resumed_catches_up_first() {
     let world = World::start(3, "");
     world.daemons[0].signal("STOP");
     let dropped = world.platform.publish("config", vec![("lookups/parcels", None::<Value>)]);
@@ -138,7 +138,7 @@
     assert_eq!(
         world.searchers.tally().ran,
         ran,
-        "it did not serve by what it knew before: {:?}",
+        "the resumed daemon served by its old configuration: {:?}",
         answer.code
     );
 }
@@ -158,7 +158,7 @@
         })
         .collect();
     for thread in threads {
-        thread.join().expect("no operator fails");
+        thread.join().expect("the operator's thread does not panic");
     }
     let last = world.publish("lookups/race", lookup(777));
     assert!(world.await_revision(last) < IN_FORCE);
@@ -192,7 +192,7 @@
 fn bad_settings() {
     let world = World::start(0, "");
     let path = std::env::temp_dir().join(format!("harefield-bad-{}.toml", std::process::id()));
-    std::fs::write(&path, world.settings("[bogus]\nx = 1\n")).expect("it can be written");
+    std::fs::write(&path, world.settings("[bogus]\nx = 1\n")).expect("the settings can be written");
     let output = std::process::Command::new(env!("CARGO_BIN_EXE_harefield"))
         .args(["check"])
         .arg(&path)
@@ -205,9 +205,9 @@
 
 #[test]
 fn refused_listing_pauses() {
-    // A copy that is behind and has forgotten its history refuses the watch, and its listing is
-    // refused here: without a pause, the next watch followed at once, and three daemons made
-    // 388 to 515 calls in two seconds.
+    // A platform copy that lags behind and has compacted its history rejects the watch, and the
+    // daemon rejects its older listing. Without a pause, the next watch followed immediately, and
+    // three daemons made 388 to 515 calls in two seconds.
     let world = World::start(1, "");
     let held = world.publish("lookups/a", lookup(100));
     world.await_revision(held);
--- a/crates/harefield/tests/processes/crashing_support.rs
+++ b/crates/harefield/tests/processes/crashing_support.rs
@@ -1,5 +1,5 @@
-//! Three daemons in three availability zones beside a sharded index whose upstreams end
-//! while they run certain requests, and callers that ask beside them.
+//! Three daemons in three availability zones with a sharded index whose upstreams crash while
+//! they run certain requests, and callers that send ordinary requests meanwhile.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -27,21 +27,21 @@
 pub const SHARDS: usize = 20;
 pub const REPLICAS: usize = 2;
 
-/// How long an upstream that ended is gone.
+/// How long a crashed upstream is down.
 pub const GONE: Duration = Duration::from_millis(1800);
 
-/// Within this time every daemon in touch knows what one of them has found.
+/// Within this time a suspect found by one daemon is known to every daemon that it can reach.
 pub const KNOWN_WITHIN: Duration = Duration::from_secs(4);
 
 const ZONES: [&str; 3] = ["z1", "z2", "z3"];
 const WORK: Duration = Duration::from_millis(15);
 
-/// What is started.
+/// Variants of the fleet that a test starts.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Shape {
-    /// Whether upstreams are back under the names that they had.
+    /// Whether restarted upstreams keep their names.
     pub same: bool,
-    /// How many upstreams the service `one` has.
+    /// The number of upstreams of the service `one`, which has a single shard.
     pub ones: usize,
 }
 
@@ -55,11 +55,11 @@
     pub fn start(shape: Shape) -> Self {
         let store = SiteStore::start();
         let mut upstreams = Vec::new();
-        let mut add = |service: &str, number: usize, at: usize| {
+        let mut add = |service: &str, number: usize, zone: usize| {
             let spec = MortalSpec {
                 id: format!("i-{service}-{number}"),
                 service: service.to_owned(),
-                zone: ZONES[at % ZONES.len()].to_owned(),
+                zone: ZONES[zone % ZONES.len()].to_owned(),
                 work: WORK,
                 gone: GONE,
                 same: shape.same,
@@ -83,7 +83,7 @@
         fleet
     }
 
-    /// Starts one more daemon, which knows the first one.
+    /// Starts one more daemon, whose seed is the first one.
     pub fn join(&mut self, zone: &str) {
         let seed = self.daemons.first().map(|daemon| format!("\"{}\"", daemon.addresses.peers));
         let settings = settings(&self.store, zone, &seed.unwrap_or_default());
@@ -98,15 +98,15 @@
                 answer.status == 200 && ["", "0"].contains(&answer.header("missing-parts"))
             })
         };
-        await_true("all serve", || self.daemons.iter().all(serves));
+        await_true("all daemons serve", || self.daemons.iter().all(serves));
     }
 
-    /// Asks for one thing that ends upstreams.
+    /// Sends a request that crashes every upstream that runs it.
     pub fn ask_fatal(&self, daemon: usize, path: &str, number: usize) -> Answer {
         ask_at(&self.daemons[daemon], &format!("/{path}{FATAL}"), &format!("fatal-{number}"), 2000)
     }
 
-    /// Returns what of the fatal requests upstreams began, by time.
+    /// Returns the attempts of fatal requests that upstreams began, by time.
     pub fn fatal_begun(&self) -> Vec<Begun> {
         let all = self.upstreams.iter().flat_map(MortalSearcher::begun);
         let mut begun: Vec<Begun> = all.filter(|begun| begun.target.contains(FATAL)).collect();
@@ -114,22 +114,21 @@
         begun
     }
 
-    /// Returns when upstreams ended, by time.
+    /// Returns the times of all crashes in order.
     pub fn ends(&self) -> Vec<Instant> {
         let mut ends: Vec<Instant> = self.upstreams.iter().flat_map(MortalSearcher::ends).collect();
         ends.sort_unstable();
         ends
     }
 
-    /// Returns how often a fatal request was sent later than the fleet had to know that
-    /// three upstreams had ended.
+    /// Returns how many fatal attempts began after the whole fleet had to know of the third crash.
     pub fn late_sends(&self) -> usize {
         let Some(third) = self.ends().get(2).copied() else { return 0 };
         self.fatal_begun().iter().filter(|begun| begun.at > third + KNOWN_WITHIN).count()
     }
 }
 
-/// What callers were answered.
+/// An answer that a caller got, with the time of its request.
 #[derive(Clone, Debug)]
 pub struct Answered {
     pub at: Instant,
@@ -137,7 +136,7 @@
     pub code: String,
 }
 
-/// Callers that ask one path after another until they are stopped.
+/// Callers that send requests one after another until they are stopped.
 pub struct Callers {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
@@ -145,7 +144,8 @@
 }
 
 impl Callers {
-    /// Lets callers ask each daemon every `pause`; `path` makes the path of each number.
+    /// Starts a caller for each daemon that pauses for `pause` between requests; `path` returns
+    /// the path of the request with a number.
     pub fn start(
         fleet: &Fleet,
         pause: Duration,
@@ -153,7 +153,7 @@
     ) -> Self {
         let stop: Arc<AtomicBool> = Arc::default();
         let answers: Arc<Mutex<Vec<Answered>>> = Arc::default();
-        let threads = fleet.daemons.iter().enumerate().map(|(place, daemon)| {
+        let threads = fleet.daemons.iter().enumerate().map(|(index, daemon)| {
             let (stop, answers, path, to) =
                 (Arc::clone(&stop), Arc::clone(&answers), path.clone(), daemon.addresses);
             std::thread::spawn(move || {
@@ -163,7 +163,7 @@
                     }
                     let path = path(number);
                     let at = Instant::now();
-                    let headers = format!("Attempt-Id: c{place}-{number}\r\nDeadline-Remaining: 1000\r\n");
+                    let headers = format!("Attempt-Id: c{index}-{number}\r\nDeadline-Remaining: 1000\r\n");
                     let answer = crate::site_support::ask(to.callers, &path, &headers);
                     let answered = Answered { at, status: answer.status, code: code(&answer) };
                     answers.lock().unwrap_or_else(PoisonError::into_inner).push(answered);
@@ -175,15 +175,15 @@
         Self { stop, threads, answers }
     }
 
-    /// Stops them; returns what they were answered.
+    /// Stops the callers and returns all answers.
     pub fn stop(self) -> Vec<Answered> {
         self.stop.store(true, Ordering::SeqCst);
-        self.threads.into_iter().for_each(|thread| thread.join().expect("a caller ends"));
+        self.threads.into_iter().for_each(|thread| thread.join().expect("the caller does not panic"));
         self.answers.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
-/// Returns the number of the result of an answer that is none of an upstream's.
+/// Returns the result code of an answer that a daemon made itself; empty for an upstream's.
 pub fn code(answer: &Answer) -> String {
     let body: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
     body["code"].as_str().unwrap_or_default().to_owned()
--- a/crates/harefield/tests/processes/forwarding.rs
+++ b/crates/harefield/tests/processes/forwarding.rs
@@ -1,4 +1,4 @@
-//! Cells smaller than the fleet: requests are handed to members.
+//! Cells smaller than the fleet: daemons that are not members forward requests to a member.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -21,18 +21,18 @@
 
 const SMALL_CELL: &str = "[routing]\ncell-size = 2\n";
 
-/// Returns which daemons have asked upstreams.
+/// Returns the indexes of the daemons that have sent requests to upstreams.
 fn members(world: &World) -> Vec<usize> {
     let fanned = |n: &usize| world.daemons[*n].status().workers.values().any(|w| w.first > 0);
     (0..world.daemons.len()).filter(fanned).collect()
 }
 
-/// Sends six requests at once.
+/// Starts six threads that send one lookup each.
 fn begin_six(to: SocketAddr) -> Vec<JoinHandle<Option<Answer>>> {
     (0..6).map(|_| thread::spawn(move || ask(to, "parcels", &json!({ "query": 1 })))).collect()
 }
 
-/// Starts daemons of which two are members; returns those, and one that is not.
+/// Starts daemons of which two are members; returns the members and one daemon that is not.
 fn start_small(count: usize, settings: &str) -> (World, Vec<usize>, usize) {
     let world = World::start(count, settings);
     for daemon in 0..count {
@@ -40,14 +40,14 @@
             world.query(daemon);
         }
     }
-    await_true("they report", || members(&world).len() == 2);
+    await_true("the members report their requests", || members(&world).len() == 2);
     let inside = members(&world);
-    let outside = (0..count).find(|n| !inside.contains(n)).expect("one is outside");
+    let outside = (0..count).find(|n| !inside.contains(n)).expect("one daemon is not a member");
     (world, inside, outside)
 }
 
 #[test]
-fn handed_once() {
+fn forwarded_once() {
     let world = World::start(5, SMALL_CELL);
     for daemon in 0..5 {
         for _ in 0..4 {
@@ -56,9 +56,9 @@
             assert_eq!(answer.coverage.contributed.len(), 3);
         }
     }
-    await_true("they report", || members(&world).len() == 2);
+    await_true("the members report their requests", || members(&world).len() == 2);
     let forwards: usize = world.daemons.iter().map(|d| d.timeline("kind=forwarded").len()).sum();
-    assert_eq!(forwards, 12, "three of five hand on each of their four, once");
+    assert_eq!(forwards, 12, "three of five daemons forward each of their four requests once");
 }
 
 #[test]
@@ -67,7 +67,7 @@
     world.searchers.change_all(|b| b.service_ms = 200.0);
     let to = world.daemons[outside].addresses.callers;
     let askers = begin_six(to);
-    await_true("they run", || world.searchers.tally().ran > 40);
+    await_true("the requests run", || world.searchers.tally().ran > 40);
     world.daemons[inside[0]].signal("KILL");
     world.daemons[inside[0]].wait();
     for asker in askers {
@@ -78,15 +78,15 @@
 
 #[test]
 fn refused_after_silence() {
-    // A member is killed while it runs requests, and the next one is refused by all upstreams:
-    // the first may have run them.
+    // A member is killed while it runs requests, and all upstreams reject the attempts of the
+    // next member. The answer may not be "not run", as the first member may have run them.
     let (mut world, inside, outside) = start_small(4, &format!("{SMALL_CELL}hedge = false\n"));
     world.searchers.change_all(|b| b.service_ms = 600.0);
     let to = world.daemons[outside].addresses.callers;
     let before = world.searchers.tally().ran;
     let askers = begin_six(to);
-    // Six requests of three shards, none of them hedged.
-    await_true("all have begun", || world.searchers.tally().ran >= before + 18);
+    // Six requests to three shards each, without hedges.
+    await_true("all attempts have begun", || world.searchers.tally().ran >= before + 18);
     world.searchers.change_all(|b| b.shed_ms = Some(3000));
     world.daemons[inside[0]].signal("KILL");
     world.daemons[inside[0]].wait();
@@ -102,20 +102,20 @@
     world.daemons[inside[0]].signal("STOP");
     for _ in 0..6 {
         let answer = world.query(outside);
-        assert_eq!(answer.code, Code::Whole, "a frozen member is passed over in time");
+        assert_eq!(answer.code, Code::Whole, "the other member answers before the deadline");
     }
 }
 
 #[test]
-fn paused_while_handed() {
-    // A daemon that is paused past the deadline of what it has handed on serves again.
+fn paused_while_forwarding() {
+    // A daemon that is paused past the deadline of a request that it forwarded serves again.
     let world = World::start(3, "[routing]\ncell-size = 1\n");
     for daemon in 0..3 {
         world.query(daemon);
     }
-    await_true("they report", || members(&world).len() == 1);
+    await_true("the members report their requests", || members(&world).len() == 1);
     let inside = members(&world)[0];
-    let outside = (0..3).find(|n| *n != inside).expect("two are outside");
+    let outside = (0..3).find(|n| *n != inside).expect("two daemons are not members");
     world.searchers.change_all(|b| b.service_ms = 2500.0);
     let to = world.daemons[outside].addresses.callers;
     let asker = thread::spawn(move || ask(to, "parcels", &json!({ "query": 1 })));
@@ -125,7 +125,7 @@
     world.daemons[outside].signal("CONT");
     drop(asker.join().expect("no panic"));
     world.searchers.change_all(|b| b.service_ms = 1.0);
-    await_true("it serves", || {
+    await_true("the resumed daemon serves", || {
         ask(to, "parcels", &json!({ "query": 2 })).is_some_and(|answer| answer.code == Code::Whole)
     });
 }
@@ -146,9 +146,9 @@
 }
 
 #[test]
-fn waiting_handed_on() {
-    // Requests wait at the gate of a member when the cell moves to another daemon: they are
-    // handed on, since the first may ask nobody any more.
+fn queued_are_forwarded() {
+    // Requests are queued at the gate of a member when the cell moves to another daemon. They
+    // are forwarded, as the former member may no longer send to upstreams.
     let settings = "[routing]\ncell-size = 1\n[limits]\nrunning = 2\n";
     let world = World::start(1, settings);
     let weight = |daemon: &Daemon| weight("parcels", &daemon.addresses.peers.to_string());
@@ -168,7 +168,7 @@
 
 #[test]
 fn views_differ() {
-    // The listed hosts change while requests are handed on: answers stay whole.
+    // The host list changes while requests are forwarded: answers stay whole.
     let mut world = World::start(3, "[routing]\ncell-size = 1\n");
     let callers: Vec<_> = world.daemons.iter().map(|d| d.addresses.callers).collect();
     let askers: Vec<_> = callers
@@ -192,18 +192,18 @@
 }
 
 #[test]
-fn one_story() {
+fn complete_timeline() {
     let world = World::start(3, "[routing]\ncell-size = 1\n");
     let answers: Vec<_> = (0..3).map(|daemon| world.query(daemon)).collect();
     thread::sleep(Duration::from_millis(200));
-    let mut handed = 0;
+    let mut forwarded = 0;
     for answer in answers {
         let query = format!("request={}", answer.request);
         let records: Vec<_> = world.daemons.iter().flat_map(|d| d.timeline(&query)).collect();
         let first = |r: &&Record| matches!(r.event, Event::Sent { cause: Cause::First, .. });
         let sent = records.iter().filter(first).count();
-        assert_eq!(sent, 3, "the story holds every shard's first request");
-        handed += records.iter().filter(|r| matches!(r.event, Event::ForwardTaken { .. })).count();
+        assert_eq!(sent, 3, "the time line has every shard's first attempt");
+        forwarded += records.iter().filter(|r| matches!(r.event, Event::ForwardTaken { .. })).count();
     }
-    assert_eq!(handed, 2);
+    assert_eq!(forwarded, 2);
 }
--- a/crates/harefield/tests/processes/hot_requests.rs
+++ b/crates/harefield/tests/processes/hot_requests.rs
@@ -1,5 +1,4 @@
-//! Requests that are asked many times a second beside upstreams that crash for reasons of
-//! their own.
+//! Requests that are sent many times a second while upstreams crash for unrelated reasons.
 
 use std::time::Duration;
 
@@ -12,9 +11,9 @@
 use crate::support::await_true;
 
 #[test]
-fn crashes_of_their_own() {
-    // Thirteen of 40 upstreams end together, three times, while the same sweep is asked
-    // many times a second: it is not what ends them, and it is not refused for it.
+fn unrelated_crashes() {
+    // Thirteen of 40 upstreams crash together, three times, while the same sweep is sent many
+    // times a second. The sweep does not cause the crashes and must not be refused.
     let fleet = Fleet::start(Shape::default());
     let hot = Callers::start(&fleet, Duration::from_millis(30), |_| "/all/hot".to_owned());
     for round in 0..3 {
@@ -31,15 +30,15 @@
 
 #[test]
 fn suspected_wrongly() {
-    // A request that is in flight at many upstreams while all of them crash looks as if it
-    // were what ends them. It is tried on one, and served, when it comes again.
+    // A request that is in flight at many upstreams when all of them crash looks like the cause.
+    // When it is repeated, it is tried on one upstream, succeeds, and is served.
     let fleet = Fleet::start(Shape::default());
     std::thread::scope(|scope| {
         let asked = scope.spawn(|| ask_at(&fleet.daemons[0], "/all/unlucky", "u1", 2000));
         let begun = || fleet.upstreams.iter().flat_map(standin::MortalSearcher::begun);
         await_true("it runs", || begun().filter(|begun| begun.target == "/all/unlucky").count() >= 12);
         fleet.upstreams.iter().for_each(standin::MortalSearcher::end);
-        asked.join().expect("it is answered");
+        asked.join().expect("the request is answered");
     });
     std::thread::sleep(GONE);
     let serves = |daemon: &Daemon| ask_at(daemon, "/all/other", "o", 2000).header("missing-parts") == "0";
--- a/crates/harefield/tests/processes/leaving.rs
+++ b/crates/harefield/tests/processes/leaving.rs
@@ -1,4 +1,4 @@
-//! A leaving upstream receives no new work after a few seconds.
+//! A leaving upstream receives no new requests after a few seconds.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -15,10 +15,11 @@
 use crate::support::ask;
 use harefield::domain::code::Code;
 
-/// What the brief calls a few seconds.
+/// The time after which a leaving upstream may receive no new requests; the requirement says
+/// "a few seconds".
 const FEW_SECONDS: Duration = Duration::from_secs(3);
 
-/// Keeps asking every daemon until told to stop.
+/// Threads that send lookups to every daemon until they are stopped.
 struct Traffic {
     stop: Arc<AtomicBool>,
     askers: Vec<JoinHandle<()>>,
@@ -42,17 +43,17 @@
     fn end(self) {
         self.stop.store(true, Ordering::Relaxed);
         for asker in self.askers {
-            asker.join().expect("no asker fails");
+            asker.join().expect("the caller does not panic");
         }
     }
 }
 
-/// Asserts that a searcher takes nothing once the few seconds are over.
+/// Asserts that an upstream receives no request after the grace period.
 fn assert_left_alone(world: &World, name: &str, since: Instant) {
     thread::sleep(FEW_SECONDS.saturating_sub(since.elapsed()));
     let taken = world.searchers.tally_of(name).taken;
     thread::sleep(Duration::from_millis(700));
-    assert_eq!(world.searchers.tally_of(name).taken, taken, "new work for {name}");
+    assert_eq!(world.searchers.tally_of(name).taken, taken, "new requests for {name}");
 }
 
 #[test]
@@ -67,9 +68,9 @@
 }
 
 #[test]
-fn own_word() {
-    // The list still calls it live, and the platform is down: its own word is
-    // enough, and reaches daemons that did not hear it themselves.
+fn announced_leaving() {
+    // The host list still has it as live, and the platform is down. The upstream's own
+    // announcement is enough, and gossip passes it to daemons that did not receive it directly.
     let world = World::start(3, "");
     world.platform.set_down(0, true);
     let traffic = Traffic::start(&world);
@@ -102,7 +103,7 @@
     world.list_searcher("parcels-00-0", "leaving");
     thread::sleep(FEW_SECONDS);
     let taken = world.searchers.tally_of("parcels-00-0").taken;
-    // Requests wait in its socket when it wakes.
+    // Requests wait in the daemon's socket when it resumes.
     let to = world.daemons[0].addresses.callers;
     let askers: Vec<_> =
         (0..8).map(|_| thread::spawn(move || ask(to, "parcels", &json!({ "query": 1 })))).collect();
@@ -114,7 +115,11 @@
     for _ in 0..20 {
         world.query(0);
     }
-    assert_eq!(world.searchers.tally_of("parcels-00-0").taken, taken, "it woke and believed old facts");
+    assert_eq!(
+        world.searchers.tally_of("parcels-00-0").taken,
+        taken,
+        "the resumed daemon used its old host list"
+    );
 }
 
 #[test]
@@ -125,8 +130,8 @@
     }
     world.list_searcher("parcels-00-0", "leaving");
     let begun = Instant::now();
-    // The only replica left is slow, then loses replies: neither a hedge nor a
-    // retry may go to the leaving one.
+    // The only replica left is slow, then loses replies. Neither a hedge nor a retry may go to
+    // the leaving replica.
     world.searchers.change("parcels-00-1", |b| b.service_ms = 100.0);
     thread::sleep(FEW_SECONDS.saturating_sub(begun.elapsed()));
     let taken = world.searchers.tally_of("parcels-00-0").taken;
@@ -149,7 +154,7 @@
     }
     let revision = world.list_searcher("parcels-00-0", "leaving");
     world.await_hosts(revision);
-    // Another takes its place under the same name, at another address.
+    // A new upstream replaces it under the same name, at another address.
     world.searchers.change("parcels-00-0", |b| b.draining = false);
     let address = world.searchers.address("parcels-01-0");
     let moved = json!({ "address": address, "zone": "hall-1a", "slots": 2, "connections": 25 });
--- a/crates/harefield/tests/processes/main.rs
+++ b/crates/harefield/tests/processes/main.rs
@@ -1,5 +1,5 @@
-//! Tests with real processes under failure: daemons are separate processes,
-//! the platform and the searchers are stand-ins on threads of the test.
+//! Failure tests against real daemon processes. The platform and the upstreams are simulated
+//! by stand-ins on threads of the test process.
 
 mod accounts;
 mod administration;
--- a/crates/harefield/tests/processes/not_run.rs
+++ b/crates/harefield/tests/processes/not_run.rs
@@ -1,4 +1,4 @@
-//! "Not run" is said only of what ran nowhere.
+//! The outcome "not run" is given only to requests that ran on no upstream.
 
 use std::thread;
 use std::time::Duration;
@@ -23,7 +23,11 @@
     assert_eq!(world.searchers.tally().ran, 0);
     let taken = world.searchers.tally().taken;
     world.query(0);
-    assert_eq!(world.searchers.tally().taken, taken, "who sheds is not asked again before it said");
+    assert_eq!(
+        world.searchers.tally().taken,
+        taken,
+        "an upstream that sheds load is not retried before its retry time"
+    );
 }
 
 #[test]
@@ -61,20 +65,20 @@
     assert_eq!(answer.outcome, Outcome::NotRun);
     assert_eq!(answer.code, Code::NoConfiguration);
     world.platform.set_down(0, false);
-    crate::support::await_true("it recovers", || {
+    crate::support::await_true("the daemon recovers", || {
         let answer = ask(daemon.addresses.callers, "parcels", &json!({ "query": 1 }));
         answer.is_some_and(|answer| answer.code == Code::Whole)
     });
 }
 
 #[test]
-fn woken_daemon() {
-    // A daemon that woke from a pause answers truthfully, whatever it does
-    // with the request that waited in its socket.
+fn resumed_daemon() {
+    // A daemon that resumes after a pause gives a true outcome, whether or not it runs the
+    // request that waited in its socket.
     let world = World::start(1, "");
     world.query(0);
-    // The first request's hedges have run by then, or been taken back: they are not counted.
-    crate::support::await_true("nothing is under way", || {
+    // By then the first request's hedges have run or been cancelled, so they are not counted.
+    crate::support::await_true("no attempt is in flight", || {
         let status = world.daemons[0].status();
         let mut upstreams = status.workers.values().flat_map(|worker| &worker.upstreams);
         status.lookups.contains_key("parcels") && upstreams.all(|upstream| upstream.running == 0)
--- a/crates/harefield/tests/processes/once.rs
+++ b/crates/harefield/tests/processes/once.rs
@@ -1,4 +1,4 @@
-//! Once-only requests run at most once, whatever is sent again.
+//! Once-only requests run at most once on each shard, however often they are submitted.
 
 use std::thread;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 
 const LABEL: &str = "parcels-once";
 
-/// Gets a ticket through a daemon.
+/// Obtains a ticket from a daemon, which refuses a once-only request without one.
 fn ticket(world: &World, daemon: usize) -> String {
     let refused = world.ask(daemon, LABEL, &json!({ "query": "label" }));
     assert_eq!(refused.code, Code::TicketRequired);
@@ -28,7 +28,7 @@
     world.ask(daemon, LABEL, &json!({ "query": "label", "ticket": ticket }))
 }
 
-/// Returns how often anything ran on each shard, at the most.
+/// Returns the highest number of runs of one request on one shard.
 fn most_runs(world: &World) -> u64 {
     world.searchers.runs().values().copied().max().unwrap_or(0)
 }
@@ -54,7 +54,7 @@
     let first = submit(&world, 0, &ticket);
     for daemon in 0..3 {
         let again = submit(&world, daemon, &ticket);
-        assert_eq!(again.request, first.request, "the first outcome is given again");
+        assert_eq!(again.request, first.request, "the first outcome is returned");
         assert_eq!(again.code, Code::Whole);
     }
     assert_eq!(total_runs(&world), 3, "each shard ran it once");
@@ -88,7 +88,7 @@
     let again = submit(&world, 1, &ticket);
     assert_eq!(again.outcome, Outcome::MayHaveRun);
     assert_eq!(again.code, Code::TicketGone);
-    assert!(begun.elapsed() < Duration::from_millis(800), "the answer is given at once");
+    assert!(begun.elapsed() < Duration::from_millis(800), "the answer is immediate");
     assert_eq!(total_runs(&world), 3);
 }
 
@@ -120,8 +120,8 @@
     assert_eq!(silent.code, Code::PeerSilent);
     assert_eq!(total_runs(&world), 0);
     world.daemons[0].signal("CONT");
-    // What reached it while frozen is old; whether it ran or not, it never
-    // runs twice.
+    // Requests that arrived during the pause are old by now. Whether or not they run, they never
+    // run twice.
     thread::sleep(Duration::from_millis(1500));
     let before = total_runs(&world);
     assert!(before <= 3);
@@ -141,8 +141,8 @@
     assert_eq!(answer.outcome, Outcome::MayHaveRun);
     assert_eq!(answer.code, Code::ReplyLost);
     assert!(answer.coverage.missing[0].ran);
-    assert!(begun.elapsed() < Duration::from_millis(700), "it is given up at once");
-    assert_eq!(most_runs(&world), 1, "the other replica is not asked");
+    assert!(begun.elapsed() < Duration::from_millis(700), "the request ends immediately");
+    assert_eq!(most_runs(&world), 1, "the other replica is not tried");
 }
 
 #[test]
@@ -166,7 +166,11 @@
     }
     let ticket = ticket(&world, 0);
     let answer = submit(&world, 0, &ticket);
-    assert_eq!(answer.code, Code::Whole, "what refused before it began may be asked elsewhere");
+    assert_eq!(
+        answer.code,
+        Code::Whole,
+        "an attempt that was rejected before it began may go to another replica"
+    );
     assert_eq!(most_runs(&world), 1);
 }
 
@@ -205,6 +209,6 @@
     let gone = standin::Client::once(to, "POST", &path, &body, Duration::from_millis(50));
     assert!(gone.is_none(), "the caller did not wait");
     let answer = submit(&world, 0, &ticket);
-    assert_eq!(answer.code, Code::Whole, "its outcome stays with the ticket");
+    assert_eq!(answer.code, Code::Whole, "the outcome is kept for the ticket");
     assert_eq!(total_runs(&world), 3);
 }
--- a/crates/harefield/tests/processes/overload.rs
+++ b/crates/harefield/tests/processes/overload.rs
@@ -1,4 +1,4 @@
-//! Refusals under overload are early and say when to come back.
+//! Under overload, requests are refused early and with a retry time.
 
 use std::io::Read;
 use std::io::Write;
@@ -35,7 +35,7 @@
             refused += 1;
             assert!([Code::QueueFull, Code::TooLate].contains(&answer.code), "{}", answer.code);
             assert!(answer.retry_after.is_some(), "the caller is told when to come back");
-            assert!(took < Duration::from_millis(900), "{took:?}: it is refused early");
+            assert!(took < Duration::from_millis(900), "{took:?}: the refusal is late");
         }
     }
     assert!(refused >= 20, "{refused}");
@@ -50,14 +50,15 @@
     let answer = ask(to, "parcels", &json!({ "query": 1 })).expect("a numbered answer");
     assert_eq!(answer.code, Code::TooManyConnections);
     drop(held);
-    crate::support::await_true("room comes back", || {
+    crate::support::await_true("connections are accepted again", || {
         ask(to, "parcels", &json!({ "query": 1 })).is_some_and(|answer| answer.code == Code::Whole)
     });
 }
 
 #[test]
 fn refusal_awaits_request() {
-    // An answer that comes before its request belongs to none.
+    // A client cannot match a response that arrives before its request, so the refusal of a
+    // connection waits for the first request.
     let world = World::start(1, "[limits]\nconnections = 4\n");
     let to = world.daemons[0].addresses.callers;
     let _held: Vec<_> = (0..4).map(|_| std::net::TcpStream::connect(to).expect("it listens")).collect();
@@ -75,8 +76,8 @@
 }
 
 #[test]
-fn searcher_limit_kept() {
-    // Three daemons under load keep within the searchers' connections.
+fn upstream_limit_kept() {
+    // Three daemons under load stay within the connection limits of the upstreams.
     let world = World::start(3, "");
     let callers: Vec<_> = world.daemons.iter().map(|d| d.addresses.callers).collect();
     let askers: Vec<_> = (0..24)
--- a/crates/harefield/tests/processes/own_answer.rs
+++ b/crates/harefield/tests/processes/own_answer.rs
@@ -1,4 +1,4 @@
-//! Each caller gets the whole answer to its own request and nothing else.
+//! Each caller gets the whole answer to its own request and no part of another one's.
 
 use std::thread;
 
@@ -11,11 +11,11 @@
 use harefield::domain::code::Code;
 use harefield::domain::outcome::Answer;
 
-/// Asserts that every part is for this request and this query.
+/// Asserts that every result belongs to the answer's request, shard and query.
 fn assert_own(answer: &Answer, query: &Value) {
     for part in &answer.results {
         let reply: Value = serde_json::from_str(part.reply.get()).expect("it is JSON");
-        let request = reply["for"].as_str().expect("it names its request");
+        let request = reply["for"].as_str().expect("the reply has its request's id");
         assert_eq!(request.split('.').next(), Some(answer.request.as_str()));
         assert_eq!(reply["shard"].as_str(), Some(&*part.shard));
         assert_eq!(&reply["query"], query);
@@ -23,7 +23,8 @@
     assert_eq!(answer.results.len(), answer.coverage.contributed.len());
 }
 
-/// Lets many callers ask at once, each with its own query, and checks each.
+/// Sends requests from many callers concurrently, each with its own query, and checks every
+/// answer.
 fn ask_at_once(world: &World, callers: usize, each: usize) -> Vec<Answer> {
     let to = world.daemons[0].addresses.callers;
     let threads: Vec<_> = (0..callers)
@@ -42,7 +43,7 @@
             })
         })
         .collect();
-    threads.into_iter().flat_map(|thread| thread.join().expect("no caller fails")).collect()
+    threads.into_iter().flat_map(|thread| thread.join().expect("the caller does not panic")).collect()
 }
 
 #[test]
@@ -52,7 +53,7 @@
     let mut ids: Vec<&str> = answers.iter().map(|answer| answer.request.as_str()).collect();
     ids.sort_unstable();
     ids.dedup();
-    assert_eq!(ids.len(), answers.len(), "the tier's own ids differ");
+    assert_eq!(ids.len(), answers.len(), "request ids are unique");
 }
 
 #[test]
--- a/crates/harefield/tests/processes/planned_stop.rs
+++ b/crates/harefield/tests/processes/planned_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts no request in progress.
+//! A planned stop aborts no request in progress.
 
 use std::io::Read;
 use std::io::Write;
@@ -16,9 +16,10 @@
 use crate::support::await_true;
 use harefield::domain::code::Code;
 
-const SLOW: f64 = 600.0;
+/// The service time of slow upstreams in milliseconds.
+const SLOW_MS: f64 = 600.0;
 
-/// So short that requests in progress outlast it.
+/// A linger period shorter than the requests in progress.
 const SHORT_LINGER: &str = "[stop]\nlinger-ms = 50\n";
 
 #[test]
@@ -28,7 +29,7 @@
     let to = world.daemons[0].addresses.callers;
     let askers: Vec<_> =
         (0..4).map(|_| thread::spawn(move || ask(to, "parcels", &json!({ "query": 1 })))).collect();
-    await_true("they run", || world.searchers.tally().ran >= 3);
+    await_true("the requests run", || world.searchers.tally().ran >= 3);
     world.daemons[0].signal("TERM");
     for asker in askers {
         let answer = asker.join().expect("no panic").expect("no request is cut");
@@ -44,10 +45,12 @@
     let to = world.daemons[0].addresses.callers;
     let askers: Vec<_> =
         (0..8).map(|_| thread::spawn(move || ask(to, "parcels", &json!({ "query": 1 })))).collect();
-    await_true("they wait", || world.daemons[0].status().workers.values().any(|worker| worker.waiting > 0));
+    await_true("requests are queued", || {
+        world.daemons[0].status().workers.values().any(|worker| worker.waiting > 0)
+    });
     world.daemons[0].signal("TERM");
     for asker in askers {
-        asker.join().expect("no panic").expect("who waited is answered");
+        asker.join().expect("no panic").expect("queued requests are answered");
     }
     assert_eq!(world.daemons[0].wait(), Some(0));
 }
@@ -60,9 +63,9 @@
     }
     let busy = |d: &Daemon| d.status().workers.values().any(|w| w.first > 0);
     await_true("one member fans out", || world.daemons.iter().any(busy));
-    let member = world.daemons.iter().position(busy).expect("it is there");
-    // Slow enough to be in progress when the stop begins, quick enough that
-    // two in a row fit into the deadline.
+    let member = world.daemons.iter().position(busy).expect("one daemon is busy");
+    // Slow enough that the requests are in progress when the stop begins, and fast enough that
+    // two attempts in a row fit into the deadline.
     world.searchers.change_all(|b| b.service_ms = 350.0);
     let admitted = |world: &World| world.daemons[member].timeline("kind=admitted").len();
     let before = admitted(&world);
@@ -74,7 +77,8 @@
             thread::spawn(move || ask(to, "parcels", &json!({ "query": 1 })))
         })
         .collect();
-    // Runs at searchers would count hedges, and one request may not be here yet.
+    // The upstreams' runs are no measure: they include hedges, and a request may not have
+    // arrived at the member yet.
     await_true("all three run", || admitted(&world) >= before + 3);
     world.daemons[member].signal("TERM");
     for asker in askers {
@@ -86,8 +90,8 @@
 
 #[test]
 fn kept_connection() {
-    // A caller that keeps its connection is still answered while the stop
-    // lingers, and told that the connection closes.
+    // A caller with a keep-alive connection is still answered during the linger period, with
+    // `connection: close`.
     let mut world = World::start(1, "[stop]\nlinger-ms = 1000\n");
     let mut stream = TcpStream::connect(world.daemons[0].addresses.callers).expect("it listens");
     stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
@@ -104,7 +108,7 @@
     thread::sleep(Duration::from_millis(200));
     stream.write_all(request.as_bytes()).expect("it is sent");
     let mut rest = String::new();
-    stream.read_to_string(&mut rest).expect("it is answered and closed");
+    stream.read_to_string(&mut rest).expect("the connection is answered and closed");
     assert!(rest.starts_with("HTTP/1.1 200"), "{rest}");
     assert!(rest.to_lowercase().contains("connection: close"), "{rest}");
     assert_eq!(world.daemons[0].wait(), Some(0));
@@ -119,7 +123,7 @@
     await_true("it runs", || world.daemons[0].status().workers.values().any(|w| w.running > 0));
     let begun = Instant::now();
     world.daemons[0].signal("TERM");
-    assert_eq!(world.daemons[0].wait(), Some(9), "it says that something was cut");
+    assert_eq!(world.daemons[0].wait(), Some(9), "the exit code shows that a request was aborted");
     assert!(begun.elapsed() < Duration::from_millis(900), "{:?}", begun.elapsed());
     drop(asker.join());
 }
--- a/crates/harefield/tests/processes/silent_connections.rs
+++ b/crates/harefield/tests/processes/silent_connections.rs
@@ -1,4 +1,4 @@
-//! Connections that go silent for good, while new ones work.
+//! Connections that stop responding permanently, while new ones work.
 
 use std::io::Read;
 use std::io::Write;
@@ -32,13 +32,13 @@
 use harefield::ports::Peers;
 use harefield::ports::Upstreams;
 
-/// A process that answers on each connection until that is silenced, as a daemon answers
-/// groups.
+/// A server that answers every request as a daemon answers a group, until its connections are
+/// silenced.
 struct Listener {
     address: String,
-    /// How many connections it has taken.
+    /// The number of connections accepted so far.
     taken: Arc<AtomicUsize>,
-    /// Connections numbered below this are silent.
+    /// Connections with numbers below this one no longer answer.
     silent: Arc<AtomicUsize>,
 }
 
@@ -62,19 +62,19 @@
         self.taken.load(Ordering::SeqCst)
     }
 
-    /// Silences all connections taken so far.
+    /// Silences all connections accepted so far.
     fn silence(&self) {
         self.silent.store(self.taken(), Ordering::SeqCst);
     }
 }
 
-/// Answers each read of a connection, which holds one request, while it is not silent.
+/// Answers each read of a connection, which is one request, unless the connection is silenced.
 fn answer(mut stream: TcpStream, number: usize, silent: &AtomicUsize) {
-    let reply = rmp_serde::to_vec(&GroupReply::default()).expect("it can be written");
+    let reply = rmp_serde::to_vec(&GroupReply::default()).expect("the reply can be encoded");
     let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", reply.len());
     let mut buffer = [0; 4096];
     while stream.read(&mut buffer).is_ok_and(|count| count > 0) {
-        // Longer than a connection takes to open, so that a second one is opened meanwhile.
+        // Longer than connecting takes, so that a second connection is opened meanwhile.
         std::thread::sleep(Duration::from_millis(100));
         if number >= silent.load(Ordering::SeqCst) {
             let whole = [head.as_bytes(), &reply].concat();
@@ -107,7 +107,7 @@
     }
 }
 
-/// Hands a group to a daemon, and lets what it leaves behind run on for a moment.
+/// Delegates a group to a daemon, then lets background tasks run for 100 ms.
 async fn hand(peers: &HttpPeers, daemon: &Listener) -> Result<GroupReply, PeerError> {
     let host = daemon.address.as_str().into();
     let reply = peers.delegate(&host, &group(), Duration::from_millis(400)).await;
@@ -122,30 +122,30 @@
 }
 
 #[test]
-fn spare_to_daemon() {
-    // A second group beside the first finds a connection open: opening one takes a whole
-    // way there and back.
+fn spare_connection_to_daemon() {
+    // A second group concurrent with the first finds an open connection, as opening one takes a
+    // whole round trip.
     let daemon = Listener::start();
     with_peers(async |peers| {
         hand(&peers, &daemon).await.expect("it answers");
-        assert_eq!(daemon.taken(), 2, "one for the group, and one to spare");
+        assert_eq!(daemon.taken(), 2, "one connection for the group and a spare one");
         hand(&peers, &daemon).await.expect("it answers");
-        assert_eq!(daemon.taken(), 2, "both are idle and used again");
+        assert_eq!(daemon.taken(), 2, "both connections are idle and reused");
     });
 }
 
 #[test]
-fn silent_daemon_dialled_anew() {
+fn silent_daemon_reconnected() {
     let daemon = Listener::start();
     with_peers(async |peers| {
         hand(&peers, &daemon).await.expect("it answers");
         daemon.silence();
         assert_eq!(hand(&peers, &daemon).await.err(), Some(PeerError::Silent));
-        hand(&peers, &daemon).await.expect("its other connection is not tried");
+        hand(&peers, &daemon).await.expect("a new connection is used instead of the other idle one");
     });
 }
 
-/// A request to an upstream that may use two connections.
+/// Returns a call to an upstream that allows four connections.
 fn call(upstream: &Listener) -> Call {
     let address = upstream.address.parse().expect("it is an address");
     Call {
@@ -161,14 +161,17 @@
 }
 
 #[test]
-fn silent_upstream_dialled_anew() {
+fn silent_upstream_reconnected() {
     let upstream = Listener::start();
     let executor: Rc<LocalExecutor<'static>> = Rc::default();
     let upstreams = HttpUpstreams::new(OwnProtocol, Rc::clone(&executor), Memory::default());
     let test = async {
         let call = call(&upstream);
         for _ in 0..2 {
-            assert!(upstreams.preconnect(&call.endpoint, call.connection_limit, 2), "it has room");
+            assert!(
+                upstreams.preconnect(&call.endpoint, call.connection_limit, 2),
+                "the connection limit is not reached"
+            );
             Timer::after(Duration::from_millis(100)).await;
         }
         upstream.silence();
@@ -177,7 +180,7 @@
             async move { upstreams.send(call, || true).await }
         });
         Timer::after(Duration::from_millis(1500)).await;
-        assert_eq!(upstreams.idle(&call.endpoint.upstream), 0, "the other one is as suspect");
+        assert_eq!(upstreams.idle(&call.endpoint.upstream), 0, "the other idle connection is closed too");
         let second = executor.spawn({
             let (upstreams, call) = (upstreams.clone(), call.clone());
             async move { upstreams.send(call, || true).await }
--- a/crates/harefield/tests/processes/site.rs
+++ b/crates/harefield/tests/processes/site.rs
@@ -1,4 +1,5 @@
-//! Requests on the users' machines: merged, handed back, cut, refused.
+//! Requests in the users' environment: answers that are merged, passed through, cut off by the
+//! latency objective or refused, and requests that are cancelled.
 
 use std::net::TcpStream;
 use std::rc::Rc;
@@ -35,7 +36,11 @@
     let site = Site::start();
     let answer = site.ask("/all/x?y=1", "r1");
     assert_eq!(answer.status, 200);
-    assert_eq!(answer.body, records(&[9, 8, 7, 3]), "the greatest four of all shards, falling");
+    assert_eq!(
+        answer.body,
+        records(&[9, 8, 7, 3]),
+        "the greatest four records of all shards in descending order"
+    );
     let mut signatures: Vec<&str> = answer.header("part-seals").split(", ").collect();
     signatures.sort_unstable();
     assert_eq!(signatures, ["i-s1.r1", "i-s2.r1", "i-s3.r1"]);
@@ -44,10 +49,10 @@
 
 #[test]
 fn waited_in_socket() {
-    // What waited in the socket of a daemon that was held up has that much less time.
+    // The time that a request waited in the socket of a paused daemon counts against its deadline.
     let site = Site::start();
     site.ask("/one/x", "r1");
-    let daemon = site.daemons().next().expect("there is one");
+    let daemon = site.daemons().next().expect("the site has a daemon");
     daemon.signal("STOP");
     let headers = "Attempt-Id: r2\r\nDeadline-Remaining: 900\r\nConnection: close\r\n";
     let stream = begin_with(daemon, "/one/x", headers);
@@ -60,7 +65,7 @@
         .values()
         .filter(|s| s.runs().iter().any(|id| id == "r2"))
         .find_map(standin::SignedSearcher::left);
-    let left = left.expect("it ran");
+    let left = left.expect("an upstream ran the request");
     assert!(left <= Duration::from_millis(400), "{left:?}");
 }
 
@@ -74,7 +79,7 @@
     assert_eq!(answer.header("missing-parts"), "1");
     site.searchers["i-s3"].set(Manner::Shed, Duration::ZERO);
     let answer = site.ask("/all/x", "r2");
-    assert_eq!(answer.status, 504, "one of three is too few, and it ran");
+    assert_eq!(answer.status, 504, "one of three shards is too few, and the request ran");
 }
 
 #[test]
@@ -88,7 +93,7 @@
 }
 
 #[test]
-fn handed_back_unchanged() {
+fn passed_through_unchanged() {
     let site = Site::start();
     let answer = site.ask("/one/x", "r1");
     assert_eq!(answer.status, 200);
@@ -112,8 +117,8 @@
         assert_eq!(answer.status, 503, "{path}");
         assert!(answer.header("retry-after").parse::<f64>().is_ok_and(|seconds| seconds > 0.0));
     }
-    // Once too many shards have refused, the answer does not wait for the last
-    // one's refusal, and what became of that is then not known.
+    // Once too many shards have rejected the request, the answer does not wait for the last one,
+    // whose outcome is then unknown (504).
     let answer = site.ask("/all/x", "r1");
     assert!([503, 504].contains(&answer.status), "{}", answer.status);
     assert_eq!(site.runs("r1"), 0);
@@ -125,7 +130,7 @@
     for manner in [Manner::Crossed, Manner::Unsigned] {
         site.searchers["i-one"].set(manner, Duration::ZERO);
         let answer = site.ask("/one/x", "r1");
-        assert_eq!(answer.status, 504, "{manner:?}: it ran, and no reply of its own came");
+        assert_eq!(answer.status, 504, "{manner:?}: the request ran, and no valid reply arrived");
         assert_eq!(answer.header("server-seal"), "");
         site.searchers["i-s1"].set(manner, Duration::ZERO);
         let answer = site.ask("/all/x", "r2");
@@ -180,19 +185,22 @@
     }
     std::thread::sleep(Duration::from_millis(1500));
     let finished = |id: &str| site.searchers.values().any(|s| s.finished().iter().any(|run| run == id));
-    assert!(!finished("gone-1") && !finished("gone-2"), "nobody works for a caller that left");
+    assert!(
+        !finished("gone-1") && !finished("gone-2"),
+        "no upstream continues for a caller that disconnected"
+    );
     assert_eq!(site.ask("/one/x", "stays").status, 200);
     assert!(finished("stays"));
 }
 
 /// Returns the status of the daemon's only worker.
 fn worker(site: &Site) -> WorkerStatus {
-    site.daemon.status().workers.remove(&0).expect("it has one worker")
+    site.daemon.status().workers.remove(&0).expect("the daemon has one worker")
 }
 
 #[test]
-fn callers_leave_gate_open() {
-    // Many callers that go away early do not make others wait.
+fn gone_callers_free_gate() {
+    // Callers that disconnect early do not leave the gate occupied for others.
     let site = Site::start();
     for searcher in site.searchers.values() {
         searcher.set(Manner::Good, Duration::from_millis(900));
@@ -203,15 +211,15 @@
         await_true("it runs", || site.runs(&id) > 0);
         std::thread::sleep(Duration::from_millis(50));
         drop(stream);
-        await_true("it has left", || worker(&site).running == 0);
+        await_true("the request is cancelled", || worker(&site).running == 0);
     }
     let others: Vec<TcpStream> =
         (0..6).map(|number| begin(&site.daemon, "/all/x", &format!("stays-{number}"))).collect();
-    await_true("all are in progress", || worker(&site).running == others.len());
-    assert_eq!(worker(&site).waiting, 0, "none of them waits at the gate");
+    await_true("all requests are in progress", || worker(&site).running == others.len());
+    assert_eq!(worker(&site).waiting, 0, "no request waits at the gate");
 }
 
-/// Returns the index of a request of all three shards.
+/// Returns the index name from the event of a request that covers all three shards.
 fn whole_index(record: &Record) -> Option<String> {
     match &record.event {
         Event::SnapshotChosen { index, shards: 3, .. } => Some(index.clone()),
@@ -219,10 +227,10 @@
     }
 }
 
-/// Returns a group of two shards as another daemon hands it on, with 400 ms left.
+/// Returns a group of two shards as another daemon delegates it, with 400 ms left.
 fn group(site: &Site) -> Group {
     let mut index = None;
-    // The time line tells of a request a moment after its answer.
+    // The time line shows a request shortly after its answer.
     await_true("a request has run", || {
         index = site.daemon.timeline("kind=snapshot-chosen").iter().find_map(whole_index);
         index.is_some()
@@ -240,7 +248,7 @@
         stamp: Stamp { micros: 0, count: 0 },
         request: "g1".to_owned(),
         lookup: "all".to_owned(),
-        index: index.expect("it was awaited"),
+        index: index.expect("a request has run"),
         shards: vec!["s1/all".into(), "s2/all".into()],
         only: Vec::new(),
         query,
@@ -258,15 +266,16 @@
 
 #[test]
 fn groups_pass_no_gate() {
-    // A request that another daemon let in is not held up by this one's own.
+    // A group whose request was admitted by another daemon does not wait behind local requests.
     let site = Site::start();
     for searcher in site.searchers.values() {
         searcher.set(Manner::Good, Duration::from_millis(900));
     }
     let mut own: Vec<TcpStream> =
         (0..24).map(|number| begin(&site.daemon, "/all/x", &format!("own-{number}"))).collect();
-    // Nobody waits past what still makes the objective, so that others come all the time.
-    await_true("some wait at the gate", || {
+    // A request waits only as long as it can still meet the latency objective, so new requests
+    // are sent until some wait.
+    await_true("some requests wait at the gate", || {
         own.push(begin(&site.daemon, "/all/x", &format!("own-{}", own.len())));
         worker(&site).waiting > 0
     });
@@ -276,13 +285,13 @@
     let message = group(&site);
     let handing = peers.delegate(&host, &message, Duration::from_secs(5));
     let reply = async_io::block_on(executor.run(handing)).expect("it answers");
-    assert!(!reply.declined, "it is taken, whatever its upstreams bring in time");
+    assert!(!reply.declined, "the group is accepted, whatever its upstreams return in time");
     assert_eq!(reply.parts.len() + reply.missing.len(), 2);
     drop(own);
 }
 
-/// Returns how many of two shards a group brings whose first one is slow and whose second
-/// has failed for good after a back-off of 100 ms; both are wanted.
+/// Returns the number of results of a group of two shards that needs both, where the first shard
+/// is slow and the second has finally failed after a back-off of 100 ms.
 fn brought_short(possible: Option<usize>) -> usize {
     let site = Site::start();
     site.searchers["i-s2"].set(Manner::Fail, Duration::ZERO);
@@ -297,8 +306,12 @@
 
 #[test]
 fn short_group_awaits_rest() {
-    assert_eq!(brought_short(Some(1)), 1, "one is enough for the whole: what is awaited still counts");
-    assert_eq!(brought_short(None), 0, "a sender that does not say so has no use for one");
+    assert_eq!(
+        brought_short(Some(1)),
+        1,
+        "one more result is enough for the whole request, so the slow shard is awaited"
+    );
+    assert_eq!(brought_short(None), 0, "without `possible`, the sender cannot use a single result");
 }
 
 #[test]
@@ -319,16 +332,16 @@
             None
         };
         let handing = async { Some(peers.delegate(&host, &message, Duration::from_secs(5)).await) };
-        assert!(handing.or(running).await.is_none(), "it is given up while its upstreams work");
+        assert!(handing.or(running).await.is_none(), "the group is abandoned while its upstreams run it");
         Timer::after(Duration::from_millis(1500)).await;
     };
     async_io::block_on(executor.run(gone));
     let finished = site.searchers.values().any(|s| s.finished().iter().any(|run| run == "g1"));
-    assert!(!finished, "nobody works for a daemon that gave the group up");
+    assert!(!finished, "no upstream continues for a daemon that abandoned the group");
 }
 
 #[test]
-fn bounds_kept() {
+fn request_limits() {
     let site = Site::start();
     let post = |length: usize, body: &str| {
         let head = "POST /one/x HTTP/1.1\r\nHost: x.example\r\nAttempt-Id: big\r\nConnection: close\r\n";
@@ -336,9 +349,9 @@
     };
     assert_eq!(send(&site, post(1200, &"x".repeat(1200)).as_bytes()).status, 413);
     assert_eq!(send(&site, post(900, &"x".repeat(900)).as_bytes()).status, 200);
-    assert_eq!(send(&site, post(900, "too little").as_bytes()).status, 408, "the body does not come");
+    assert_eq!(send(&site, post(900, "too little").as_bytes()).status, 408, "the body is incomplete");
     let long = format!("X-Long: {}\r\n", "x".repeat(3000));
     assert_eq!(ask(site.daemon.addresses.callers, "/one/x", &long).status, 431);
     assert_eq!(send(&site, b"no request at all\r\n\r\n").status, 400);
-    assert_eq!(site.runs("big"), 1, "what was refused did not run");
+    assert_eq!(site.runs("big"), 1, "the refused requests did not run");
 }
--- a/crates/harefield/tests/processes/site_accounts.rs
+++ b/crates/harefield/tests/processes/site_accounts.rs
@@ -1,4 +1,5 @@
-//! Client accounts on the users' machines: who may ask, and what upstreams see of it.
+//! Client accounts in the users' environment: which requests are authorized, what upstreams see
+//! of the account, and rate limits over the fleet.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,14 +19,14 @@
     json!({ "name": name, "apiKeys": keys, "priority": 2, "ratePerS": 0, "burst": 0, "homeRegions": [] })
 }
 
-/// Starts a site whose accounts `apex` and `birch` have the keys `key-a` and `key-b`.
+/// Starts a site with the accounts `apex` (`key-a`) and `birch` (`key-b`).
 fn start() -> Site {
     let site = Site::start();
     publish(&site, 2, &[account("apex", &["key-a"]), account("birch", &["key-b"])]);
     site
 }
 
-/// Publishes accounts, and awaits that the first daemon goes by them.
+/// Publishes accounts and waits until they are in force on all daemons.
 fn publish(site: &Site, version: u64, accounts: &[Value]) {
     publish_routes(site, version, &routes(), accounts);
 }
@@ -49,7 +50,7 @@
     ask(daemon.addresses.callers, path, &head)
 }
 
-/// Returns the heads of all runs of requests whose id is `id`.
+/// Returns the headers that upstreams received with the request `id`, one map for each run.
 fn heads(site: &Site, id: &str) -> Vec<BTreeMap<String, Vec<String>>> {
     let all = site.searchers.values().flat_map(standin::SignedSearcher::heads);
     all.filter(|head| head.get("attempt-id").is_some_and(|ids| ids == &[id.to_owned()])).collect()
@@ -91,13 +92,14 @@
     }
 }
 
-/// Asks as `apex` with a forged account, and checks what the upstreams that run it are told.
+/// Sends a request with the key of `apex` and forged account headers, and checks that upstreams
+/// receive the true account and no key.
 fn assert_named(site: &Site, daemon: &Daemon, path: &str, id: &str) {
     let forged = "Tenant: birch\r\nTENANT: cedar\r\n";
     let head = format!("Attempt-Id: {id}\r\nDeadline-Remaining: 2000\r\n{}{forged}", bearer("key-a"));
     assert_eq!(ask(daemon.addresses.callers, path, &head).status, 200, "{path}");
     let heads = heads(site, id);
-    assert!(!heads.is_empty(), "{path} ran");
+    assert!(!heads.is_empty(), "{path} ran nowhere");
     for head in heads {
         assert_eq!(head.get("tenant"), Some(&vec!["apex".to_owned()]), "{path}: {head:?}");
         assert_eq!(head.get("authorization"), None, "{path}: {head:?}");
@@ -141,10 +143,10 @@
 fn key_taken_away() {
     let site = start();
     publish(&site, 3, &[account("birch", &["key-b"]), account("apex", &[])]);
-    await_true("it opens nothing", || ask_with(&site.daemon, "/one/x", &bearer("key-a")).status == 401);
-    // The last key is taken away, and with it the last account: nothing opens then.
+    await_true("the key is refused", || ask_with(&site.daemon, "/one/x", &bearer("key-a")).status == 401);
+    // Removing the last key, and with it the last account, does not open access to all.
     site.publish_for(4, &routes(), Some(&[]));
-    await_true("no key opens", || ask_with(&site.daemon, "/one/x", &bearer("key-b")).status == 401);
+    await_true("every key is refused", || ask_with(&site.daemon, "/one/x", &bearer("key-b")).status == 401);
     assert_eq!(ask_with(&site.daemon, "/one/x", "").status, 401);
 }
 
@@ -153,7 +155,7 @@
     let site = start();
     publish(&site, 3, &[account("birch", &["key-b", "key-a"]), account("apex", &["key-c"])]);
     let head = format!("Attempt-Id: v1\r\nDeadline-Remaining: 2000\r\n{}", bearer("key-a"));
-    await_true("it is of the other account", || {
+    await_true("the key belongs to the other account", || {
         ask(site.daemon.addresses.callers, "/one/x", &head);
         heads(&site, "v1").last().is_some_and(|head| head.get("tenant") == Some(&vec!["birch".to_owned()]))
     });
@@ -199,8 +201,8 @@
     assert_eq!(heads[0].get("authorization"), Some(&vec!["Bearer k".to_owned()]));
 }
 
-/// Limits are counted over two seconds, and the fleet may go a quarter and four requests
-/// above them.
+/// Settings by which limits are counted over two seconds, and the fleet may exceed them by a
+/// quarter and four requests.
 const LIMITS: &str = "[accounts]\nwindow-ms = 2000\noverage = 0.25\nslack = 4\n";
 
 fn limited(name: &str, key: &str, rate: f64, burst: f64) -> Value {
@@ -210,19 +212,21 @@
     account
 }
 
-/// Starts daemons that share the limits of `apex`, 10 a second and 5 at once, and `birch`.
+/// Starts daemons that share the limits of the accounts `apex` and `birch`, each 10 requests a
+/// second with a burst of 5.
 fn start_limited(count: usize) -> Site {
     let site = Site::start_with(count, LIMITS);
     let accounts = [limited("apex", "key-a", 10.0, 5.0), limited("birch", "key-b", 10.0, 5.0)];
     site.publish_for(2, &routes(), Some(&accounts));
-    // Each daemon holds parts once it knows the others, 3 s after its start.
+    // A daemon holds its part of the limits once it knows the others, 3 s after its start.
     std::thread::sleep(Duration::from_millis(3500));
     let granted = |daemon: &Daemon| ask_with(daemon, "/one/probe", &bearer("key-a")).status == 200;
-    await_true("limits are given out", || site.daemons().all(granted));
+    await_true("the limits are distributed", || site.daemons().all(granted));
     site
 }
 
-/// Asks as `key` for some time, each daemon in turn; returns the answers.
+/// Sends requests with a key for some time, to each daemon in turn; returns the answers with
+/// their response times.
 fn flood(site: &Site, key: &str, time: Duration, pause: Duration) -> Vec<(Duration, Answer)> {
     let start = Instant::now();
     let mut answers = Vec::new();
@@ -239,7 +243,7 @@
     answers
 }
 
-/// Returns the most runs of an account within any two seconds.
+/// Returns the maximum number of runs for a key within any two seconds.
 fn busiest(site: &Site, key: &str) -> usize {
     let arrivals = site.searchers["i-one"].arrivals();
     let times: Vec<Instant> =
@@ -256,21 +260,22 @@
     let answers = flood(&site, "key-a", Duration::from_secs(5), Duration::from_millis(2));
     let served = answers.iter().filter(|(_, answer)| answer.status == 200).count();
     let refused: Vec<_> = answers.iter().filter(|(_, answer)| answer.status == 429).collect();
-    assert_eq!(served + refused.len(), answers.len(), "nothing else happened");
-    // (10 a second over 2 s and 5 at once), a quarter more, and 4.
+    assert_eq!(served + refused.len(), answers.len(), "every answer is 200 or 429");
+    // (10 a second over 2 s and a burst of 5) plus a quarter, plus 4.
     assert!(busiest(&site, "key-a") <= 35, "{} within a window", busiest(&site, "key-a"));
-    // Inside the limit nothing is refused: 10 a second over 5 s.
+    // No request within the limit is refused: 10 a second over 5 s.
     assert!(served >= 50, "{served} served");
     for (took, answer) in &refused {
         assert!(*took < Duration::from_millis(500), "{took:?}");
-        let wait: f64 = answer.header("retry-after").parse().expect("it says when to come back");
+        let wait: f64 = answer.header("retry-after").parse().expect("the answer has a retry time");
         assert!(wait > 0.0 && wait <= 2.0, "{wait}");
     }
 }
 
 #[test]
 fn limit_after_restarts() {
-    // All daemons are killed in the middle of a window: their parts begin empty.
+    // All daemons are killed in the middle of a window. Their parts of the limits must start
+    // empty, or the window would exceed the limit.
     let mut site = start_limited(3);
     flood(&site, "key-a", Duration::from_millis(600), Duration::from_millis(2));
     site.restart_all_with("", LIMITS);
@@ -279,7 +284,7 @@
         flood(&site, "key-a", Duration::from_millis(500), Duration::from_millis(2));
     }
     assert!(busiest(&site, "key-a") <= 35, "{} within a window", busiest(&site, "key-a"));
-    assert!(ask_with(&site.daemon, "/one/x", &bearer("key-b")).status == 200, "it is served again");
+    assert!(ask_with(&site.daemon, "/one/x", &bearer("key-b")).status == 200, "requests are served again");
 }
 
 #[test]
@@ -301,10 +306,10 @@
     flood(&site, "key-a", Duration::from_secs(1), Duration::from_millis(5));
     let accounts = [limited("apex", "key-a", 1.0, 1.0), limited("birch", "key-b", 10.0, 5.0)];
     site.publish_for(3, &routes(), Some(&accounts));
-    // In force within 3 s, and counted from a window after that.
+    // The new limit is in force within 3 s and applies in full one window later.
     std::thread::sleep(Duration::from_secs(3) + WINDOW);
     let answers = flood(&site, "key-a", Duration::from_secs(4), Duration::from_millis(5));
     let served = answers.iter().filter(|(_, answer)| answer.status == 200).count();
-    // Twice (1 a second over 2 s and 1 at once), a quarter more, and 4.
+    // Twice (1 a second over 2 s and a burst of 1) plus a quarter, plus 4.
     assert!((4..=15).contains(&served), "{served} served");
 }
--- a/crates/harefield/tests/processes/site_cells.rs
+++ b/crates/harefield/tests/processes/site_cells.rs
@@ -1,5 +1,5 @@
-//! Cells smaller than the fleet on the users' machines: opaque requests are handed
-//! to members.
+//! Cells smaller than the fleet in the users' environment: opaque requests are forwarded to
+//! members.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -26,7 +26,7 @@
 use harefield::ports::Forward;
 use harefield::ports::Peers;
 
-/// Returns the upstreams that a daemon asks itself.
+/// Returns the upstreams that a daemon sends to directly.
 fn upstreams(daemon: &Daemon) -> BTreeSet<String> {
     let status = daemon.status();
     let all = status.workers.values().flat_map(|worker| &worker.upstreams);
@@ -34,9 +34,9 @@
 }
 
 #[test]
-fn handed_whole() {
+fn forwarded_whole() {
     let site = Site::start_cells(4, 1);
-    await_true("each upstream is held by one daemon", || {
+    await_true("each upstream is used by one daemon only", || {
         let held = site.daemons().map(upstreams).collect::<Vec<_>>();
         let all = held.iter().flatten().collect::<BTreeSet<_>>();
         all.len() == site.searchers.len() && held.iter().map(BTreeSet::len).sum::<usize>() == all.len()
@@ -47,7 +47,7 @@
         assert_eq!((answer.status, answer.header("missing-parts")), (200, "0"));
         assert_eq!(answer.body, records(&[9, 8, 7, 3]));
         assert_eq!(answer.header("part-seals").split(", ").count(), 3);
-        assert_eq!(site.runs(&id), 3, "each shard is asked once");
+        assert_eq!(site.runs(&id), 3, "each shard runs the request once");
         let answer = ask_at(daemon, "/one/x", &format!("o{number}"), 2000);
         assert_eq!((answer.status, answer.header("x-own")), (200, "kept"));
         assert_eq!(answer.body, records(&[5, 5]));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn partial_when_handed() {
+fn partial_when_forwarded() {
     let site = Site::start_cells(3, 1);
     site.searchers["i-s2"].set(Manner::Shed, Duration::ZERO);
     for (number, daemon) in site.daemons().enumerate() {
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn unsafe_handed_once() {
+fn unsafe_forwarded_once() {
     let site = Site::start_cells(3, 1);
     for searcher in site.searchers.values() {
         searcher.set(Manner::Good, Duration::from_millis(600));
@@ -81,8 +81,8 @@
 
 #[test]
 fn attempts_over_members() {
-    // A request that is slow at one member is not handed to the other: together
-    // they would ask more upstreams than the attempts of its lookup.
+    // A request that is slow at one member is not forwarded to the other one: together they would
+    // make more attempts than the lookup allows.
     let mut site = Site::start_cells(3, 2);
     for id in ["i-one2", "i-one3"] {
         site.add("one", id, &[5, 5]);
@@ -96,13 +96,13 @@
         assert!(site.runs(&id) <= 2, "{} runs", site.runs(&id));
         let id = format!("b{number}");
         assert_eq!(ask_at(daemon, "/all/x", &id, 900).status, 504);
-        assert_eq!(site.runs(&id), 3, "once at the one upstream of each shard");
+        assert_eq!(site.runs(&id), 3, "the request runs once at the only upstream of each shard");
     }
 }
 
 #[test]
 fn caller_gone_stops_member() {
-    // A request that was handed on ends at its member too, once its caller has left.
+    // A forwarded request is cancelled at the member too when its caller disconnects.
     let site = Site::start_cells(3, 1);
     for searcher in site.searchers.values() {
         searcher.set(Manner::Good, Duration::from_millis(800));
@@ -116,11 +116,11 @@
     std::thread::sleep(Duration::from_millis(1500));
     let finished = |run: &String| run.starts_with("gone-");
     let any = site.searchers.values().any(|searcher| searcher.finished().iter().any(finished));
-    assert!(!any, "nobody works for callers that left, whichever daemon they asked");
+    assert!(!any, "no upstream continues for callers that disconnected, whichever daemon they used");
 }
 
-/// Returns a request as another daemon hands it on, let in under an edition.
-fn handed(edition: u64) -> Forward {
+/// Returns a request as another daemon forwards it, admitted under an edition.
+fn forward_message(edition: u64) -> Forward {
     let query = OpaqueQuery {
         id: "n1".into(),
         method: "GET".into(),
@@ -146,21 +146,21 @@
     }
 }
 
-/// Hands a request to a daemon as another one does.
-fn hand(daemon: &Daemon, message: &Forward) -> Answer {
+/// Forwards a request to a daemon as another daemon does.
+fn forward(daemon: &Daemon, message: &Forward) -> Answer {
     let executor: Rc<LocalExecutor<'static>> = Rc::default();
     let peers = HttpPeers::new(Rc::clone(&executor), None, Traffic::default(), Memory::default());
     let host = daemon.addresses.peers.to_string().into();
-    let handing = peers.forward(&host, message, Duration::from_secs(5));
-    let forwarded = async_io::block_on(executor.run(handing));
-    forwarded.expect("it answers").answer
+    let forwarding = peers.forward(&host, message, Duration::from_secs(5));
+    let forwarded = async_io::block_on(executor.run(forwarding));
+    forwarded.expect("the daemon answers").answer
 }
 
 #[test]
 fn newer_view_declined() {
     let site = Site::start();
-    let declined = hand(&site.daemon, &handed(1_000_000));
+    let declined = forward(&site.daemon, &forward_message(1_000_000));
     assert_eq!((declined.outcome, declined.code), (Outcome::NotRun, Code::OlderView));
     assert_eq!(site.runs("n1"), 0);
-    assert_eq!(hand(&site.daemon, &handed(1)).code, Code::Whole);
+    assert_eq!(forward(&site.daemon, &forward_message(1)).code, Code::Whole);
 }
--- a/crates/harefield/tests/processes/site_cold.rs
+++ b/crates/harefield/tests/processes/site_cold.rs
@@ -1,4 +1,4 @@
-//! Upstreams that are cold: over all daemons they get no more than they bear.
+//! Cold upstreams get no more requests from all daemons together than their published rate.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -7,13 +7,13 @@
 
 use crate::site_regions::Regions;
 
-/// What a cold upstream bears a second.
+/// The number of requests a second that a cold upstream can take.
 const PER_S: f64 = 6.0;
 
-/// How long callers ask.
+/// How long requests are sent in each phase.
 const ASKING: Duration = Duration::from_millis(2500);
 
-/// Returns the most requests that came to an upstream within one second, from a moment on.
+/// Returns the maximum number of requests that reached an upstream within one second since `from`.
 fn most_within_second(upstream: &SignedSearcher, from: Instant) -> usize {
     let arrivals: Vec<Instant> =
         upstream.arrivals().into_iter().map(|(at, _)| at).filter(|at| *at >= from).collect();
@@ -23,7 +23,7 @@
     arrivals.iter().map(within).max().unwrap_or(0)
 }
 
-/// Asks all daemons in turn, some 80 requests a second.
+/// Sends about 80 requests a second, to all daemons in turn.
 fn ask_on(regions: &Regions, name: &str) {
     let until = Instant::now() + ASKING;
     let mut number = 0;
@@ -63,7 +63,7 @@
     let from = Instant::now();
     ask_on(&regions, "w");
     let warm = regions.upstreams("n1").map(|upstream| most_within_second(upstream, from)).max();
-    assert!(warm > Some(12), "warm ones are asked again");
+    assert!(warm > Some(12), "warm upstreams get requests again");
 }
 
 #[test]
@@ -77,7 +77,7 @@
     expect_spared(&regions, "n1", from);
     expect_spared(&regions, "s1", from);
     let asked: usize = regions.upstreams("n1").map(|upstream| most_within_second(upstream, from)).sum();
-    assert!(asked > 0, "they get some of what they bear");
+    assert!(asked > 0, "cold upstreams get some requests");
 }
 
 #[test]
--- a/crates/harefield/tests/processes/site_drill.rs
+++ b/crates/harefield/tests/processes/site_drill.rs
@@ -1,17 +1,18 @@
-//! A store that is away for a moment and comes back from a copy some seconds old, in its next
-//! era.
+//! A store that is unavailable for a moment and is restored from a copy some seconds old, in its
+//! next era.
 //!
-//! More than 3 s after changes were confirmed, all daemons still decided by the version
-//! before them. The store had come back from a copy: its revision was lower than what the
-//! daemons held, it refused their watches with 410, and they refused its listings as older and
-//! watched again at once. When writes had raised its revision to what they held, a watch from
-//! there went on, and what was written below was never told: daemons vouched for what they had
-//! while three versions were missing. Revisions were compared without the era that they are of.
+//! Guards against a failure in which all daemons still used the previous version more than 3 s
+//! after changes were confirmed. The restored store had a lower revision than the daemons: it
+//! rejected their watches with 410, and they rejected its listings as older and watched again
+//! immediately. When writes had raised its revision to the one that the daemons held, a watch
+//! from there succeeded, and the changes written below that revision were never sent: daemons
+//! reported their configuration as current while three versions were missing. The cause was that
+//! revisions were compared without their era.
 //!
-//! What settled it: of six daemons, four made 262 to 275 calls a second from 46.7 s to
-//! 54.5 s, a third of them refused, and ended in the moment of the third write; all six then
-//! said `config-current` with revision 61, which they had held since 41.1 s, and the versions
-//! confirmed at 51.9, 53.1 and 54.6 s were in force nowhere before the next one came at 57.0 s.
+//! Evidence: of six daemons, four made 262 to 275 calls a second from 46.7 s to 54.5 s, a third
+//! of them rejected, until the moment of the third write. All six then reported `config-current`
+//! with revision 61, which they had held since 41.1 s, and the versions confirmed at 51.9, 53.1
+//! and 54.6 s were in force nowhere before the next one at 57.0 s.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -29,14 +30,14 @@
 use crate::support::Daemon;
 use crate::support::await_true;
 
-/// How long the store is away.
+/// How long the store is unavailable.
 const AWAY: Duration = Duration::from_secs(1);
 
-/// The fewest heartbeats' time for which an upstream that the copy lacks goes on: three of
-/// 1.2 s each.
+/// The minimum time for which an upstream that is missing from the copy stays in use: three
+/// heartbeats of 1.2 s each.
 const HEARTBEATS: Duration = Duration::from_millis(3600);
 
-/// Publishes versions one after the other, each in force everywhere before the next.
+/// Publishes versions one after the other, and waits until each is in force on all daemons.
 fn publish(site: &Site, versions: impl IntoIterator<Item = u64>) {
     for version in versions {
         let confirmed = confirm(site, version);
@@ -44,7 +45,8 @@
     }
 }
 
-/// Starts daemons, and publishes versions up to 5, of which a copy lacks the last three.
+/// Starts daemons and publishes the versions 2 to 5; returns a copy of the store that lacks the
+/// last three.
 fn start(count: usize) -> (Site, u64) {
     let site = Site::start_reading(count, READING);
     publish(&site, [2]);
@@ -97,23 +99,23 @@
 
 #[test]
 fn listing_across_eras() {
-    // Pages of two eras are no listing of either.
+    // Pages from two eras do not make up a listing of either one.
     let (mut site, copy) = start(1);
     site.store.restore_after_page(copy);
     site.add_daemon(READING);
-    await_true("the new one serves", || site.daemons().all(|daemon| is_in_force(daemon, 5)));
+    await_true("the new daemon serves", || site.daemons().all(|daemon| is_in_force(daemon, 5)));
     publish(&site, 6..=7);
 }
 
 #[test]
 fn starts_beside_copy() {
-    // One that starts hears the store, which has version 2, and daemons that know better.
+    // A daemon that starts reads the store, which has version 2, and daemons with a newer one.
     let (mut site, copy) = start(2);
     site.store.drill(copy, Away::Silent, AWAY);
     site.add_daemon(READING);
-    let new = site.others.last().expect("it was started");
-    await_true("it serves", || ask_at(new, "/one/x", "r0", 2000).status == 200);
-    assert!(is_in_force(new, 5), "it serves by a version that is not in force any more");
+    let new = site.others.last().expect("the daemon was started");
+    await_true("the new daemon serves", || ask_at(new, "/one/x", "r0", 2000).status == 200);
+    assert!(is_in_force(new, 5), "the new daemon serves by an outdated version");
     expect_kept(&site, 5, Duration::from_secs(2));
     publish(&site, 6..=7);
 }
@@ -135,7 +137,8 @@
 
 #[test]
 fn era_unseen() {
-    // Nobody reads while the era rises, and writes bring the revision back to what was held.
+    // No daemon reads while the era rises and writes bring the revision back to the one that the
+    // daemons hold.
     let (site, copy) = start(3);
     site.store.set_silent(true);
     std::thread::sleep(Duration::from_secs(2));
@@ -150,20 +153,21 @@
 
 #[test]
 fn few_calls_after_copy() {
-    // One daemon of the zone reads: it lists once, which is two pages, and the others hear
-    // from it. Each may have asked the store once, to hear that its watch is of no use.
+    // One daemon of the zone reads: it lists once, which takes two pages, and the others get the
+    // listing from it. Each daemon may call the store once and have its watch rejected.
     let (site, copy) = start(3);
     let (pages, gone) = (site.store.pages(), site.store.gone());
     site.store.drill(copy, Away::Silent, AWAY);
     std::thread::sleep(IN_FORCE);
     let (pages, gone) = (site.store.pages() - pages, site.store.gone() - gone);
     assert!(pages <= 2, "{pages} pages were read");
-    assert!(gone <= 3, "{gone} calls were refused");
+    assert!(gone <= 3, "{gone} calls were rejected");
 }
 
 #[test]
 fn upstream_lacking_in_copy() {
-    // It goes on until it has had time to write again; where it never does, it is gone.
+    // An upstream that the copy lacks stays in use until it has had time to write its entry
+    // again; if it does not, it is removed.
     let site = Site::start_reading(3, READING);
     let (key, entry) = {
         let own = &site.searchers["i-one"];
@@ -173,22 +177,23 @@
     let copy = site.store.copy();
     site.store.put(&key, Some(&entry));
     let serves = |daemon: &Daemon| ask_at(daemon, "/one/x", "r0", 2000).status == 200;
-    await_true("it is known", || site.daemons().all(serves));
+    await_true("the upstream is known", || site.daemons().all(serves));
     site.store.drill(copy, Away::Silent, AWAY);
     let back = Instant::now();
     while back.elapsed() < HEARTBEATS {
-        assert!(site.daemons().all(serves), "it is left alone {:?} after the return", back.elapsed());
+        assert!(site.daemons().all(serves), "the upstream was removed {:?} after the return", back.elapsed());
         std::thread::sleep(Duration::from_millis(20));
     }
-    await_true("it is gone", || !site.daemons().any(serves));
-    assert!(back.elapsed() < 3 * HEARTBEATS, "it served for {:?}", back.elapsed());
+    await_true("the upstream is removed", || !site.daemons().any(serves));
+    assert!(back.elapsed() < 3 * HEARTBEATS, "the upstream was used for {:?}", back.elapsed());
     site.store.put(&key, Some(&entry));
-    await_true("it wrote again", || site.daemons().all(serves));
+    await_true("the upstream is used again", || site.daemons().all(serves));
 }
 
 #[test]
 fn upstream_back_in_copy() {
-    // One that had left is none until it writes, though the copy has it.
+    // An upstream that had left is not used until it writes its entry again, though the copy has
+    // its entry.
     let mut site = Site::start_reading(3, READING);
     site.store.put("servers/i-one", None);
     site.add("one", "i-left", &[5, 5]);
@@ -198,22 +203,27 @@
             ask_at(daemon, "/one/x", "r1", 2000);
         }
     };
-    await_true("it is used", || {
+    await_true("the upstream is used", || {
         ask_all(&site);
         !left.runs().is_empty()
     });
     let copy = site.store.copy();
     site.store.put(&left.key(), None);
-    // New work may reach it for a moment yet.
+    // New requests may still reach the upstream for a moment.
     std::thread::sleep(Duration::from_secs(1));
     site.store.drill(copy, Away::Silent, AWAY);
     let (back, runs) = (Instant::now(), left.runs().len());
     while back.elapsed() < Duration::from_secs(3) {
         ask_all(&site);
-        assert_eq!(left.runs().len(), runs, "it was asked {:?} after the return", back.elapsed());
+        assert_eq!(
+            left.runs().len(),
+            runs,
+            "the upstream got a request {:?} after the return",
+            back.elapsed()
+        );
     }
     site.store.put(&left.key(), Some(&left.entry("one", "ready")));
-    await_true("it is used again", || {
+    await_true("the upstream is used again", || {
         ask_all(&site);
         left.runs().len() > runs
     });
@@ -221,13 +231,13 @@
 
 #[test]
 fn killed_beside_copy() {
-    // Nobody is left who knows more than the copy; what is written then is in force in time.
+    // No daemon is left that knows more than the copy. Later changes are in force in time.
     let (mut site, copy) = start(3);
     site.store.set_silent(true);
     site.restart_all(READING);
     site.store.restore(copy);
     site.store.set_silent(false);
     site.store.write_again();
-    await_true("they have it", || site.daemons().all(|daemon| is_in_force(daemon, 5)));
+    await_true("the daemons have the version", || site.daemons().all(|daemon| is_in_force(daemon, 5)));
     publish(&site, 6..=8);
 }
--- a/crates/harefield/tests/processes/site_editions.rs
+++ b/crates/harefield/tests/processes/site_editions.rs
@@ -1,5 +1,5 @@
-//! A daemon through which callers have seen an edition never shows an older one, also
-//! where another daemon ran the request.
+//! Once a daemon has returned an answer under an edition, it never answers under an older one,
+//! even if another daemon ran the request.
 
 use std::io::Read;
 use std::io::Write;
@@ -28,18 +28,18 @@
 use harefield::ports::Exchange;
 use harefield::ports::Forward;
 
-/// The edition that the other daemon says it answers under.
+/// The edition under which the fake daemon answers.
 const NEWER: u64 = 7;
 
-/// A daemon that answers whatever it is handed, by hand.
+/// A fake daemon that answers gossip and forwarded requests with fixed replies.
 #[derive(Clone, Default)]
 struct Other {
-    /// The least editions that it was asked for.
-    asked: Arc<Mutex<Vec<u64>>>,
+    /// The minimum editions of the requests forwarded to it.
+    editions: Arc<Mutex<Vec<u64>>>,
     gone: Arc<AtomicBool>,
 }
 
-/// The answer to a request handed on, as it travels.
+/// The reply to a forwarded request in its wire format.
 #[derive(Serialize)]
 enum Travelling {
     Json(ByteBuf),
@@ -73,7 +73,7 @@
                 Some("/v1/forward") => self.answer(&body),
                 _ => return,
             };
-            let reply = reply.expect("it can be packed");
+            let reply = reply.expect("the reply can be encoded");
             let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", reply.len());
             let written = stream.write_all(head.as_bytes()).and_then(|()| stream.write_all(&reply));
             if written.is_err() {
@@ -83,15 +83,16 @@
     }
 
     fn answer(&self, body: &[u8]) -> Result<Vec<u8>, rmp_serde::encode::Error> {
-        let message: Forward = rmp_serde::from_slice(body).expect("it is a request handed on");
-        self.asked.lock().expect("nobody panicked").push(message.edition);
+        let message: Forward = rmp_serde::from_slice(body).expect("the body is a forwarded request");
+        self.editions.lock().expect("nobody panicked").push(message.edition);
         let answer = Answer::empty(&message.request, Outcome::MayHaveRun, Code::ReplyLost);
         let json = ByteBuf::from(serde_json::to_vec(&answer).expect("it is JSON"));
         rmp_serde::to_vec(&(stamp(), NEWER, Travelling::Json(json)))
     }
 }
 
-/// Says that this daemon is the strongest of the availability zone.
+/// Returns a gossip message by which this daemon has by far the highest capacity of its
+/// availability zone, so that it becomes the member of the cell.
 fn exchange(own: SocketAddr) -> Exchange {
     let row = MemberRow {
         host: own.to_string().into(),
@@ -114,7 +115,7 @@
     }
 }
 
-/// Reads one request with a body of known length; none where the connection ended.
+/// Reads one request with a content length; returns none when the connection has ended.
 fn read(stream: &mut TcpStream) -> Option<(String, Vec<u8>)> {
     let mut head = Vec::new();
     let mut byte = [0];
@@ -130,49 +131,50 @@
 }
 
 #[test]
-fn seen_stays_seen() {
+fn edition_never_older() {
     let other = Other::default();
     let site = Site::start_beside(other.start(), 1);
-    let asked = || other.asked.lock().expect("nobody panicked").clone();
+    let editions = || other.editions.lock().expect("nobody panicked").clone();
     await_true("the other daemon is the member", || {
         site.ask("/all/x", "e1");
-        !asked().is_empty()
+        !editions().is_empty()
     });
-    assert_eq!(asked()[0], 1, "the edition in force here");
+    assert_eq!(editions()[0], 1, "the edition in force on the daemon");
     site.ask("/all/x", "e2");
-    assert_eq!(asked().last(), Some(&NEWER), "the one that callers have seen here");
+    assert_eq!(editions().last(), Some(&NEWER), "the edition that callers have seen through the daemon");
     other.gone.store(true, Ordering::SeqCst);
-    // It becomes the member itself, and does not go back to the edition that it has.
-    await_true("it refuses by itself", || {
+    // The daemon becomes the member itself, and refuses rather than answer under its own, older
+    // edition.
+    await_true("the daemon refuses the request", || {
         let answer = site.ask("/all/x", "e3");
         String::from_utf8_lossy(&answer.body).contains(&Code::OlderView.to_string())
     });
     assert_eq!(site.runs("e3"), 0, "nothing ran under the older edition");
     site.publish(NEWER, &routes());
-    await_true("it serves", || site.ask("/all/x", "e4").status == 200);
+    await_true("the daemon serves", || site.ask("/all/x", "e4").status == 200);
 }
 
 #[test]
 fn keys_of_seen_edition() {
-    // Who opens what is decided under no older edition than callers have seen here, also where
-    // another daemon runs the request.
+    // Keys are checked under no older edition than callers have seen through this daemon, even
+    // if another daemon runs the request.
     let other = Other::default();
     let site = Site::start_beside(other.start(), 1);
     let account = json!({ "name": "apex", "apiKeys": ["key-a"], "ratePerS": 0 });
     site.publish_for(2, &routes(), Some(&[account]));
-    let asked = || other.asked.lock().expect("nobody panicked").clone();
+    let editions = || other.editions.lock().expect("nobody panicked").clone();
     let key = "Attempt-Id: k1\r\nDeadline-Remaining: 2000\r\nAuthorization: Bearer key-a\r\n";
     let ask_with_key = || ask(site.daemon.addresses.callers, "/all/x", key);
-    await_true("keys are asked for", || site.ask("/all/x", "k0").status == 401);
-    let before = asked().len();
+    await_true("a key is required", || site.ask("/all/x", "k0").status == 401);
+    let before = editions().len();
     await_true("the other daemon runs it", || {
         ask_with_key();
-        asked().len() > before
+        editions().len() > before
     });
-    let seen = asked().len();
+    let seen = editions().len();
     let answer = ask_with_key();
     assert!(String::from_utf8_lossy(&answer.body).contains(&Code::OlderView.to_string()), "{answer:?}");
-    assert_eq!(asked().len(), seen, "it was not handed on under the older edition");
+    assert_eq!(editions().len(), seen, "the request was not forwarded under the older edition");
     site.publish_for(NEWER, &routes(), Some(&[]));
-    await_true("the key opens nothing", || ask_with_key().status == 401);
+    await_true("the key is refused", || ask_with_key().status == 401);
 }
--- a/crates/harefield/tests/processes/site_evacuation.rs
+++ b/crates/harefield/tests/processes/site_evacuation.rs
@@ -1,4 +1,4 @@
-//! Availability zones whose upstreams are to get nothing more for a while.
+//! Evacuated availability zones, whose upstreams get no requests for a while.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -6,7 +6,7 @@
 use crate::site_regions::Regions;
 use crate::support::await_true;
 
-/// Asks some paths at each daemon, and checks that the zones named get nothing.
+/// Sends requests to each daemon and checks that the upstreams of some zones get none.
 fn expect_empty(regions: &Regions, name: &str, zones: &[&str]) {
     for number in 0..12 {
         let path = ["/all/", "/one/", "/once/"][number % 3];
@@ -32,11 +32,11 @@
     await_left(&regions, "n1");
     expect_empty(&regions, "a", &["n1"]);
     regions.evacuate("n1", false);
-    await_true("the zone is asked again", || {
+    await_true("the zone gets requests again", || {
         regions.ask(0, "/one/", "back");
         regions.zones_of("back").contains(&"n1".to_owned())
     });
-    // Another zone begins while the first one is taken back.
+    // Another zone is evacuated just after the first evacuation is withdrawn.
     regions.evacuate("s1", true);
     await_left(&regions, "s1");
     expect_empty(&regions, "b", &["s1"]);
@@ -47,7 +47,8 @@
     let mut regions = Regions::start(&["n1"], 24);
     regions.evacuate("n1", true);
     await_left(&regions, "n1");
-    // One that starts reads it, and one that starts with the store down hears of it.
+    // A new daemon reads the evacuation from the store, and one that starts while the store is
+    // down learns of it by gossip.
     regions.add_daemon("n1", 24);
     expect_empty(&regions, "read", &["n1"]);
     regions.store.set_down(true);
@@ -75,7 +76,7 @@
         let start = Instant::now();
         let answer = regions.ask(0, path, "none");
         assert_eq!(answer.status, 503, "{path}");
-        assert!(start.elapsed() < Duration::from_millis(150), "it is refused at once");
+        assert!(start.elapsed() < Duration::from_millis(150), "the request is refused immediately");
         assert!(regions.zones_of("none").is_empty());
     }
     regions.evacuate("s1", false);
--- a/crates/harefield/tests/processes/site_foreign.rs
+++ b/crates/harefield/tests/processes/site_foreign.rs
@@ -1,6 +1,6 @@
-//! Entries of other writers in the users' store: they name no upstream, and the others
-//! hold. Entries without `zone`, without `slots` and with `born` as a word were taken for
-//! upstreams before, and sent to.
+//! Entries of other writers in the users' store: they are ignored, and the valid entries stay in
+//! use. Earlier, entries without `zone`, without `slots` or with a word as `born` were taken for
+//! upstreams and got requests.
 
 use serde_json::Value;
 use serde_json::json;
@@ -9,7 +9,7 @@
 use crate::site_support::Site;
 use crate::support::await_true;
 
-/// Changes an entry in a way that makes it none of an upstream's.
+/// Makes an upstream's entry invalid.
 type Spoil = fn(&mut Value);
 
 const SPOILS: [(&str, Spoil); 13] = [
@@ -42,35 +42,36 @@
             (*name, searcher)
         })
         .collect();
-    // A good one that comes after them shows that they were read.
+    // A valid entry written after them shows that they were read.
     site.add("one", "i-later", &[5, 5]);
     let later = |site: &Site| site.ask("/one/x", "r").header("server-seal").starts_with("i-later");
-    await_true("the one after them is asked", || later(&site));
+    await_true("the upstream of the later entry is used", || later(&site));
     for number in 0..60 {
         assert_eq!(site.ask("/one/x", &format!("q{number}")).status, 200);
         assert_eq!(site.ask("/all/x", &format!("a{number}")).header("missing-parts"), "0");
     }
     for (name, searcher) in &foreign {
-        assert!(searcher.runs().is_empty(), "{name}: it was sent to");
+        assert!(searcher.runs().is_empty(), "{name}: the upstream got requests");
     }
     let known: Vec<String> = known(&site).into_iter().filter(|name| name.contains("foreign")).collect();
-    assert!(known.is_empty(), "{known:?} are taken for upstreams");
-    assert!(site.metric("harefield_entries_left_out 13"), "they are counted");
+    assert!(known.is_empty(), "{known:?} are treated as upstreams");
+    assert!(site.metric("harefield_entries_left_out 13"), "ignored entries are counted");
 }
 
 #[test]
 fn overwritten_entry() {
-    // An upstream whose entry another writer spoiled is gone, until it writes it again.
+    // An upstream whose entry was overwritten by another writer is removed until it writes its
+    // entry again.
     let mut site = Site::start();
     site.add("one", "i-other", &[5, 5]);
     let knows = |name: &str| known(&site).iter().any(|held| held == name);
-    await_true("both are known", || knows("i-other") && knows("i-one"));
+    await_true("both upstreams are known", || knows("i-other") && knows("i-one"));
     let searcher = &site.searchers["i-other"];
     site.store.put(&searcher.key(), Some(&json!({ "service": "one", "note": "mine" })));
-    await_true("it is left out", || !knows("i-other"));
-    assert!(knows("i-one"), "the others hold");
+    await_true("the overwritten upstream is removed", || !knows("i-other"));
+    assert!(knows("i-one"), "the other upstream stays");
     site.store.put(&searcher.key(), Some(&searcher.entry("one", "ready")));
-    await_true("it is back", || knows("i-other"));
+    await_true("the upstream is known again", || knows("i-other"));
 }
 
 /// Returns the upstreams that the daemon knows.
--- a/crates/harefield/tests/processes/site_homes.rs
+++ b/crates/harefield/tests/processes/site_homes.rs
@@ -1,5 +1,5 @@
-//! Lookups that may be served in some regions only: neither their requests nor their
-//! bodies go elsewhere, whatever happens at home.
+//! Lookups with home regions: neither their requests nor their bodies leave these regions, even
+//! if no upstream there can answer.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,7 +9,8 @@
 use crate::site_regions::Regions;
 use harefield::domain::event::Event;
 
-/// A refusal at once: far less than the 300 ms of the objective, and the 1.5 s of the time.
+/// The time limit for an immediate refusal: far less than the latency objective of 300 ms and
+/// the timeout of 1.5 s.
 const AT_ONCE: Duration = Duration::from_millis(150);
 
 #[test]
@@ -25,7 +26,7 @@
 }
 
 #[test]
-fn no_hedge_abroad() {
+fn no_hedge_outside_home() {
     let regions = Regions::start(&["n1", "s1"], 24);
     regions.publish(2, &["south"]);
     regions.await_only(0, "/all/", &["s1"]);
@@ -43,7 +44,10 @@
     for number in 0..4 {
         let id = format!("shed{number}");
         regions.ask(number % 2, "/one/", &id);
-        assert!(regions.zones_of(&id).is_empty(), "those at home refuse it, and nobody else has it");
+        assert!(
+            regions.zones_of(&id).is_empty(),
+            "the upstreams in the home region refuse it, and no other one gets it"
+        );
     }
 }
 
@@ -55,9 +59,9 @@
     for (number, path) in ["/all/", "/one/", "/once/"].iter().enumerate() {
         let (id, start) = (format!("e{number}"), Instant::now());
         let answer = regions.ask(0, path, &id);
-        assert!(start.elapsed() < AT_ONCE, "it is refused at once");
+        assert!(start.elapsed() < AT_ONCE, "the request is refused immediately");
         assert_eq!(answer.status, 503);
-        assert!(String::from_utf8_lossy(&answer.body).contains("HF2015"), "with the reason's number");
+        assert!(String::from_utf8_lossy(&answer.body).contains("HF2015"), "the answer has the result code");
         assert!(answer.header("retry-after").parse::<f64>().is_ok_and(|wait| wait >= 1.0));
         assert!(regions.zones_of(&id).is_empty());
     }
@@ -79,7 +83,7 @@
 
 #[test]
 fn body_stays_home() {
-    // One member a zone: the second daemon of `n1` hands all its requests on.
+    // One member in each zone: the second daemon of `n1` forwards all its requests.
     let regions = Regions::start(&["n1", "n1", "s1"], 1);
     regions.publish(2, &["south"]);
     regions.await_only(0, "/all/", &["s1"]);
@@ -93,7 +97,7 @@
             let taken = events
                 .iter()
                 .any(|record| matches!(record.event, Event::ForwardTaken { .. } | Event::GroupTaken { .. }));
-            assert!(!taken, "daemon {daemon} stands in neither a home nor where the caller came to");
+            assert!(!taken, "daemon {daemon} is neither in a home region nor the one that the caller used");
         }
     }
 }
--- a/crates/harefield/tests/processes/site_outage.rs
+++ b/crates/harefield/tests/processes/site_outage.rs
@@ -1,15 +1,15 @@
-//! Confirmed changes beside a store that goes silent, and beside daemons that come
-//! and go.
+//! Confirmed changes while the store stops answering, and while daemons start and stop.
 //!
-//! Symptom: more than 3 s after a change was confirmed, and 5 s after the store was
-//! back from an outage, daemons still decided requests by an older version.
-//! Sequence: the store takes calls and answers none; daemons are killed and start again;
-//! each reader's watch is given up and sent once more, still into the silence; the store is
-//! back, changes are confirmed, and no daemon asks for them.
-//! Cause: the watch was awaited for its whole wait and 2 s more, and nothing else asked.
-//! What settled it: of a fleet whose store was back at 14.5 s, `platform-lost` in the space
-//! `config` with 6,001 to 6,028 ms waited, at 18.5 to 20.1 s; nobody had the change of
-//! 16.06 s before 19.3 s, and `platform-regained` at 15.5 s was of another space.
+//! Guards against a failure in which daemons still used an older version more than 3 s after a
+//! change was confirmed and 5 s after the store was back from an outage. The store accepted calls
+//! and answered none; daemons were killed and restarted; each reader's watch timed out and was
+//! sent once more, still without an answer; then the store was back and changes were confirmed,
+//! but no daemon requested them. The cause was that a reader waited for its watch for the whole
+//! wait time and 2 s more, and sent no other call.
+//!
+//! Evidence: in a fleet whose store was back at 14.5 s, readers reported `platform-lost` in the
+//! space `config` after waiting 6,001 to 6,028 ms, at 18.5 to 20.1 s. No daemon had the change of
+//! 16.06 s before 19.3 s, and `platform-regained` at 15.5 s was for another space.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -22,10 +22,10 @@
 use crate::support::Daemon;
 use crate::support::await_true;
 
-/// Lets the store go silent until a watch was sent into the silence.
+/// Stops the store's answers and waits until it has received a call that it does not answer.
 fn silence(site: &Site) {
     site.store.set_silent(true);
-    await_true("a watch is sent into the silence", || site.store.swallowed() > 0);
+    await_true("the store has received a call without answering", || site.store.swallowed() > 0);
 }
 
 #[test]
@@ -49,9 +49,9 @@
     site.add_daemon(READING);
     site.add_daemon(READING);
     let serves = |daemon: &Daemon| ask_at(daemon, "/one/x", "r0", 2000).status == 200;
-    await_true("they have the configuration of the one that stayed", || site.daemons().all(serves));
+    await_true("new daemons have the configuration of the remaining one", || site.daemons().all(serves));
     silence(&site);
-    // What waited for the store is confirmed at once when it is back, and one more.
+    // Changes that waited for the store are confirmed together when it is back, then one more.
     site.store.set_silent(false);
     for version in 2..6 {
         confirm(&site, version);
@@ -73,7 +73,7 @@
 
 #[test]
 fn frozen_reader() {
-    // Whichever reads the store for the others, one that stands still takes nobody with it.
+    // Whichever daemon reads the store for the others, pausing it does not delay them.
     let site = Site::start_reading(3, READING);
     for (version, frozen) in (2..).zip(0..3) {
         let daemons: Vec<&Daemon> = site.daemons().collect();
@@ -88,10 +88,10 @@
 
 #[test]
 fn stopping_reader() {
-    // One that is stopped as planned hands its reading over.
+    // A daemon that is stopped as planned passes the reading of the store on to another one.
     let mut site = Site::start_reading(3, READING);
     for version in 2..4 {
-        let leaving = site.others.pop().expect("there is one more");
+        let leaving = site.others.pop().expect("another daemon is left");
         leaving.signal("TERM");
         let confirmed = confirm(&site, version);
         expect_in_force(site.daemons(), version, confirmed);
@@ -101,10 +101,10 @@
 
 #[test]
 fn regained_when_answered() {
-    // Nothing but an answer of the store shows that it is back.
+    // Only an answer of the store counts as its return.
     let site = Site::start_reading(1, "watch-ms = 500\nreaders = 1\n");
     site.store.set_silent(true);
-    await_true("the store is missed", || site.metric("harefield_events_total{kind=\"platform-lost\"}"));
+    await_true("the outage is noticed", || site.metric("harefield_events_total{kind=\"platform-lost\"}"));
     std::thread::sleep(Duration::from_secs(2));
     assert!(!site.metric("harefield_events_total{kind=\"platform-regained\"}"));
     site.store.set_silent(false);
--- a/crates/harefield/tests/processes/site_regions.rs
+++ b/crates/harefield/tests/processes/site_regions.rs
@@ -24,13 +24,13 @@
     pub daemons: Vec<Daemon>,
     upstreams: BTreeMap<String, SignedSearcher>,
     zones: BTreeMap<String, String>,
-    /// What a cold upstream bears a second, as published; none where that is not bound.
+    /// The published limit of requests a second to a cold upstream; 0 for no limit.
     pub cold_per_s: f64,
 }
 
 impl Regions {
-    /// Starts a daemon in each zone named, the first one the seed of the others, and the
-    /// shards `s1` to `s3` and the service `one` with an upstream in `n1` and in `s1` each.
+    /// Starts a daemon in each of `zones`, the first one being the seed of the others, and the
+    /// shards `s1` to `s3` and the service `one` with one upstream each in `n1` and in `s1`.
     pub fn start(zones: &[&str], cell: usize) -> Self {
         let mut regions = Self::prepare();
         for zone in zones {
@@ -42,7 +42,7 @@
         regions
     }
 
-    /// Starts the same without a daemon.
+    /// Starts the same store and upstreams without a daemon.
     pub fn prepare() -> Self {
         let store = SiteStore::start();
         let mut regions = Self {
@@ -60,7 +60,7 @@
         regions
     }
 
-    /// Starts one more daemon, in a cell of so many members.
+    /// Starts one more daemon in a zone, with cells of `cell` members.
     pub fn add_daemon(&mut self, zone: &str, cell: usize) {
         let seed = self.daemons.first().map(|first| format!("\"{}\"", first.addresses.peers));
         self.daemons.push(Daemon::start(&format!(
@@ -81,8 +81,8 @@
         self.upstreams.insert(id, upstream);
     }
 
-    /// Publishes a version whose routes may be served in some regions only; everywhere
-    /// where none is named.
+    /// Publishes a version whose routes are restricted to home regions; unrestricted if `homes`
+    /// is empty.
     pub fn publish(&self, version: u64, homes: &[&str]) {
         let cold = self.cold_per_s;
         let services = ["s1", "s2", "s3", "one"]
@@ -93,38 +93,38 @@
         self.store.put("op/config", Some(&config));
     }
 
-    /// Writes the entries of a zone's upstreams again, which are cold for so long.
+    /// Rewrites the entries of a zone's upstreams, which are now cold for `millis`.
     pub fn chill(&self, zone: &str, millis: u64) {
         for (name, upstream) in self.upstreams.iter().filter(|(name, _)| self.zones[*name] == zone) {
-            let service = name.split('-').next().expect("it has a service");
+            let service = name.split('-').next().expect("the id starts with a service");
             let mut entry = entry_at(upstream.address(), zone, service, "ready");
             entry["coldRemainingMs"] = json!(millis);
             self.store.put(&upstream.key(), Some(&entry));
         }
     }
 
-    /// Asks that nothing more is sent to a zone's upstreams, or takes that back.
+    /// Requests the evacuation of a zone, or withdraws it.
     pub fn evacuate(&self, zone: &str, asked: bool) {
         let empty = json!({});
         self.store.put(&format!("op/evacuate/{zone}"), asked.then_some(&empty));
     }
 
-    /// Asks the daemon with a number.
+    /// Sends a request to the daemon with an index.
     pub fn ask(&self, daemon: usize, path: &str, id: &str) -> Answer {
         ask_at(&self.daemons[daemon], path, id, 2000)
     }
 
-    /// Awaits that all daemons answer a path with a status.
+    /// Waits until all daemons answer a path with a status.
     pub fn await_all(&self, path: &str, status: u16) {
         let path = format!("{path}probe");
         let says = |daemon: &Daemon| {
             let head = "Attempt-Id: probe\r\nDeadline-Remaining: 2000\r\n";
             ask(daemon.addresses.callers, &path, head).status == status
         };
-        await_true("all daemons answer so", || self.daemons.iter().all(says));
+        await_true("all daemons answer with the status", || self.daemons.iter().all(says));
     }
 
-    /// Awaits that a daemon's requests reach upstreams of these zones only.
+    /// Waits until a request to a daemon reaches upstreams in these zones only.
     pub fn await_only(&self, daemon: usize, path: &str, zones: &[&str]) {
         let mut number = 0;
         await_true("requests go to these zones only", || {
@@ -135,7 +135,7 @@
         });
     }
 
-    /// Returns the zones of the upstreams that ran a request, in order.
+    /// Returns the zones of the upstreams that ran a request, sorted and without duplicates.
     pub fn zones_of(&self, id: &str) -> Vec<String> {
         let ran = |name: &&String| self.upstreams[*name].runs().iter().any(|run| run == id);
         let mut zones: Vec<String> =
--- a/crates/harefield/tests/processes/site_store.rs
+++ b/crates/harefield/tests/processes/site_store.rs
@@ -1,5 +1,4 @@
-//! The users' store: configurations, entries that drain, vanish or lapse, and a
-//! store that is away.
+//! The users' store: configurations, entries that drain, are deleted or expire, and outages.
 
 use std::time::Duration;
 
@@ -15,7 +14,7 @@
 #[test]
 fn unknown_told_apart() {
     let site = Site::bare();
-    assert_eq!(site.ask("/all/x", "r1").status, 503, "no configuration is known yet");
+    assert_eq!(site.ask("/all/x", "r1").status, 503, "the daemon has no configuration yet");
     assert!(!site.is_ready());
     drop(site);
     let site = Site::start();
@@ -26,21 +25,21 @@
 
 #[test]
 fn store_read_by_few() {
-    // Daemons that start beside one that has the configuration learn it there.
+    // Daemons whose seed has the configuration get it from there instead of reading the store.
     let mut site = Site::start();
     let before = site.store.pages();
     site.join(6, "");
     let serves = |daemon: &Daemon| ask_at(daemon, "/all/x", "r0", 2000).status == 200;
     await_true("all have the configuration", || site.daemons().all(serves));
-    assert_eq!(site.store.pages(), before, "none read the store");
+    assert_eq!(site.store.pages(), before, "no new daemon read the store");
 }
 
 #[test]
 fn store_read_alone() {
-    // A seed that is gone holds nobody up for long.
+    // A seed that is down does not delay the start for long.
     let gone = std::net::TcpListener::bind("127.0.0.1:0").and_then(|held| held.local_addr());
     let site = Site::start_beside(gone.expect("a port is free"), 2);
-    await_true("it has the configuration", || site.ask("/all/x", "r1").status == 200);
+    await_true("the daemon has the configuration", || site.ask("/all/x", "r1").status == 200);
     assert!(site.store.pages() > 0);
 }
 
@@ -62,12 +61,12 @@
 }
 
 #[test]
-fn draining_left_alone() {
+fn draining_gets_nothing() {
     let mut site = Site::start();
     site.add("one", "i-two", &[5]);
     let leaving = site.searchers["i-one"].clone();
     site.store.put(&leaving.key(), Some(&leaving.entry("one", "draining")));
-    await_true("the other one serves alone", || {
+    await_true("only the other upstream serves", || {
         let before = leaving.runs().len();
         (0..10).all(|_| site.ask("/one/x", "r1").status == 200) && leaving.runs().len() == before
     });
@@ -77,7 +76,7 @@
     }
     assert_eq!(leaving.runs().len(), before);
     site.store.put("servers/i-two", None);
-    await_true("nobody is left", || site.ask("/one/x", "r3").status == 503);
+    await_true("no upstream is left", || site.ask("/one/x", "r3").status == 503);
 }
 
 #[test]
@@ -91,16 +90,16 @@
     assert!(site.is_ready());
     site.store.set_down(false);
     site.publish(2, &routes()[1..]);
-    await_true("it hears again", || site.ask("/all/x", "r2").status == 404);
+    await_true("changes of the store arrive again", || site.ask("/all/x", "r2").status == 404);
 }
 
 #[test]
 fn lapsed_entries_kept() {
-    // While the store is away its entries lapse; those that live are back soon
-    // after its return, and are not missed until then.
+    // Entries expire during an outage of the store. Running upstreams write theirs again soon
+    // after its return, and stay in use until then.
     let site = Site::start();
     site.store.set_down(true);
-    await_true("the store is missed", || site.metric("harefield_events_total{kind=\"platform-lost\"}"));
+    await_true("the outage is noticed", || site.metric("harefield_events_total{kind=\"platform-lost\"}"));
     for id in ["i-s1", "i-s2", "i-s3", "i-one"] {
         site.store.put(&site.searchers[id].key(), None);
     }
@@ -115,7 +114,9 @@
         let service = id.trim_start_matches("i-");
         site.store.put(&searcher.key(), Some(&searcher.entry(service, "ready")));
     }
-    await_true("what did not come back is gone", || site.ask("/one/x", "late").status == 503);
+    await_true("an upstream that did not write again is removed", || {
+        site.ask("/one/x", "late").status == 503
+    });
     assert_eq!(site.ask("/all/x", "last").header("missing-parts"), "0");
 }
 
@@ -130,13 +131,17 @@
     for _ in 0..20 {
         assert_eq!(site.ask("/one/x", "r1").status, 200);
     }
-    assert_eq!(gone.runs().len(), before, "one that leaves while the store is well is gone at once");
+    assert_eq!(
+        gone.runs().len(),
+        before,
+        "an upstream that leaves while the store is available is removed immediately"
+    );
 }
 
 #[test]
 fn outage_unnoticed() {
-    // Several entries that vanish within a moment are an outage that no call met,
-    // also where the first of them came alone.
+    // Several entries that vanish within a short time are treated as an outage that no call
+    // noticed, even if the first one vanished alone.
     let site = Site::start();
     for id in ["i-s1", "i-s2", "i-s3"] {
         site.store.put(&site.searchers[id].key(), None);
@@ -146,19 +151,22 @@
     for number in 0..10 {
         assert_eq!(site.ask("/all/x", &format!("r{number}")).header("missing-parts"), "0", "{number}");
     }
-    await_true("those that stay away are gone", || site.ask("/all/x", "late").status == 503);
+    await_true("upstreams that do not write again are removed", || site.ask("/all/x", "late").status == 503);
 }
 
 #[test]
 fn age_shown() {
     let site = Site::start();
-    await_true("the store vouches for what is in force", || age(&site).is_some_and(|age| age < 3.0));
+    await_true("the configuration is proven current", || age(&site).is_some_and(|age| age < 3.0));
     site.store.set_down(true);
-    await_true("nobody does", || site.metric("harefield_events_total{kind=\"config-behind\"} 1"));
+    await_true("the configuration is no longer proven current", || {
+        site.metric("harefield_events_total{kind=\"config-behind\"} 1")
+    });
     assert!(age(&site) > Some(3.0));
 }
 
-/// Returns for how many seconds a change may have been confirmed that the daemon lacks.
+/// Returns the age of the daemon's configuration in seconds: the longest time for which it may
+/// lack a confirmed change. None if it has no finite age.
 fn age(site: &Site) -> Option<f64> {
     let answer = ask(site.daemon.addresses.operators, "/metrics", "");
     let text = String::from_utf8_lossy(&answer.body).into_owned();
--- a/crates/harefield/tests/processes/site_support.rs
+++ b/crates/harefield/tests/processes/site_support.rs
@@ -1,5 +1,5 @@
-//! A daemon on the users' machines, beside stand-ins of their store and of
-//! upstreams that sign their replies, told what to do by a test.
+//! Daemons in the users' environment: a simulated store and simulated upstreams that sign their
+//! replies, controlled by a test.
 
 use std::collections::BTreeMap;
 use std::io::Read;
@@ -17,7 +17,7 @@
 use crate::support::PATIENCE;
 use crate::support::await_true;
 
-/// An answer as it came.
+/// An HTTP response as received, with header names in lower case.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -31,20 +31,20 @@
     }
 }
 
-/// A connection ends that takes nothing for this long.
+/// The daemons close a connection whose peer reads nothing for this long.
 pub const STALL: Duration = Duration::from_millis(1500);
 
-/// A store, upstreams by service, and daemons, the first of which is asked.
+/// A store, upstreams by id, and daemons, the first of which gets the requests.
 pub struct Site {
     pub store: SiteStore,
     pub searchers: BTreeMap<String, SignedSearcher>,
     pub daemon: Daemon,
-    /// Daemons beside the first.
+    /// All daemons but the first.
     pub others: Vec<Daemon>,
 }
 
 impl Site {
-    /// Starts a daemon that knows no configuration yet.
+    /// Starts a daemon beside an empty store, without a configuration.
     pub fn bare() -> Self {
         Self::bare_with("", "")
     }
@@ -55,18 +55,18 @@
         Self { daemon, store, searchers: BTreeMap::new(), others: Vec::new() }
     }
 
-    /// Starts a daemon that ends a connection which takes nothing for `stall`.
+    /// Starts a daemon that closes a connection whose peer reads nothing for `stall`.
     pub fn start_stalling(stall: Duration) -> Self {
         let store = SiteStore::start();
         let daemon = Daemon::start(&settings_of(&store, "", "", "", stall));
         let mut site = Self { daemon, store, searchers: BTreeMap::new(), others: Vec::new() };
         site.fill();
         let serves = || ask_at(&site.daemon, "/all/x", "r0", 2000).status == 200;
-        await_true("it has the configuration", serves);
+        await_true("the daemon has the configuration", serves);
         site
     }
 
-    /// Starts as many daemons, which read the store as `platform` says.
+    /// Starts `count` daemons with further settings of the section `platform`.
     pub fn start_reading(count: usize, platform: &str) -> Self {
         let mut site = Self::bare_with(platform, "");
         for _ in 1..count {
@@ -78,12 +78,12 @@
         site
     }
 
-    /// Ends all daemons at once, and starts as many, which know nothing.
+    /// Kills all daemons and starts as many new ones without any state.
     pub fn restart_all(&mut self, platform: &str) {
         self.restart_all_with(platform, "");
     }
 
-    /// The same, with a further section of settings.
+    /// Does the same with a further section of settings.
     pub fn restart_all_with(&mut self, platform: &str, section: &str) {
         let count = self.others.len();
         self.daemons().for_each(|daemon| daemon.signal("KILL"));
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Starts one more daemon, which knows the first one and reads the store as
-    /// `platform` says.
+    /// Starts one more daemon, whose seed is the first one, with further settings of the section
+    /// `platform`.
     pub fn add_daemon(&mut self, platform: &str) {
         self.add_daemon_with(platform, "");
     }
@@ -105,8 +105,8 @@
         self.others.push(Daemon::start(&settings(&self.store, platform, &seed, routing)));
     }
 
-    /// Starts as many daemons that know each other, with further settings of their routing, or
-    /// sections behind it.
+    /// Starts `count` daemons that know each other, with further settings of the section
+    /// `routing` or further sections.
     pub fn start_with(count: usize, section: &str) -> Self {
         let mut site = Self::bare_with("", section);
         site.join(count - 1, section);
@@ -118,28 +118,27 @@
         site
     }
 
-    /// Starts daemons beside the first, which know it and have further settings of
-    /// their routing.
+    /// Starts more daemons, whose seed is the first one, with further settings of the section
+    /// `routing`.
     pub fn join(&mut self, count: usize, routing: &str) {
         for _ in 0..count {
             self.add_daemon_with("", routing);
         }
     }
 
-    /// Starts three shards `s1` to `s3`, one upstream each, and a service `one`.
+    /// Starts a daemon with the shards `s1` to `s3` and the service `one`, one upstream each.
     pub fn start() -> Self {
         let mut site = Self::bare();
         site.fill();
         site
     }
 
-    /// Starts as many daemons, of which `members` may ask the upstreams of an index.
+    /// Starts `count` daemons, of which `members` may send to the upstreams of an index.
     pub fn start_cells(count: usize, members: usize) -> Self {
         Self::start_with(count, &format!("cell-size = {members}\n"))
     }
 
-    /// Starts one daemon that knows another one as its seed, with a cell of so many
-    /// members.
+    /// Starts a daemon whose seed is `other`, with cells of `members` daemons.
     pub fn start_beside(other: std::net::SocketAddr, members: usize) -> Self {
         let store = SiteStore::start();
         let seed = format!("seeds = [\"{other}\"]\n");
@@ -149,12 +148,12 @@
         site
     }
 
-    /// Returns all daemons, the first one first.
+    /// Returns all daemons in the order of their start.
     pub fn daemons(&self) -> impl Iterator<Item = &Daemon> {
         std::iter::once(&self.daemon).chain(&self.others)
     }
 
-    /// Starts the upstreams, and publishes the first version.
+    /// Starts the upstreams, publishes the first version and waits until the daemon serves.
     fn fill(&mut self) {
         self.add_all();
         self.await_ready();
@@ -177,7 +176,7 @@
         self.publish_for(version, routes, None);
     }
 
-    /// Publishes a version with client accounts; without where there are none.
+    /// Publishes a version of the configuration with client accounts, if any are given.
     pub fn publish_for(&self, version: u64, routes: &[Value], accounts: Option<&[Value]>) {
         let services: Vec<Value> = ["s1", "s2", "s3", "one"]
             .iter()
@@ -200,7 +199,9 @@
     }
 
     pub fn await_ready(&self) {
-        await_true("it is ready and serves", || self.is_ready() && self.ask("/all/x", "r0").status == 200);
+        await_true("the daemon is ready and serves", || {
+            self.is_ready() && self.ask("/all/x", "r0").status == 200
+        });
     }
 
     pub fn metric(&self, name: &str) -> bool {
@@ -228,7 +229,7 @@
     )
 }
 
-/// Bounds on callers' requests, as published.
+/// Returns the published limits on callers' requests.
 pub fn limits() -> Value {
     json!({ "headerBytes": 2048, "bodyBytes": 1000, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000 })
 }
@@ -251,7 +252,7 @@
     ]
 }
 
-/// Asks a daemon as a caller that has some milliseconds left.
+/// Sends a request to a daemon with `millis` left until its deadline.
 pub fn ask_at(daemon: &Daemon, path: &str, id: &str, millis: u64) -> Answer {
     ask(daemon.addresses.callers, path, &format!("Attempt-Id: {id}\r\nDeadline-Remaining: {millis}\r\n"))
 }
--- a/crates/harefield/tests/processes/site_versions.rs
+++ b/crates/harefield/tests/processes/site_versions.rs
@@ -1,4 +1,5 @@
-//! Versions of the users' configuration that show by a route each that they are in force.
+//! Versions of the users' configuration, each with a route of its own that shows whether it is in
+//! force.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,14 +12,13 @@
 use crate::site_support::routes;
 use crate::support::Daemon;
 
-/// How the users' daemons read the store: one of a zone does.
+/// Settings of the users' daemons for the store: one daemon of a zone reads it.
 pub const READING: &str = "watch-ms = 4000\nreaders = 1\n";
 
-/// Within this time a confirmed change is to be in force, and some more for a busy
-/// machine.
+/// The time limit for a confirmed change to be in force: 3 s, and 500 ms more for a busy machine.
 pub const IN_FORCE: Duration = Duration::from_millis(3000 + 500);
 
-/// Returns the routes of a version: each one adds a route that shows that it is in force.
+/// Returns the routes of a version: the common ones and one for each version from 2 on.
 pub fn routes_of(version: u64) -> Vec<Value> {
     let own = |number: u64| {
         json!({
@@ -39,7 +39,7 @@
     ask_at(daemon, &format!("/v{version}/x"), "probe", 2000).status == 200
 }
 
-/// Checks that each daemon has a version in force in time, and goes on having it.
+/// Checks that a version is in force on each daemon in time and stays so.
 pub fn expect_in_force<'a>(daemons: impl Iterator<Item = &'a Daemon>, version: u64, confirmed: Instant) {
     let mut missing: Vec<&Daemon> = daemons.collect();
     let all = missing.clone();
@@ -49,15 +49,15 @@
         assert!(late < IN_FORCE, "version {version} is not in force at {count} after {late:?}");
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert!(all.iter().all(|daemon| is_in_force(daemon, version)), "version {version} is gone again");
+    assert!(all.iter().all(|daemon| is_in_force(daemon, version)), "version {version} is no longer in force");
 }
 
-/// Checks that each daemon goes on having a version in force for a time.
+/// Checks that a version stays in force on each daemon for a time.
 pub fn expect_kept(site: &Site, version: u64, time: Duration) {
     let until = Instant::now() + time;
     while Instant::now() < until {
         let kept = site.daemons().all(|daemon| is_in_force(daemon, version));
-        assert!(kept, "version {version} was in force and is not any more");
+        assert!(kept, "version {version} is no longer in force");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
--- a/crates/harefield/tests/processes/slow_peers.rs
+++ b/crates/harefield/tests/processes/slow_peers.rs
@@ -1,4 +1,4 @@
-//! Callers and upstreams that are slow to read or to write, beside ordinary requests.
+//! Callers and upstreams that read or write slowly, concurrently with ordinary requests.
 
 use std::io::Read;
 use std::io::Write;
@@ -23,33 +23,33 @@
 use crate::support::PATIENCE;
 use crate::support::await_true;
 
-/// The records of an answer of one megabyte.
+/// The number of records in an answer of one megabyte.
 const RECORDS: usize = 65_536;
 
-/// The most waves of ten requests until one of them does not fit.
+/// The maximum number of waves of ten requests until one of them is refused for lack of memory.
 const MOST_WAVES: u32 = 300;
 
-/// Starts a daemon beside an upstream of the service `one` that answers a megabyte.
+/// Starts a daemon and an upstream of the service `one` that answers with one megabyte.
 fn start() -> Site {
     start_stalling(STALL)
 }
 
-/// The same, where a connection ends that takes nothing for `stall`.
+/// Does the same for a daemon that closes a connection whose peer reads nothing for `stall`.
 fn start_stalling(stall: Duration) -> Site {
     let mut site = Site::start_stalling(stall);
     site.store.put("servers/i-one", None);
     site.searchers.remove("i-one");
     site.add("one", "i-large", &vec![7; RECORDS]);
     let large = || site.ask("/one/x", "l0").body.len() == RECORDS * 16;
-    await_true("large answers are given", large);
+    await_true("large answers are returned", large);
     site
 }
 
-/// Sends a request for a megabyte, and reads nothing.
+/// Sends a request for one megabyte without reading the answer.
 fn begin_large(to: SocketAddr, number: usize) -> TcpStream {
-    let socket = socket(AddressFamily::INET, SocketType::STREAM, None).expect("there are sockets");
-    // Else the system takes the whole answer, and nothing is left in the daemon.
-    set_socket_recv_buffer_size(&socket, 4096).expect("it can be set");
+    let socket = socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket can be opened");
+    // With a larger buffer the kernel takes the whole answer and the daemon holds none of it.
+    set_socket_recv_buffer_size(&socket, 4096).expect("the option can be set");
     connect(&socket, &to).expect("it listens");
     let mut stream = TcpStream::from(socket);
     stream.set_read_timeout(Some(PATIENCE)).expect("a timeout can be set");
@@ -60,26 +60,26 @@
     stream
 }
 
-/// Sends ten such requests a tenth of a second after the wave before.
+/// Sends ten such requests after a pause of a tenth of a second.
 fn begin_wave(to: SocketAddr, number: usize) -> impl Iterator<Item = TcpStream> {
     std::thread::sleep(Duration::from_millis(100));
-    (0..10).map(move |at| begin_large(to, number * 10 + at))
+    (0..10).map(move |index| begin_large(to, number * 10 + index))
 }
 
 fn begin_waves(to: SocketAddr, waves: usize) -> Vec<TcpStream> {
     (0..waves).flat_map(|number| begin_wave(to, number)).collect()
 }
 
-/// Returns whether a request is refused, of which nothing is read yet.
+/// Returns whether a request was refused, without consuming its answer.
 fn is_refused(stream: &TcpStream) -> bool {
     let mut head = [0; 400];
-    stream.set_nonblocking(true).expect("it can be set");
+    stream.set_nonblocking(true).expect("the option can be set");
     let length = stream.peek(&mut head).unwrap_or(0);
-    stream.set_nonblocking(false).expect("it can be set");
+    stream.set_nonblocking(false).expect("the option can be set");
     String::from_utf8_lossy(&head[..length]).contains("HF2019")
 }
 
-/// Asks for ordinary answers for some time; returns how long the slowest took.
+/// Sends ordinary requests for some time and returns the time of the slowest one.
 fn ordinary(site: &Site, time: Duration) -> Duration {
     let start = Instant::now();
     let mut slowest = Duration::ZERO;
@@ -96,7 +96,7 @@
     slowest
 }
 
-/// Returns whether a connection is ended before its answer is whole.
+/// Returns whether a connection ends before the whole answer has arrived.
 fn is_ended(stream: &mut TcpStream) -> bool {
     let mut bytes = Vec::new();
     let read = stream.read_to_end(&mut bytes);
@@ -110,22 +110,23 @@
     let (slow, slowest) = std::thread::scope(|scope| {
         let slow = scope.spawn(|| begin_waves(callers, 50));
         let slowest = ordinary(&site, Duration::from_secs(6));
-        (slow.join().expect("it ends"), slowest)
+        (slow.join().expect("the thread does not panic"), slowest)
     });
-    // The objective of ordinary requests is 300 ms; a test build is some ten times slower.
+    // The latency objective of ordinary requests is 300 ms; a test build is about ten times
+    // slower than a release build.
     assert!(slowest < Duration::from_secs(1), "{slowest:?}");
     let peak = site.daemon.peak_memory() >> 20;
     assert!(peak <= 100, "{peak} MB");
-    // All were ended by then, or refused, and what they held is free again.
+    // By then all large requests were ended or refused, and their memory is free again.
     drop(slow);
-    await_true("large answers are given again", || site.ask("/one/x", "l1").body.len() == RECORDS * 16);
+    await_true("large answers are returned again", || site.ask("/one/x", "l1").body.len() == RECORDS * 16);
 }
 
 #[test]
 fn refused_as_not_run() {
-    // What does not fit is not begun: who is refused ran nowhere, and is told when to come back.
-    // A busy machine gives as many answers as do not fit in many seconds: none of their
-    // connections ends before.
+    // A request that does not fit into memory is refused before it begins: it runs on no upstream
+    // and the answer has a retry time. A busy machine may need many seconds to fill the memory
+    // with answers, so the stall limit is long enough that no connection is closed before.
     let site = start_stalling(MOST_WAVES * STALL);
     let callers = site.daemon.addresses.callers;
     let mut slow = Vec::new();
@@ -146,7 +147,7 @@
         })
         .collect();
     let refused: Vec<_> = answers.iter().filter(|(_, text)| text.contains("HF2019")).collect();
-    assert!(!refused.is_empty(), "{} answers do not fit", answers.len());
+    assert!(!refused.is_empty(), "none of {} requests was refused", answers.len());
     for (number, text) in refused {
         assert!(text.starts_with("HTTP/1.1 503") && text.contains("retry-after"), "{text}");
         assert_eq!(site.runs(&format!("s{number}")), 0, "{text}");
@@ -159,18 +160,20 @@
     let mut slow = begin_large(site.daemon.addresses.callers, 0);
     std::thread::sleep(STALL * 2);
     assert!(is_ended(&mut slow));
-    await_true("it is counted", || site.metric("harefield_connections_ended_total{kind=\"stalled\"} 1"));
+    await_true("the closed connection is counted", || {
+        site.metric("harefield_connections_ended_total{kind=\"stalled\"} 1")
+    });
 }
 
 #[test]
 fn reading_caller_kept() {
-    // One that reads, if slowly, has its whole answer.
+    // A caller that reads slowly still gets its whole answer.
     let site = start();
     let mut slow = begin_large(site.daemon.addresses.callers, 0);
     let (mut whole, mut chunk) = (0, vec![0; 32 << 10]);
     while whole < RECORDS * 16 {
-        let read = slow.read(&mut chunk).expect("it goes on");
-        assert!(read > 0, "ended after {whole}");
+        let read = slow.read(&mut chunk).expect("the answer continues");
+        assert!(read > 0, "the connection ended after {whole} bytes");
         whole += read;
         std::thread::sleep(Duration::from_millis(60));
     }
@@ -190,21 +193,21 @@
     assert!(start.elapsed() < Duration::from_secs(3));
 }
 
-/// An upstream that takes connections and reads nothing of what is sent.
+/// Returns a listener that accepts connections and never reads from them.
 fn deaf_upstream() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").expect("a port is free")
 }
 
 #[test]
 fn deaf_upstream_bounded() {
-    // Bodies for an upstream that reads nothing are held until their time is up, and no longer.
+    // Request bodies for an upstream that reads nothing are held only until their deadlines.
     let site = Site::start_with(1, "");
     let deaf = deaf_upstream();
-    let address = deaf.local_addr().expect("it has one");
+    let address = deaf.local_addr().expect("the listener has an address");
     site.store.put("servers/i-one", None);
     site.store.put("servers/i-deaf", Some(&entry_at(address, "hall", "one", "ready")));
     site.publish(2, &routes());
-    await_true("it is asked", || site.ask("/one/x", "d0").status != 200);
+    await_true("the stalled upstream is used", || site.ask("/one/x", "d0").status != 200);
     let slowest = std::thread::scope(|scope| {
         for number in 0..20 {
             let site = &site;
--- a/crates/harefield/tests/processes/snapshot.rs
+++ b/crates/harefield/tests/processes/snapshot.rs
@@ -1,4 +1,4 @@
-//! One snapshot an answer, while the index moves.
+//! Every answer is drawn from a single snapshot while the index changes.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -15,7 +15,7 @@
 use harefield::domain::code::Code;
 use harefield::domain::outcome::Answer;
 
-/// Asserts that every part was drawn from the snapshot that the answer names.
+/// Asserts that every result is from the snapshot that the answer names, if it names one.
 fn assert_one_snapshot(answer: &Answer) {
     let Some(snapshot) = &answer.snapshot else {
         return;
@@ -48,13 +48,13 @@
         })
         .collect();
     for version in 2..6_u64 {
-        // Searchers load the next version one by one, then it is published,
-        // then the version before the last is dropped one by one.
+        // The upstreams load the next version one by one, then it is published, then they drop
+        // the version before the last one.
         for name in world.searchers.names() {
             world.searchers.change(&name, |b| b.held.push(version));
             thread::sleep(Duration::from_millis(10));
         }
-        let index = world.layout.index_at("parcels", &[version, version - 1]).expect("it exists");
+        let index = world.layout.index_at("parcels", &[version, version - 1]).expect("the index exists");
         let revision = world.publish("indexes/parcels", index);
         world.await_revision(revision);
         thread::sleep(Duration::from_millis(50));
@@ -72,14 +72,14 @@
 #[test]
 fn published_early() {
     let world = World::start(1, "");
-    let index = world.layout.index_at("parcels", &[2, 1]).expect("it exists");
+    let index = world.layout.index_at("parcels", &[2, 1]).expect("the index exists");
     let revision = world.publish("indexes/parcels", index);
     world.await_revision(revision);
     for _ in 0..5 {
         let answer = world.query(0);
         assert_one_snapshot(&answer);
         assert_eq!(answer.code, Code::Whole);
-        assert_eq!(answer.snapshot.map(|s| s.version), Some(1), "nobody holds the new one yet");
+        assert_eq!(answer.snapshot.map(|s| s.version), Some(1), "no upstream holds the new snapshot yet");
     }
 }
 
@@ -91,7 +91,7 @@
     for _ in 0..20 {
         let answer = world.query(0);
         assert_one_snapshot(&answer);
-        assert_eq!(answer.code, Code::Whole, "the replica that holds it answers");
+        assert_eq!(answer.code, Code::Whole, "the replica that holds the snapshot answers");
     }
 }
 
@@ -109,7 +109,11 @@
     ] });
     let revision = world.publish("indexes/parcels", index);
     world.await_revision(revision);
-    assert_eq!(world.query(0).coverage.contributed.len(), 3, "the old parts, while the new are not held");
+    assert_eq!(
+        world.query(0).coverage.contributed.len(),
+        3,
+        "the old shards are used while no upstream holds the new ones"
+    );
     world.searchers.change_all(|b| b.held = vec![1, 2]);
     crate::support::await_true("the new snapshot is used", || {
         let answer = world.query(0);
@@ -117,7 +121,11 @@
         assert_eq!(answer.code, Code::Whole);
         let version = answer.snapshot.map(|s| s.version);
         let expected = if version == Some(2) { 4 } else { 3 };
-        assert_eq!(answer.coverage.contributed.len(), expected, "the shard list is the snapshot's own");
+        assert_eq!(
+            answer.coverage.contributed.len(),
+            expected,
+            "the shards are those of the answer's snapshot"
+        );
         version == Some(2)
     });
 }
--- a/crates/harefield/tests/processes/support.rs
+++ b/crates/harefield/tests/processes/support.rs
@@ -1,4 +1,5 @@
-//! A small world: a platform, searchers and daemons, told what to do by a test.
+//! A small cluster of daemon processes with a simulated platform and simulated upstreams,
+//! controlled by a test.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -25,10 +26,10 @@
 use harefield::domain::revision::Revision;
 use harefield::telemetry::Status;
 
-/// How long anything that should happen may take: far longer than it does.
+/// Upper limit on every wait for an expected event; far longer than any of them takes.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
-/// Where a daemon listens.
+/// The addresses that a daemon prints at startup.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Addresses {
     pub callers: SocketAddr,
@@ -36,7 +37,7 @@
     pub operators: SocketAddr,
 }
 
-/// A daemon's process.
+/// A running daemon process, killed on drop.
 #[derive(Debug)]
 pub struct Daemon {
     child: Child,
@@ -60,56 +61,56 @@
             .expect("the daemon starts");
         let out = child.stdout.take().expect("its output is piped");
         let mut lines = BufReader::new(out).lines().map(|line| line.expect("it is text"));
-        // Log lines come before and after the one with the addresses.
+        // Log lines precede and follow the line with the addresses.
         let ready = lines.find_map(|line| serde_json::from_str(&line).ok());
-        let addresses = ready.expect("it says where it listens");
+        let addresses = ready.expect("the daemon prints its addresses");
         drop(std::fs::remove_file(&path));
-        // Its log is read on, so that it never meets a closed pipe.
+        // Keeps draining the log, so that the daemon never writes to a closed pipe.
         std::thread::spawn(move || lines.for_each(drop));
         Self { child, addresses }
     }
 
-    /// Sends a signal by name.
+    /// Sends a signal by its name without `SIG`, such as `STOP`.
     pub fn signal(&self, name: &str) {
         let command = format!("kill -{name} {}", self.child.id());
         let status = Command::new("sh").args(["-c", &command]).status().expect("sh runs");
         assert!(status.success(), "kill -{name}");
     }
 
-    /// Waits for the end; returns the exit code.
+    /// Waits for the process to exit and returns its exit code, or none if a signal ended it.
     pub fn wait(&mut self) -> Option<i32> {
         let until = Instant::now() + PATIENCE;
         while Instant::now() < until {
-            if let Some(status) = self.child.try_wait().expect("it is a child") {
+            if let Some(status) = self.child.try_wait().expect("the process is a child") {
                 return status.code();
             }
             std::thread::sleep(Duration::from_millis(5));
         }
-        panic!("the daemon does not end");
+        panic!("the daemon does not exit");
     }
 
-    /// Returns the most memory that the process has used, in bytes.
+    /// Returns the peak resident memory of the process in bytes.
     pub fn peak_memory(&self) -> usize {
         let path = format!("/proc/{}/status", self.child.id());
-        let text = std::fs::read_to_string(path).expect("the process lives");
-        let line = text.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("it is told");
-        let kilobytes: usize = line.trim().trim_end_matches(" kB").parse().expect("it is a number");
+        let text = std::fs::read_to_string(path).expect("the process is running");
+        let line = text.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("the status has a peak");
+        let kilobytes: usize = line.trim().trim_end_matches(" kB").parse().expect("the peak is a number");
         kilobytes * 1024
     }
 
-    /// Returns the daemon's own account of itself.
+    /// Returns the daemon's status from its operators' address.
     pub fn status(&self) -> Status {
         let reply = Client::once(self.addresses.operators, "GET", "/v1/status", "", PATIENCE);
         let (_, body) = reply.expect("operators are answered");
-        serde_json::from_slice(&body).expect("it is a status")
+        serde_json::from_slice(&body).expect("the body is a status")
     }
 
-    /// Returns the selected events.
+    /// Returns the events of the time line that match a query string.
     pub fn timeline(&self, query: &str) -> Vec<Record> {
         let path = format!("/v1/timeline?{query}");
         let reply = Client::once(self.addresses.operators, "GET", &path, "", PATIENCE);
         let (_, body) = reply.expect("operators are answered");
-        serde_json::from_slice(&body).expect("they are records")
+        serde_json::from_slice(&body).expect("the body is a list of records")
     }
 }
 
@@ -120,7 +121,7 @@
     }
 }
 
-/// A platform, searchers and daemons.
+/// A platform, upstreams and daemons.
 #[derive(Debug)]
 pub struct World {
     pub platform: Platform,
@@ -131,13 +132,12 @@
 }
 
 impl World {
-    /// Starts a small deployment with `count` daemons; `extra` is appended to
-    /// their settings.
+    /// Starts a small deployment with `count` daemons; `extra` is appended to their settings.
     pub fn start(count: usize, extra: &str) -> Self {
         Self::start_with(count, extra, 1)
     }
 
-    /// The same with several copies of the platform.
+    /// Does the same with several copies of the platform.
     pub fn start_with(count: usize, extra: &str, copies: usize) -> Self {
         let free = SocketAddr::from(([127, 0, 0, 1], 0));
         let layout = Layout::new(Deployment::Small);
@@ -162,7 +162,7 @@
         world
     }
 
-    /// Starts one more daemon and lists it as live.
+    /// Starts one more daemon, lists it as live and returns its index.
     pub fn add_daemon(&mut self) -> usize {
         let daemon = Daemon::start(&self.settings(&self.extra));
         self.list_daemon(&daemon, "live");
@@ -170,7 +170,7 @@
         self.daemons.len() - 1
     }
 
-    /// Returns the settings of one more daemon.
+    /// Returns the settings for one more daemon, whose seeds are the daemons so far.
     pub fn settings(&self, extra: &str) -> String {
         let copies: Vec<String> = self.platform.copies().iter().map(|a| format!("\"{a}\"")).collect();
         let seeds: Vec<String> = self.daemons.iter().map(|d| format!("\"{}\"", d.addresses.peers)).collect();
@@ -183,14 +183,14 @@
         )
     }
 
-    /// Lists a daemon in a state.
+    /// Publishes a daemon's row of the host list with a state.
     pub fn list_daemon(&self, daemon: &Daemon, state: &str) {
         let key = format!("hosts/{}", daemon.addresses.peers);
         let row = json!({ "role": "harefield", "state": state, "zone": "hall-1a" });
         self.platform.publish("hosts", vec![(key, Some(row))]);
     }
 
-    /// Lists a searcher's host as live or leaving.
+    /// Publishes the row of an upstream's host as live or leaving and returns the revision.
     pub fn list_searcher(&self, name: &str, state: &str) -> u64 {
         let key = format!("hosts/{}", self.searchers.address(name));
         self.platform.publish("hosts", vec![(key, Some(json!({ "role": "upstream", "state": state })))])
@@ -205,18 +205,19 @@
         Revision::first(self.platform.publish("config", vec![(key, Some(value))]))
     }
 
-    /// Waits until every daemon has a revision of the configuration in force.
+    /// Waits until a revision of the configuration, or a later one, is in force on every daemon;
+    /// returns the time taken.
     pub fn await_revision(&self, revision: Revision) -> Duration {
         self.await_all("the revision", |status| status.config.revision >= Some(revision))
     }
 
-    /// Waits until every daemon uses a revision of the host list, give or take
-    /// the empty change that asked for it.
+    /// Waits until every daemon uses a revision of the host list. One revision less is enough:
+    /// the revision was obtained by publishing an empty change.
     pub fn await_hosts(&self, revision: u64) {
         self.await_all("the host list", |status| status.config.listed >= Some(Revision::first(revision - 1)));
     }
 
-    /// Waits until every daemon's status is as it should be.
+    /// Waits until every daemon's status satisfies `good` and returns the time taken.
     pub fn await_all(&self, what: &str, good: impl Fn(&Status) -> bool) -> Duration {
         let begun = Instant::now();
         while begun.elapsed() < PATIENCE {
@@ -225,20 +226,20 @@
             }
             std::thread::sleep(Duration::from_millis(20));
         }
-        panic!("{what} is not there on every daemon");
+        panic!("timed out waiting for {what} on every daemon");
     }
 
-    /// Asks a daemon for a lookup.
+    /// Sends a lookup to the daemon with an index.
     pub fn ask(&self, daemon: usize, lookup: &str, body: &Value) -> Answer {
         ask(self.daemons[daemon].addresses.callers, lookup, body).expect("an answer")
     }
 
-    /// Asks a daemon for the small lookup.
+    /// Sends the small lookup `parcels` to the daemon with an index.
     pub fn query(&self, daemon: usize) -> Answer {
         self.ask(daemon, "parcels", &json!({ "query": 1 }))
     }
 
-    /// Changes every replica of a shard's service.
+    /// Changes the behaviour of every replica of a shard's service.
     pub fn change_service(&self, service: &str, change: impl Fn(&mut standin::Behaviour)) {
         for name in self.searchers.names().iter().filter(|name| name.starts_with(service)) {
             self.searchers.change(name, &change);
@@ -246,18 +247,18 @@
     }
 }
 
-/// Asks at an address; none where there was no answer at all.
+/// Sends a lookup to an address; returns none without a well-formed answer.
 pub fn ask(to: SocketAddr, lookup: &str, body: &Value) -> Option<Answer> {
     let path = format!("/v1/lookups/{lookup}");
     let (_, reply) = Client::once(to, "POST", &path, &body.to_string(), PATIENCE)?;
     serde_json::from_slice(&reply).ok()
 }
 
-/// Waits until something holds.
+/// Polls until a condition holds; `what` describes it if that times out.
 pub fn await_true(what: &str, mut holds: impl FnMut() -> bool) {
     let until = Instant::now() + PATIENCE;
     while !holds() {
-        assert!(Instant::now() < until, "{what}");
+        assert!(Instant::now() < until, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
--- a/crates/harefield/tests/processes/time_line.rs
+++ b/crates/harefield/tests/processes/time_line.rs
@@ -1,4 +1,4 @@
-//! The time line, as operators ask for it from the command line.
+//! The time line and other reports of the command line tool.
 
 use std::process::Command;
 use std::thread;
@@ -38,9 +38,9 @@
     thread::sleep(Duration::from_millis(200));
     let from = world.daemons[1].addresses.operators.to_string();
     let out = std::env::temp_dir().join(format!("harefield-report-{}.html", std::process::id()));
-    let path = out.to_str().expect("it is text");
+    let path = out.to_str().expect("the path is UTF-8");
     assert_eq!(run(&["report", &answer.request, "--from", &from, "--out", path]).0, Some(0));
-    let page = std::fs::read_to_string(&out).expect("it was written");
+    let page = std::fs::read_to_string(&out).expect("the report was written");
     drop(std::fs::remove_file(&out));
     for word in ["<svg", "parcels-00/0", "reply-taken", "answered"] {
         assert!(page.contains(word), "{word}");
@@ -58,12 +58,12 @@
     let (code, text) = run(&["timeline", "--from", &from, "--json"]);
     assert_eq!(code, Some(0));
     let records: Vec<harefield::domain::event::Record> =
-        text.lines().map(|line| serde_json::from_str(line).expect("a record a line")).collect();
+        text.lines().map(|line| serde_json::from_str(line).expect("each line is a record")).collect();
     assert!(records.is_sorted_by_key(|record| record.stamp));
     let mut hosts: Vec<_> = records.iter().map(|record| record.host.to_string()).collect();
     hosts.sort();
     hosts.dedup();
-    assert_eq!(hosts.len(), 3, "events of every daemon, found from one");
+    assert_eq!(hosts.len(), 3, "one daemon's address gives the events of all");
 }
 
 #[test]
--- a/crates/harefield/tests/processes/true_coverage.rs
+++ b/crates/harefield/tests/processes/true_coverage.rs
@@ -1,4 +1,4 @@
-//! Coverage under stragglers, lost replicas and moved shards.
+//! Reported coverage with stragglers, lost replicas and moved shards.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -20,7 +20,7 @@
         assert_eq!(answer.code, Code::Whole);
         assert_eq!(answer.coverage.contributed.len(), 3);
         assert_eq!(answer.results.len(), 3);
-        let snapshot = answer.snapshot.expect("it names its snapshot");
+        let snapshot = answer.snapshot.expect("the answer names its snapshot");
         assert_eq!((snapshot.index.as_str(), snapshot.version), ("parcels", 1));
     }
 }
@@ -43,7 +43,7 @@
     let world = World::start(1, "");
     world.searchers.change("parcels-01-0", |b| b.fault = Fault::Lose);
     for _ in 0..20 {
-        assert_eq!(world.query(0).code, Code::Whole, "the other replica is asked");
+        assert_eq!(world.query(0).code, Code::Whole, "the other replica is retried");
     }
 }
 
@@ -69,20 +69,20 @@
     let answer = world.query(0);
     assert_eq!(answer.code, Code::Partial);
     assert_eq!(answer.coverage.missing[0].why, Gap::ShardMoved);
-    assert!(!answer.coverage.missing[0].ran, "the refusal says that it had not begun");
+    assert!(!answer.coverage.missing[0].ran, "the rejection says that the request had not begun");
 }
 
 #[test]
-fn dead_answers_at_once() {
+fn moved_shard_fails_fast() {
     let world = World::start(1, "");
     world.change_service("parcels-02", |b| b.shards = vec!["parcels-02/9".to_owned()]);
     let begun = Instant::now();
     world.query(0);
-    assert!(begun.elapsed() < Duration::from_millis(700), "it is not held until the deadline");
+    assert!(begun.elapsed() < Duration::from_millis(700), "the answer does not wait for the deadline");
 }
 
 #[test]
-fn reasons_true() {
+fn missing_reasons() {
     for (fault, why) in [
         (Fault::Lose, Gap::ReplyLost),
         (Fault::Truncate, Gap::ReplyLost),
@@ -98,7 +98,7 @@
         let answer = world.ask(0, "brief", &json!({ "query": 1 }));
         assert_eq!(answer.outcome, Outcome::Answered);
         let missing = &answer.coverage.missing[0];
-        assert!(missing.ran, "{fault:?}: it ran there");
+        assert!(missing.ran, "{fault:?}: the request ran");
         assert!([why, Gap::Unreachable].contains(&missing.why), "{fault:?}: {:?}", missing.why);
     }
 }
