--- a/crates/harefield/tests/processes/administration.rs
+++ b/crates/harefield/tests/processes/administration.rs
@@ -7,15 +7,15 @@
 use serde_json::json;
 use standin::Client;
 
+use crate::support::Cluster;
 use crate::support::Daemon;
-use crate::support::PATIENCE;
-use crate::support::World;
+use crate::support::TIMEOUT;
 use crate::support::await_true;
 use harefield::domain::code::Code;
 use harefield::domain::revision::Revision;
 
 fn get(daemon: &Daemon, path: &str) -> (u16, Value) {
-    let reply = Client::once(daemon.addresses.operators, "GET", path, "", PATIENCE);
+    let reply = Client::once(daemon.addresses.operators, "GET", path, "", TIMEOUT);
     let (status, body) = reply.expect("operators are answered");
     (status, serde_json::from_slice(&body).unwrap_or_default())
 }
@@ -28,12 +28,12 @@
 
 #[test]
 fn spec_and_conditions() {
-    let world = World::start(1, "");
-    world.searchers.change("parcels-00-0", |b| b.draining = true);
-    let daemon = &world.daemons[0];
+    let cluster = Cluster::start(1, "");
+    cluster.upstreams.change("parcels-00-0", |b| b.draining = true);
+    let daemon = &cluster.daemons[0];
     let mut sent = 0;
     await_true("the draining is observed by a request", || {
-        world.query(0);
+        cluster.query(0);
         sent += 1;
         item(daemon, "upstreams/parcels-00-0")["conditions"]["leaving"] == true
     });
@@ -47,21 +47,21 @@
 
 #[test]
 fn listed_by_team() {
-    let world = World::start(1, "");
-    world.await_revision(Revision::first(1));
-    let (_, all) = get(&world.daemons[0], "/v1/resources/lookups");
-    let (_, own) = get(&world.daemons[0], "/v1/resources/lookups?team=parcels");
-    let (_, none) = get(&world.daemons[0], "/v1/resources/lookups?team=others");
+    let cluster = Cluster::start(1, "");
+    cluster.await_revision(Revision::first(1));
+    let (_, all) = get(&cluster.daemons[0], "/v1/resources/lookups");
+    let (_, own) = get(&cluster.daemons[0], "/v1/resources/lookups?team=parcels");
+    let (_, none) = get(&cluster.daemons[0], "/v1/resources/lookups?team=others");
     assert_eq!(all["items"].as_array().map(Vec::len), own["items"].as_array().map(Vec::len));
     assert_eq!(none["items"], json!([]));
 }
 
 #[test]
 fn rejected_revision_shown() {
-    let world = World::start(1, "");
+    let cluster = Cluster::start(1, "");
     let bad = json!({ "index": "nowhere", "urgency": "urgent", "deadline-ms": 1, "repeatable": true, "prefer": "time" });
-    let revision = world.publish("lookups/bad", bad);
-    let daemon = &world.daemons[0];
+    let revision = cluster.publish("lookups/bad", bad);
+    let daemon = &cluster.daemons[0];
     await_true("the rejected revision is shown", || {
         let (_, listing) = get(daemon, "/v1/resources/lookups");
         listing["refused"] == json!(revision)
@@ -73,29 +73,29 @@
 
 #[test]
 fn watch_revision() {
-    let world = World::start(1, "");
-    world.await_revision(Revision::first(1));
-    let operators = world.daemons[0].addresses.operators;
+    let cluster = Cluster::start(1, "");
+    cluster.await_revision(Revision::first(1));
+    let operators = cluster.daemons[0].addresses.operators;
     let watch = thread::spawn(move || {
         let path = "/v1/resources/lookups?after=1&wait-ms=15000";
-        Client::once(operators, "GET", path, "", PATIENCE).expect("it is answered")
+        Client::once(operators, "GET", path, "", TIMEOUT).expect("a response arrives")
     });
     thread::sleep(Duration::from_millis(300));
     assert!(!watch.is_finished(), "the watch waits for a change");
     let lookup = json!({ "index": "parcels", "urgency": "bulk", "deadline-ms": 5, "repeatable": true, "prefer": "time" });
-    world.publish("lookups/new", lookup);
-    let (_, body) = watch.join().expect("no panic");
-    let listing: Value = serde_json::from_slice(&body).expect("it is JSON");
+    cluster.publish("lookups/new", lookup);
+    let (_, body) = watch.join().expect("the thread does not panic");
+    let listing: Value = serde_json::from_slice(&body).expect("the body is JSON");
     assert_eq!(listing["revision"], 2);
 }
 
 #[test]
 fn check_before() {
-    let world = World::start(1, "");
+    let cluster = Cluster::start(1, "");
     let body = json!({ "items": { "lookups/x": { "index": "nowhere" }, "things/y": 1 } }).to_string();
-    let operators = world.daemons[0].addresses.operators;
-    let (status, reply) = Client::once(operators, "POST", "/v1/check", &body, PATIENCE).expect("a reply");
-    let checked: Value = serde_json::from_slice(&reply).expect("it is JSON");
+    let operators = cluster.daemons[0].addresses.operators;
+    let (status, reply) = Client::once(operators, "POST", "/v1/check", &body, TIMEOUT).expect("a reply");
+    let checked: Value = serde_json::from_slice(&reply).expect("the body is JSON");
     assert_eq!(status, 200);
     assert_eq!(checked["accepted"], false);
     assert_eq!(checked["faults"].as_array().map(Vec::len), Some(2));
@@ -106,29 +106,29 @@
     let path = std::env::temp_dir().join(format!("harefield-token-{}", std::process::id()));
     std::fs::write(&path, "secret\n").expect("the token can be written");
     let extra = format!("token-file = {path:?}\n[events]\ntoken-file = {path:?}\n");
-    let world = World::start(0, "");
-    let daemon = Daemon::start(&world.settings(&extra));
+    let cluster = Cluster::start(0, "");
+    let daemon = Daemon::start(&cluster.settings(&extra));
     drop(std::fs::remove_file(&path));
     let (status, refusal) = get(&daemon, "/v1/status");
     assert_eq!((status, &refusal["code"]), (401, &json!(Code::TokenRequired)));
-    let peers = Client::once(daemon.addresses.peers, "POST", "/v1/exchange", "", PATIENCE).expect("a reply");
+    let peers = Client::once(daemon.addresses.peers, "POST", "/v1/exchange", "", TIMEOUT).expect("a reply");
     assert_eq!(peers.0, 401);
-    let page = Client::once(daemon.addresses.operators, "GET", "/", "", PATIENCE).expect("a reply");
+    let page = Client::once(daemon.addresses.operators, "GET", "/", "", TIMEOUT).expect("a reply");
     assert_eq!(page.0, 200, "the page itself contains no data and prompts for the token");
 }
 
 #[test]
 fn page_and_waterfall() {
-    let world = World::start(2, "");
-    let answer = world.query(0);
-    let operators = world.daemons[1].addresses.operators;
+    let cluster = Cluster::start(2, "");
+    let answer = cluster.query(0);
+    let operators = cluster.daemons[1].addresses.operators;
     let text = |path: &str| {
-        let (_, body) = Client::once(operators, "GET", path, "", PATIENCE).expect("a reply");
+        let (_, body) = Client::once(operators, "GET", path, "", TIMEOUT).expect("a reply");
         String::from_utf8_lossy(&body).into_owned()
     };
     assert!(text("/").contains("<title>harefield</title>"));
     let path = format!("/v1/fleet/waterfall?request={}", answer.request);
     await_true("another daemon renders the waterfall", || text(&path).contains("parcels-02/0"));
-    let fleet: Value = serde_json::from_str(&text("/v1/fleet/status")).expect("it is JSON");
+    let fleet: Value = serde_json::from_str(&text("/v1/fleet/status")).expect("the body is JSON");
     assert_eq!(fleet["daemons"].as_array().map(Vec::len), Some(2));
 }
--- a/crates/harefield/tests/processes/bad_input.rs
+++ b/crates/harefield/tests/processes/bad_input.rs
@@ -7,22 +7,23 @@
 
 use standin::Client;
 
-use crate::support::PATIENCE;
-use crate::support::World;
+use crate::support::Cluster;
+use crate::support::TIMEOUT;
 use harefield::domain::code::Code;
 use harefield::domain::outcome::Answer;
 
-fn post(world: &World, path: &str, body: &str) -> (u16, Answer) {
-    let to = world.daemons[0].addresses.callers;
-    let (status, reply) = Client::once(to, "POST", path, body, PATIENCE).expect("a reply");
+fn post(cluster: &Cluster, path: &str, body: &str) -> (u16, Answer) {
+    let to = cluster.daemons[0].addresses.callers;
+    let (status, reply) = Client::once(to, "POST", path, body, TIMEOUT).expect("a reply");
     (status, serde_json::from_slice(&reply).expect("an answer with a result code"))
 }
 
 /// Sends raw bytes and returns the response up to its closing brace or the end of the connection.
-fn raw(world: &World, bytes: &[u8]) -> String {
-    let mut stream = TcpStream::connect(world.daemons[0].addresses.callers).expect("it listens");
-    stream.set_read_timeout(Some(Duration::from_secs(8))).expect("a time-out");
-    stream.write_all(bytes).expect("it is sent");
+fn send_raw(cluster: &Cluster, bytes: &[u8]) -> String {
+    let mut stream =
+        TcpStream::connect(cluster.daemons[0].addresses.callers).expect("the listener accepts connections");
+    stream.set_read_timeout(Some(Duration::from_secs(8))).expect("a timeout can be set");
+    stream.write_all(bytes).expect("the bytes are sent");
     let mut reply = Vec::new();
     let mut buffer = [0_u8; 4096];
     while let Ok(count) = stream.read(&mut buffer) {
@@ -39,7 +40,7 @@
 
 #[test]
 fn numbered_answers() {
-    let world = World::start(1, "[limits]\nbody-bytes = 2000\n");
+    let cluster = Cluster::start(1, "[limits]\nbody-bytes = 2000\n");
     let large = format!("{{\"query\":\"{}\"}}", "x".repeat(3000));
     let cases = [
         ("/v1/lookups/parcels", "{", 400, Code::MalformedBody),
@@ -54,69 +55,70 @@
         ("/v1/lookups/parcels-once", "{\"query\":1,\"ticket\":\"x\"}", 400, Code::MalformedTicket),
     ];
     for (path, body, status, code) in cases {
-        let (found, answer) = post(&world, path, body);
+        let (found, answer) = post(&cluster, path, body);
         assert_eq!((found, answer.code), (status, code), "{path} {}", &body[..body.len().min(40)]);
     }
-    assert_eq!(world.searchers.tally().taken, 0, "no invalid request reached an upstream");
-    assert_eq!(world.query(0).code, Code::Whole);
+    assert_eq!(cluster.upstreams.tally().taken, 0, "no invalid request reached an upstream");
+    assert_eq!(cluster.query(0).code, Code::Whole);
 }
 
 #[test]
 fn wrong_method() {
-    let world = World::start(1, "");
-    let to = world.daemons[0].addresses.callers;
-    let (status, _) = Client::once(to, "GET", "/v1/lookups/parcels", "", PATIENCE).expect("a reply");
+    let cluster = Cluster::start(1, "");
+    let to = cluster.daemons[0].addresses.callers;
+    let (status, _) = Client::once(to, "GET", "/v1/lookups/parcels", "", TIMEOUT).expect("a reply");
     assert_eq!(status, 405);
-    let (status, _) = Client::once(to, "GET", "/v1/status", "", PATIENCE).expect("a reply");
+    let (status, _) = Client::once(to, "GET", "/v1/status", "", TIMEOUT).expect("a reply");
     assert_eq!(status, 404, "operators' paths are not served at the callers' address");
 }
 
 #[test]
 fn large_head() {
-    let world = World::start(1, "[limits]\nhead-bytes = 2048\n");
+    let cluster = Cluster::start(1, "[limits]\nhead-bytes = 2048\n");
     let filler = "x".repeat(4000);
     let head = format!(
         "POST /v1/lookups/parcels HTTP/1.1\r\nhost: h\r\nfiller: {filler}\r\ncontent-length: 0\r\n\r\n"
     );
-    assert!(raw(&world, head.as_bytes()).contains("HF1012"));
+    assert!(send_raw(&cluster, head.as_bytes()).contains("HF1012"));
     let huge = format!("POST / HTTP/1.1\r\nhost: h\r\nfiller: {}\r\n\r\n", "x".repeat(400_000));
-    let mut stream = TcpStream::connect(world.daemons[0].addresses.callers).expect("it listens");
+    let mut stream =
+        TcpStream::connect(cluster.daemons[0].addresses.callers).expect("the listener accepts connections");
     drop(stream.write_all(huge.as_bytes()));
-    assert_eq!(world.query(0).code, Code::Whole);
+    assert_eq!(cluster.query(0).code, Code::Whole);
 }
 
 #[test]
 fn slow_body() {
-    let world = World::start(1, "[limits]\nbody-ms = 200\n");
+    let cluster = Cluster::start(1, "[limits]\nbody-ms = 200\n");
     let head = "POST /v1/lookups/parcels HTTP/1.1\r\nhost: h\r\ncontent-length: 50\r\n\r\n{\"que";
-    assert!(raw(&world, head.as_bytes()).contains("HF1008"));
+    assert!(send_raw(&cluster, head.as_bytes()).contains("HF1008"));
 }
 
 #[test]
 fn slow_head() {
-    let world = World::start(1, "[limits]\nhead-ms = 200\n");
-    let begun = std::time::Instant::now();
-    raw(&world, b"POST /v1/lookups/parcels HTTP/1.1\r\nhost:");
-    assert!(begun.elapsed() < Duration::from_secs(5), "the connection is closed in time");
-    assert_eq!(world.query(0).code, Code::Whole);
+    let cluster = Cluster::start(1, "[limits]\nhead-ms = 200\n");
+    let start = std::time::Instant::now();
+    send_raw(&cluster, b"POST /v1/lookups/parcels HTTP/1.1\r\nhost:");
+    assert!(start.elapsed() < Duration::from_secs(5), "the connection is closed in time");
+    assert_eq!(cluster.query(0).code, Code::Whole);
 }
 
 #[test]
 fn garbage_bytes() {
-    let world = World::start(1, "");
+    let cluster = Cluster::start(1, "");
     for bytes in [&b"\0\xff\0\xff"[..], b"GET\r\n\r\n", b"\r\n\r\n\r\n", b"POST / HTTP/9.9\r\n\r\n"] {
-        drop(raw(&world, bytes));
+        drop(send_raw(&cluster, bytes));
     }
-    assert_eq!(world.query(0).code, Code::Whole);
+    assert_eq!(cluster.query(0).code, Code::Whole);
 }
 
 #[test]
 fn garbage_for_peers() {
-    let world = World::start(1, "");
-    let to = world.daemons[0].addresses.peers;
+    let cluster = Cluster::start(1, "");
+    let to = cluster.daemons[0].addresses.peers;
     for path in ["/v1/forward", "/v1/exchange", "/v1/pull", "/v1/x"] {
-        let (status, _) = Client::once(to, "POST", path, "garbage", PATIENCE).expect("a reply");
+        let (status, _) = Client::once(to, "POST", path, "garbage", TIMEOUT).expect("a reply");
         assert!((400..500).contains(&status), "{path} {status}");
     }
-    assert_eq!(world.query(0).code, Code::Whole);
+    assert_eq!(cluster.query(0).code, Code::Whole);
 }
--- a/crates/harefield/tests/processes/crashing.rs
+++ b/crates/harefield/tests/processes/crashing.rs
@@ -11,34 +11,34 @@
 use std::time::Instant;
 
 use crate::crashing_support::Callers;
+use crate::crashing_support::DOWNTIME;
 use crate::crashing_support::Fleet;
-use crate::crashing_support::GONE;
-use crate::crashing_support::KNOWN_WITHIN;
+use crate::crashing_support::FleetOptions;
+use crate::crashing_support::PROPAGATION_TIME;
 use crate::crashing_support::SHARDS;
-use crate::crashing_support::Shape;
 use crate::crashing_support::code;
 
 /// How many upstreams may crash besides the first one of each shard before the request is
 /// withheld: one in the trial on a single upstream, and one more if two daemons try it at once.
-const TRIED: usize = 2;
+const MAX_TRIALS: usize = 2;
 
 /// The number of later sends that the users accept.
-const MOST_LATE: usize = 3;
+const MAX_LATE_SENDS: usize = 3;
 
 /// The pause between two repetitions of the fatal request.
-const AGAIN: Duration = Duration::from_millis(400);
+const REPEAT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Sends a fatal request repeatedly, to each daemon in turn, during ordinary traffic; returns
 /// the share of later ordinary requests that were answered with 200.
-fn come_again(fleet: &Fleet, path: &'static str, times: usize) -> f64 {
+fn repeat_fatal(fleet: &Fleet, path: &'static str, times: usize) -> f64 {
     let ordinary = Callers::start(fleet, Duration::from_millis(75), |number| format!("/all/own-{number}"));
-    let begun = Instant::now();
+    let start = Instant::now();
     for number in 0..times {
-        fleet.ask_fatal(number % fleet.daemons.len(), path, number);
-        std::thread::sleep(AGAIN);
+        fleet.send_fatal(number % fleet.daemons.len(), path, number);
+        std::thread::sleep(REPEAT_INTERVAL);
     }
     let answers = ordinary.stop();
-    let later: Vec<_> = answers.iter().filter(|answered| answered.at > begun + KNOWN_WITHIN).collect();
+    let later: Vec<_> = answers.iter().filter(|answered| answered.at > start + PROPAGATION_TIME).collect();
     let served = later.iter().filter(|answered| answered.status == 200).count();
     assert!(later.len() > 20, "too few ordinary requests were sent");
     harefield::domain::ratio(served, later.len())
@@ -46,23 +46,26 @@
 
 #[test]
 fn one_attempt_bounded() {
-    let fleet = Fleet::start(Shape::default());
-    let answer = fleet.ask_fatal(0, "all", 0);
+    let fleet = Fleet::start(FleetOptions::default());
+    let answer = fleet.send_fatal(0, "all", 0);
     assert_eq!(answer.status, 504, "the request may have run");
     let ended = fleet.ends().len();
-    assert!(ended <= SHARDS + TRIED, "one request crashed {ended} of 40 upstreams");
+    assert!(ended <= SHARDS + MAX_TRIALS, "one request crashed {ended} of 40 upstreams");
 }
 
 #[test]
 fn known_to_the_fleet() {
-    for same in [false, true] {
-        let fleet = Fleet::start(Shape { same, ones: 0 });
-        let served = come_again(&fleet, "all", 18);
+    for keep_names in [false, true] {
+        let fleet = Fleet::start(FleetOptions { keep_names, single_upstreams: 0 });
+        let served = repeat_fatal(&fleet, "all", 18);
         let (late, ended) = (fleet.late_sends(), fleet.ends().len());
-        assert!(late <= MOST_LATE, "{late} sends after every daemon had to know, {ended} upstreams crashed");
-        assert!(ended <= SHARDS + 2 * TRIED, "{ended} upstreams crashed");
+        assert!(
+            late <= MAX_LATE_SENDS,
+            "{late} sends after every daemon had to know, {ended} upstreams crashed"
+        );
+        assert!(ended <= SHARDS + 2 * MAX_TRIALS, "{ended} upstreams crashed");
         assert!(served > 0.95, "{served} of the ordinary requests were answered");
-        let answer = fleet.ask_fatal(1, "all", 99);
+        let answer = fleet.send_fatal(1, "all", 99);
         assert_eq!((answer.status, code(&answer).as_str()), (503, "HF2014"));
         let wait: f64 = answer.header("retry-after").parse().expect("the answer has a retry time");
         assert!((1.0..=30.0).contains(&wait), "{wait}");
@@ -71,58 +74,59 @@
 
 #[test]
 fn one_service_known() {
-    let fleet = Fleet::start(Shape { same: false, ones: 6 });
-    let served = come_again(&fleet, "one", 18);
+    let fleet = Fleet::start(FleetOptions { keep_names: false, single_upstreams: 6 });
+    let served = repeat_fatal(&fleet, "one", 18);
     let (late, ended) = (fleet.late_sends(), fleet.ends().len());
-    assert!(late <= MOST_LATE, "{late} sends after every daemon had to know, {ended} upstreams crashed");
-    assert!(ended <= 3 + TRIED, "{ended} upstreams crashed");
+    assert!(late <= MAX_LATE_SENDS, "{late} sends after every daemon had to know, {ended} upstreams crashed");
+    assert!(ended <= 3 + MAX_TRIALS, "{ended} upstreams crashed");
     assert!(served > 0.95, "{served} of the ordinary requests were answered");
 }
 
 #[test]
 fn all_daemons_at_once() {
     // The request is sent to every daemon simultaneously, twice.
-    let fleet = Fleet::start(Shape::default());
+    let fleet = Fleet::start(FleetOptions::default());
     for round in 0..2 {
         std::thread::scope(|scope| {
             for daemon in 0..fleet.daemons.len() {
                 let fleet = &fleet;
-                scope.spawn(move || fleet.ask_fatal(daemon, "all", round * 10 + daemon));
+                scope.spawn(move || fleet.send_fatal(daemon, "all", round * 10 + daemon));
             }
         });
-        std::thread::sleep(GONE + KNOWN_WITHIN);
+        std::thread::sleep(DOWNTIME + PROPAGATION_TIME);
     }
     let late = fleet.late_sends();
-    assert!(late <= MOST_LATE, "{late} sends after every daemon had to know");
+    assert!(late <= MAX_LATE_SENDS, "{late} sends after every daemon had to know");
 }
 
 #[test]
-fn known_to_joining_daemon() {
-    let mut fleet = Fleet::start(Shape::default());
+fn known_to_who_joins() {
+    let mut fleet = Fleet::start(FleetOptions::default());
     let withheld = |number: usize| {
-        let answer = fleet.ask_fatal(number % fleet.daemons.len(), "all", number);
-        std::thread::sleep(GONE);
+        let answer = fleet.send_fatal(number % fleet.daemons.len(), "all", number);
+        std::thread::sleep(DOWNTIME);
         code(&answer) == "HF2014"
     };
     assert!((0..8).any(withheld), "the request is recognized and withheld");
     fleet.join("z2");
     let joined = fleet.daemons.len() - 1;
-    let serves = || crate::site_support::ask_at(&fleet.daemons[joined], "/all/x", "x", 2000).status == 200;
+    let serves =
+        || crate::site_support::request_at(&fleet.daemons[joined], "/all/x", "x", 2000).status == 200;
     crate::support::await_true("the joining daemon serves", serves);
-    let before = fleet.fatal_begun().len();
-    let answer = fleet.ask_fatal(joined, "all", 50);
+    let before = fleet.fatal_attempts().len();
+    let answer = fleet.send_fatal(joined, "all", 50);
     assert_eq!((answer.status, code(&answer).as_str()), (503, "HF2014"));
-    assert_eq!(fleet.fatal_begun().len(), before, "the request runs on no upstream");
+    assert_eq!(fleet.fatal_attempts().len(), before, "the request runs on no upstream");
 }
 
 #[test]
 fn one_trial_in_the_fleet() {
     // Three or four upstreams of a service have crashed. Then the request is sent to all daemons
     // simultaneously, and only one of them tries it, on one upstream at a time.
-    let fleet = Fleet::start(Shape { same: false, ones: 9 });
-    fleet.ask_fatal(0, "one", 0);
-    fleet.ask_fatal(1, "one", 1);
-    let before = fleet.fatal_begun().len();
+    let fleet = Fleet::start(FleetOptions { keep_names: false, single_upstreams: 9 });
+    fleet.send_fatal(0, "one", 0);
+    fleet.send_fatal(1, "one", 1);
+    let before = fleet.fatal_attempts().len();
     // Each request crashes two upstreams, but the second one crashes only one if its daemon has
     // received the report of the first two crashes by then.
     assert!((3..=4).contains(&before), "{before} upstreams crashed");
@@ -130,11 +134,11 @@
     std::thread::scope(|scope| {
         for daemon in 0..fleet.daemons.len() {
             let fleet = &fleet;
-            scope.spawn(move || fleet.ask_fatal(daemon, "one", 10 + daemon));
+            scope.spawn(move || fleet.send_fatal(daemon, "one", 10 + daemon));
         }
     });
     // A request that waited for the first trial may be run as the second one, which decides.
-    let trials: Vec<Instant> = fleet.fatal_begun().iter().skip(before).map(|begun| begun.at).collect();
+    let trials: Vec<Instant> = fleet.fatal_attempts().iter().skip(before).map(|begun| begun.at).collect();
     assert!((1..=2).contains(&trials.len()), "{} trials", trials.len());
     let apart = trials.windows(2).all(|two| two[1] - two[0] >= Duration::from_millis(250));
     assert!(apart, "two trials overlapped");
--- a/crates/harefield/tests/processes/crashing_support.rs
+++ b/crates/harefield/tests/processes/crashing_support.rs
@@ -19,8 +19,8 @@
 use standin::SiteStore;
 
 use crate::site_support::Answer;
-use crate::site_support::ask_at;
 use crate::site_support::limits;
+use crate::site_support::request_at;
 use crate::support::Daemon;
 use crate::support::await_true;
 
@@ -28,21 +28,21 @@
 pub const REPLICAS: usize = 2;
 
 /// How long a crashed upstream is down.
-pub const GONE: Duration = Duration::from_millis(1800);
+pub const DOWNTIME: Duration = Duration::from_millis(1800);
 
 /// Within this time a suspect found by one daemon is known to every daemon that it can reach.
-pub const KNOWN_WITHIN: Duration = Duration::from_secs(4);
+pub const PROPAGATION_TIME: Duration = Duration::from_secs(4);
 
 const ZONES: [&str; 3] = ["z1", "z2", "z3"];
 const WORK: Duration = Duration::from_millis(15);
 
 /// Variants of the fleet that a test starts.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Shape {
+pub struct FleetOptions {
     /// Whether restarted upstreams keep their names.
-    pub same: bool,
+    pub keep_names: bool,
     /// The number of upstreams of the service `one`, which has a single shard.
-    pub ones: usize,
+    pub single_upstreams: usize,
 }
 
 pub struct Fleet {
@@ -52,7 +52,7 @@
 }
 
 impl Fleet {
-    pub fn start(shape: Shape) -> Self {
+    pub fn start(options: FleetOptions) -> Self {
         let store = SiteStore::start();
         let mut upstreams = Vec::new();
         let mut add = |service: &str, number: usize, zone: usize| {
@@ -61,8 +61,8 @@
                 service: service.to_owned(),
                 zone: ZONES[zone % ZONES.len()].to_owned(),
                 work: WORK,
-                gone: GONE,
-                same: shape.same,
+                gone: DOWNTIME,
+                same: options.keep_names,
             };
             upstreams.push(MortalSearcher::start(spec, store.clone()));
         };
@@ -71,7 +71,7 @@
                 add(&format!("s{shard}"), replica, shard + replica);
             }
         }
-        for number in 0..shape.ones {
+        for number in 0..options.single_upstreams {
             add("one", number, number);
         }
         store.put("op/config", Some(&configuration()));
@@ -79,7 +79,7 @@
         for zone in ZONES {
             fleet.join(zone);
         }
-        fleet.await_serving(shape);
+        fleet.await_serving(options);
         fleet
     }
 
@@ -90,11 +90,11 @@
         self.daemons.push(Daemon::start(&settings));
     }
 
-    fn await_serving(&self, shape: Shape) {
-        let path = if shape.ones > 0 { "/one/warm" } else { "/all/warm" };
+    fn await_serving(&self, options: FleetOptions) {
+        let path = if options.single_upstreams > 0 { "/one/warm" } else { "/all/warm" };
         let serves = |daemon: &Daemon| {
             ["/all/warm", path].iter().all(|path| {
-                let answer = ask_at(daemon, path, "warm", 2000);
+                let answer = request_at(daemon, path, "warm", 2000);
                 answer.status == 200 && ["", "0"].contains(&answer.header("missing-parts"))
             })
         };
@@ -102,12 +102,12 @@
     }
 
     /// Sends a request that crashes every upstream that runs it.
-    pub fn ask_fatal(&self, daemon: usize, path: &str, number: usize) -> Answer {
-        ask_at(&self.daemons[daemon], &format!("/{path}{FATAL}"), &format!("fatal-{number}"), 2000)
+    pub fn send_fatal(&self, daemon: usize, path: &str, number: usize) -> Answer {
+        request_at(&self.daemons[daemon], &format!("/{path}{FATAL}"), &format!("fatal-{number}"), 2000)
     }
 
     /// Returns the attempts of fatal requests that upstreams began, by time.
-    pub fn fatal_begun(&self) -> Vec<Begun> {
+    pub fn fatal_attempts(&self) -> Vec<Begun> {
         let all = self.upstreams.iter().flat_map(MortalSearcher::begun);
         let mut begun: Vec<Begun> = all.filter(|begun| begun.target.contains(FATAL)).collect();
         begun.sort_by_key(|begun| begun.at);
@@ -124,7 +124,7 @@
     /// Returns how many fatal attempts began after the whole fleet had to know of the third crash.
     pub fn late_sends(&self) -> usize {
         let Some(third) = self.ends().get(2).copied() else { return 0 };
-        self.fatal_begun().iter().filter(|begun| begun.at > third + KNOWN_WITHIN).count()
+        self.fatal_attempts().iter().filter(|begun| begun.at > third + PROPAGATION_TIME).count()
     }
 }
 
@@ -164,7 +164,7 @@
                     let path = path(number);
                     let at = Instant::now();
                     let headers = format!("Attempt-Id: c{index}-{number}\r\nDeadline-Remaining: 1000\r\n");
-                    let answer = crate::site_support::ask(to.callers, &path, &headers);
+                    let answer = crate::site_support::send_request(to.callers, &path, &headers);
                     let answered = Answered { at, status: answer.status, code: code(&answer) };
                     answers.lock().unwrap_or_else(PoisonError::into_inner).push(answered);
                     std::thread::sleep(pause);
--- a/crates/harefield/tests/processes/hot_requests.rs
+++ b/crates/harefield/tests/processes/hot_requests.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use crate::crashing_support::Callers;
+use crate::crashing_support::DOWNTIME;
 use crate::crashing_support::Fleet;
-use crate::crashing_support::GONE;
-use crate::crashing_support::Shape;
-use crate::site_support::ask_at;
+use crate::crashing_support::FleetOptions;
+use crate::site_support::request_at;
 use crate::support::Daemon;
 use crate::support::await_true;
 
@@ -14,12 +14,12 @@
 fn unrelated_crashes() {
     // Thirteen of 40 upstreams crash together, three times, while the same sweep is sent many
     // times a second. The sweep does not cause the crashes and must not be refused.
-    let fleet = Fleet::start(Shape::default());
+    let fleet = Fleet::start(FleetOptions::default());
     let hot = Callers::start(&fleet, Duration::from_millis(30), |_| "/all/hot".to_owned());
     for round in 0..3 {
         std::thread::sleep(Duration::from_secs(1));
         fleet.upstreams.iter().skip(round).step_by(3).take(13).for_each(standin::MortalSearcher::end);
-        std::thread::sleep(GONE);
+        std::thread::sleep(DOWNTIME);
     }
     let answers = hot.stop();
     let refused = answers.iter().filter(|answered| answered.code == "HF2014").count();
@@ -32,19 +32,21 @@
 fn suspected_wrongly() {
     // A request that is in flight at many upstreams when all of them crash looks like the cause.
     // When it is repeated, it is tried on one upstream, succeeds, and is served.
-    let fleet = Fleet::start(Shape::default());
+    let fleet = Fleet::start(FleetOptions::default());
     std::thread::scope(|scope| {
-        let asked = scope.spawn(|| ask_at(&fleet.daemons[0], "/all/unlucky", "u1", 2000));
+        let asked = scope.spawn(|| request_at(&fleet.daemons[0], "/all/unlucky", "u1", 2000));
         let begun = || fleet.upstreams.iter().flat_map(standin::MortalSearcher::begun);
-        await_true("it runs", || begun().filter(|begun| begun.target == "/all/unlucky").count() >= 12);
+        await_true("the request runs", || {
+            begun().filter(|begun| begun.target == "/all/unlucky").count() >= 12
+        });
         fleet.upstreams.iter().for_each(standin::MortalSearcher::end);
         asked.join().expect("the request is answered");
     });
-    std::thread::sleep(GONE);
-    let serves = |daemon: &Daemon| ask_at(daemon, "/all/other", "o", 2000).header("missing-parts") == "0";
+    std::thread::sleep(DOWNTIME);
+    let serves = |daemon: &Daemon| request_at(daemon, "/all/other", "o", 2000).header("missing-parts") == "0";
     await_true("others are served", || fleet.daemons.iter().all(serves));
     for (number, daemon) in fleet.daemons.iter().enumerate().rev() {
-        let answer = ask_at(daemon, "/all/unlucky", &format!("v{number}"), 2000);
+        let answer = request_at(daemon, "/all/unlucky", &format!("v{number}"), 2000);
         let said = String::from_utf8_lossy(&answer.body);
         assert_eq!((answer.status, answer.header("missing-parts")), (200, "0"), "daemon {number}: {said}");
     }
--- a/crates/harefield/tests/processes/own_answer.rs
+++ b/crates/harefield/tests/processes/own_answer.rs
@@ -6,15 +6,15 @@
 use serde_json::json;
 use standin::Fault;
 
-use crate::support::World;
-use crate::support::ask;
+use crate::support::Cluster;
+use crate::support::send_lookup;
 use harefield::domain::code::Code;
 use harefield::domain::outcome::Answer;
 
 /// Asserts that every result belongs to the answer's request, shard and query.
 fn assert_own(answer: &Answer, query: &Value) {
     for part in &answer.results {
-        let reply: Value = serde_json::from_str(part.reply.get()).expect("it is JSON");
+        let reply: Value = serde_json::from_str(part.reply.get()).expect("the body is JSON");
         let request = reply["for"].as_str().expect("the reply has its request's id");
         assert_eq!(request.split('.').next(), Some(answer.request.as_str()));
         assert_eq!(reply["shard"].as_str(), Some(&*part.shard));
@@ -25,16 +25,16 @@
 
 /// Sends requests from many callers concurrently, each with its own query, and checks every
 /// answer.
-fn ask_at_once(world: &World, callers: usize, each: usize) -> Vec<Answer> {
-    let to = world.daemons[0].addresses.callers;
+fn send_concurrently(cluster: &Cluster, callers: usize, each: usize) -> Vec<Answer> {
+    let to = cluster.daemons[0].addresses.callers;
     let threads: Vec<_> = (0..callers)
         .map(|caller| {
             thread::spawn(move || {
                 let mut answers = Vec::new();
                 for number in 0..each {
                     let query = json!({ "caller": caller, "number": number });
-                    let answer =
-                        ask(to, "parcels", &json!({ "query": query, "id": "same" })).expect("an answer");
+                    let answer = send_lookup(to, "parcels", &json!({ "query": query, "id": "same" }))
+                        .expect("an answer");
                     assert_own(&answer, &query);
                     assert_eq!(answer.id.as_deref(), Some("same"));
                     answers.push(answer);
@@ -48,8 +48,8 @@
 
 #[test]
 fn same_ids() {
-    let world = World::start(1, "");
-    let answers = ask_at_once(&world, 8, 10);
+    let cluster = Cluster::start(1, "");
+    let answers = send_concurrently(&cluster, 8, 10);
     let mut ids: Vec<&str> = answers.iter().map(|answer| answer.request.as_str()).collect();
     ids.sort_unstable();
     ids.dedup();
@@ -58,29 +58,29 @@
 
 #[test]
 fn crossed_replies() {
-    let world = World::start(1, "");
-    world.searchers.change("parcels-00-0", |b| b.fault = Fault::Cross);
-    world.searchers.change("parcels-01-1", |b| b.fault = Fault::Cross);
-    for answer in ask_at_once(&world, 6, 10) {
+    let cluster = Cluster::start(1, "");
+    cluster.upstreams.change("parcels-00-0", |b| b.fault = Fault::Cross);
+    cluster.upstreams.change("parcels-01-1", |b| b.fault = Fault::Cross);
+    for answer in send_concurrently(&cluster, 6, 10) {
         assert_eq!(answer.code, Code::Whole, "the other replica answers: {:?}", answer.coverage);
     }
 }
 
 #[test]
 fn cut_bodies() {
-    let world = World::start(1, "");
-    world.searchers.change("parcels-00-0", |b| b.fault = Fault::Truncate);
-    for answer in ask_at_once(&world, 4, 10) {
+    let cluster = Cluster::start(1, "");
+    cluster.upstreams.change("parcels-00-0", |b| b.fault = Fault::Truncate);
+    for answer in send_concurrently(&cluster, 4, 10) {
         assert_eq!(answer.code, Code::Whole, "{:?}", answer.coverage);
     }
 }
 
 #[test]
 fn late_replies() {
-    let world = World::start(1, "");
-    world.searchers.change_all(|b| {
+    let cluster = Cluster::start(1, "");
+    cluster.upstreams.change_all(|b| {
         b.straggle_percent = 20.0;
         b.straggle_ms = 60.0;
     });
-    ask_at_once(&world, 6, 20);
+    send_concurrently(&cluster, 6, 20);
 }
--- a/crates/harefield/tests/processes/silent_connections.rs
+++ b/crates/harefield/tests/processes/silent_connections.rs
@@ -45,7 +45,7 @@
 impl Listener {
     fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-        let address = listener.local_addr().expect("it is bound").to_string();
+        let address = listener.local_addr().expect("the listener is bound").to_string();
         let (taken, silent) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
         let counts = (Arc::clone(&taken), Arc::clone(&silent));
         std::thread::spawn(move || {
@@ -108,7 +108,7 @@
 }
 
 /// Delegates a group to a daemon, then lets background tasks run for 100 ms.
-async fn hand(peers: &HttpPeers, daemon: &Listener) -> Result<GroupReply, PeerError> {
+async fn delegate(peers: &HttpPeers, daemon: &Listener) -> Result<GroupReply, PeerError> {
     let host = daemon.address.as_str().into();
     let reply = peers.delegate(&host, &group(), Duration::from_millis(400)).await;
     Timer::after(Duration::from_millis(100)).await;
@@ -127,9 +127,9 @@
     // whole round trip.
     let daemon = Listener::start();
     with_peers(async |peers| {
-        hand(&peers, &daemon).await.expect("it answers");
+        delegate(&peers, &daemon).await.expect("the daemon answers");
         assert_eq!(daemon.taken(), 2, "one connection for the group and a spare one");
-        hand(&peers, &daemon).await.expect("it answers");
+        delegate(&peers, &daemon).await.expect("the daemon answers");
         assert_eq!(daemon.taken(), 2, "both connections are idle and reused");
     });
 }
@@ -138,16 +138,16 @@
 fn silent_daemon_reconnected() {
     let daemon = Listener::start();
     with_peers(async |peers| {
-        hand(&peers, &daemon).await.expect("it answers");
+        delegate(&peers, &daemon).await.expect("the daemon answers");
         daemon.silence();
-        assert_eq!(hand(&peers, &daemon).await.err(), Some(PeerError::Silent));
-        hand(&peers, &daemon).await.expect("a new connection is used instead of the other idle one");
+        assert_eq!(delegate(&peers, &daemon).await.err(), Some(PeerError::Silent));
+        delegate(&peers, &daemon).await.expect("a new connection is used instead of the other idle one");
     });
 }
 
 /// Returns a call to an upstream that allows four connections.
 fn call(upstream: &Listener) -> Call {
-    let address = upstream.address.parse().expect("it is an address");
+    let address = upstream.address.parse().expect("the address is valid");
     Call {
         endpoint: Endpoint { upstream: "u".into(), address },
         connection_limit: 4,
--- a/crates/harefield/tests/processes/site.rs
+++ b/crates/harefield/tests/processes/site.rs
@@ -11,12 +11,12 @@
 use standin::Manner;
 
 use crate::site_support::Site;
-use crate::site_support::ask;
 use crate::site_support::begin;
 use crate::site_support::begin_with;
 use crate::site_support::read_answer;
 use crate::site_support::records;
 use crate::site_support::send;
+use crate::site_support::send_request;
 use crate::support::await_true;
 use harefield::adapters::http::Traffic;
 use harefield::adapters::peers::HttpPeers;
@@ -34,7 +34,7 @@
 #[test]
 fn merged_whole() {
     let site = Site::start();
-    let answer = site.ask("/all/x?y=1", "r1");
+    let answer = site.request("/all/x?y=1", "r1");
     assert_eq!(answer.status, 200);
     assert_eq!(
         answer.body,
@@ -51,7 +51,7 @@
 fn waited_in_socket() {
     // The time that a request waited in the socket of a paused daemon counts against its deadline.
     let site = Site::start();
-    site.ask("/one/x", "r1");
+    site.request("/one/x", "r1");
     let daemon = site.daemons().next().expect("the site has a daemon");
     daemon.signal("STOP");
     let headers = "Attempt-Id: r2\r\nDeadline-Remaining: 900\r\nConnection: close\r\n";
@@ -61,7 +61,7 @@
     let answer = read_answer(stream);
     assert_eq!(answer.status, 200);
     let left = site
-        .searchers
+        .upstreams
         .values()
         .filter(|s| s.runs().iter().any(|id| id == "r2"))
         .find_map(standin::SignedSearcher::left);
@@ -72,54 +72,54 @@
 #[test]
 fn merged_in_part() {
     let site = Site::start();
-    site.searchers["i-s2"].set(Manner::Shed, Duration::ZERO);
-    let answer = site.ask("/all/x", "r1");
+    site.upstreams["i-s2"].set(Manner::Shed, Duration::ZERO);
+    let answer = site.request("/all/x", "r1");
     assert_eq!(answer.status, 200);
     assert_eq!(answer.body, records(&[9, 7, 3, 1]));
     assert_eq!(answer.header("missing-parts"), "1");
-    site.searchers["i-s3"].set(Manner::Shed, Duration::ZERO);
-    let answer = site.ask("/all/x", "r2");
+    site.upstreams["i-s3"].set(Manner::Shed, Duration::ZERO);
+    let answer = site.request("/all/x", "r2");
     assert_eq!(answer.status, 504, "one of three shards is too few, and the request ran");
 }
 
 #[test]
 fn objective_cuts_slow() {
     let site = Site::start();
-    site.searchers["i-s2"].set(Manner::Good, Duration::from_millis(700));
-    let begun = std::time::Instant::now();
-    let answer = site.ask("/all/x", "r1");
+    site.upstreams["i-s2"].set(Manner::Good, Duration::from_millis(700));
+    let start = std::time::Instant::now();
+    let answer = site.request("/all/x", "r1");
     assert_eq!((answer.status, answer.header("missing-parts")), (200, "1"));
-    assert!(begun.elapsed() < Duration::from_millis(600), "{:?}", begun.elapsed());
+    assert!(start.elapsed() < Duration::from_millis(600), "{:?}", start.elapsed());
 }
 
 #[test]
 fn passed_through_unchanged() {
     let site = Site::start();
-    let answer = site.ask("/one/x", "r1");
+    let answer = site.request("/one/x", "r1");
     assert_eq!(answer.status, 200);
     assert_eq!(answer.body, records(&[5, 5]));
     assert_eq!(answer.header("server-seal"), "i-one.r1");
     assert_eq!(answer.header("attempt-id"), "r1");
     assert_eq!(answer.header("x-own"), "kept");
-    site.searchers["i-one"].set(Manner::Fail, Duration::ZERO);
-    let answer = site.ask("/one/x", "r2");
+    site.upstreams["i-one"].set(Manner::Fail, Duration::ZERO);
+    let answer = site.request("/one/x", "r2");
     assert_eq!((answer.status, answer.header("server-seal")), (500, "i-one.r2"));
 }
 
 #[test]
 fn refused_not_run() {
     let site = Site::start();
-    for searcher in site.searchers.values() {
-        searcher.set(Manner::Shed, Duration::ZERO);
+    for upstream in site.upstreams.values() {
+        upstream.set(Manner::Shed, Duration::ZERO);
     }
     for path in ["/one/x", "/one/once/x"] {
-        let answer = site.ask(path, "r1");
+        let answer = site.request(path, "r1");
         assert_eq!(answer.status, 503, "{path}");
         assert!(answer.header("retry-after").parse::<f64>().is_ok_and(|seconds| seconds > 0.0));
     }
     // Once too many shards have rejected the request, the answer does not wait for the last one,
     // whose outcome is then unknown (504).
-    let answer = site.ask("/all/x", "r1");
+    let answer = site.request("/all/x", "r1");
     assert!([503, 504].contains(&answer.status), "{}", answer.status);
     assert_eq!(site.runs("r1"), 0);
 }
@@ -128,12 +128,12 @@
 fn wrong_replies_dropped() {
     let site = Site::start();
     for manner in [Manner::Crossed, Manner::Unsigned] {
-        site.searchers["i-one"].set(manner, Duration::ZERO);
-        let answer = site.ask("/one/x", "r1");
+        site.upstreams["i-one"].set(manner, Duration::ZERO);
+        let answer = site.request("/one/x", "r1");
         assert_eq!(answer.status, 504, "{manner:?}: the request ran, and no valid reply arrived");
         assert_eq!(answer.header("server-seal"), "");
-        site.searchers["i-s1"].set(manner, Duration::ZERO);
-        let answer = site.ask("/all/x", "r2");
+        site.upstreams["i-s1"].set(manner, Duration::ZERO);
+        let answer = site.request("/all/x", "r2");
         assert_eq!(answer.header("missing-parts"), "1", "{manner:?}");
         assert!(!answer.header("part-seals").contains("i-s1"));
     }
@@ -145,10 +145,10 @@
     site.add("one", "i-two", &[5]);
     for (number, manner) in [Manner::Fail, Manner::Crossed, Manner::Unsigned].into_iter().enumerate() {
         for id in ["i-one", "i-two"] {
-            site.searchers[id].set(manner, Duration::from_millis(150));
+            site.upstreams[id].set(manner, Duration::from_millis(150));
         }
         let id = format!("once-{number}");
-        let answer = site.ask("/one/once/x", &id);
+        let answer = site.request("/one/once/x", &id);
         assert!(![429, 503, 408, 421].contains(&answer.status), "{}", answer.status);
         assert_eq!(site.runs(&id), 1, "{manner:?}");
     }
@@ -157,11 +157,11 @@
 #[test]
 fn metrics_as_text() {
     let site = Site::start();
-    site.searchers["i-s2"].set(Manner::Shed, Duration::ZERO);
-    assert_eq!(site.ask("/all/x", "r1").header("missing-parts"), "1");
+    site.upstreams["i-s2"].set(Manner::Shed, Duration::ZERO);
+    assert_eq!(site.request("/all/x", "r1").header("missing-parts"), "1");
     let text = || {
-        let answer = ask(site.daemon.addresses.operators, "/metrics", "");
-        String::from_utf8(answer.body).expect("it is text")
+        let answer = send_request(site.daemon.addresses.operators, "/metrics", "");
+        String::from_utf8(answer.body).expect("the body is UTF-8")
     };
     await_true("the partial answer is counted", || {
         text().contains("harefield_answers_total{kind=\"partial\"} 1")
@@ -175,21 +175,21 @@
 #[test]
 fn caller_gone_stops_work() {
     let site = Site::start();
-    for searcher in site.searchers.values() {
-        searcher.set(Manner::Good, Duration::from_millis(800));
+    for upstream in site.upstreams.values() {
+        upstream.set(Manner::Good, Duration::from_millis(800));
     }
     for (path, id) in [("/all/x", "gone-1"), ("/one/x", "gone-2")] {
         let stream = begin(&site.daemon, path, id);
-        await_true("it runs", || site.runs(id) > 0);
+        await_true("the request runs", || site.runs(id) > 0);
         drop(stream);
     }
     std::thread::sleep(Duration::from_millis(1500));
-    let finished = |id: &str| site.searchers.values().any(|s| s.finished().iter().any(|run| run == id));
+    let finished = |id: &str| site.upstreams.values().any(|s| s.finished().iter().any(|run| run == id));
     assert!(
         !finished("gone-1") && !finished("gone-2"),
         "no upstream continues for a caller that disconnected"
     );
-    assert_eq!(site.ask("/one/x", "stays").status, 200);
+    assert_eq!(site.request("/one/x", "stays").status, 200);
     assert!(finished("stays"));
 }
 
@@ -199,16 +199,16 @@
 }
 
 #[test]
-fn gone_callers_free_gate() {
+fn callers_leave_gate_open() {
     // Callers that disconnect early do not leave the gate occupied for others.
     let site = Site::start();
-    for searcher in site.searchers.values() {
-        searcher.set(Manner::Good, Duration::from_millis(900));
+    for upstream in site.upstreams.values() {
+        upstream.set(Manner::Good, Duration::from_millis(900));
     }
     for number in 0..8 {
         let id = format!("gone-{number}");
         let stream = begin(&site.daemon, "/all/x", &id);
-        await_true("it runs", || site.runs(&id) > 0);
+        await_true("the request runs", || site.runs(&id) > 0);
         std::thread::sleep(Duration::from_millis(50));
         drop(stream);
         await_true("the request is cancelled", || worker(&site).running == 0);
@@ -268,8 +268,8 @@
 fn groups_pass_no_gate() {
     // A group whose request was admitted by another daemon does not wait behind local requests.
     let site = Site::start();
-    for searcher in site.searchers.values() {
-        searcher.set(Manner::Good, Duration::from_millis(900));
+    for upstream in site.upstreams.values() {
+        upstream.set(Manner::Good, Duration::from_millis(900));
     }
     let mut own: Vec<TcpStream> =
         (0..24).map(|number| begin(&site.daemon, "/all/x", &format!("own-{number}"))).collect();
@@ -283,8 +283,8 @@
     let peers = HttpPeers::new(Rc::clone(&executor), None, Traffic::default(), Memory::default());
     let host = site.daemon.addresses.peers.to_string().into();
     let message = group(&site);
-    let handing = peers.delegate(&host, &message, Duration::from_secs(5));
-    let reply = async_io::block_on(executor.run(handing)).expect("it answers");
+    let delegation = peers.delegate(&host, &message, Duration::from_secs(5));
+    let reply = async_io::block_on(executor.run(delegation)).expect("the daemon answers");
     assert!(!reply.declined, "the group is accepted, whatever its upstreams return in time");
     assert_eq!(reply.parts.len() + reply.missing.len(), 2);
     drop(own);
@@ -292,33 +292,33 @@
 
 /// Returns the number of results of a group of two shards that needs both, where the first shard
 /// is slow and the second has finally failed after a back-off of 100 ms.
-fn brought_short(possible: Option<usize>) -> usize {
+fn short_group_results(possible: Option<usize>) -> usize {
     let site = Site::start();
-    site.searchers["i-s2"].set(Manner::Fail, Duration::ZERO);
-    site.searchers["i-s1"].set(Manner::Good, Duration::from_millis(400));
+    site.upstreams["i-s2"].set(Manner::Fail, Duration::ZERO);
+    site.upstreams["i-s1"].set(Manner::Good, Duration::from_millis(400));
     let executor: Rc<LocalExecutor<'static>> = Rc::default();
     let peers = HttpPeers::new(Rc::clone(&executor), None, Traffic::default(), Memory::default());
     let host = site.daemon.addresses.peers.to_string().into();
     let message = Group { needed: 2, possible, remaining: 1_500_000, gather: Some(700_000), ..group(&site) };
-    let handing = peers.delegate(&host, &message, Duration::from_secs(5));
-    async_io::block_on(executor.run(handing)).expect("it answers").parts.len()
+    let delegation = peers.delegate(&host, &message, Duration::from_secs(5));
+    async_io::block_on(executor.run(delegation)).expect("the daemon answers").parts.len()
 }
 
 #[test]
 fn short_group_awaits_rest() {
     assert_eq!(
-        brought_short(Some(1)),
+        short_group_results(Some(1)),
         1,
         "one more result is enough for the whole request, so the slow shard is awaited"
     );
-    assert_eq!(brought_short(None), 0, "without `possible`, the sender cannot use a single result");
+    assert_eq!(short_group_results(None), 0, "without `possible`, the sender cannot use a single result");
 }
 
 #[test]
 fn sender_gone_stops_group() {
     let site = Site::start();
-    for searcher in site.searchers.values() {
-        searcher.set(Manner::Good, Duration::from_millis(800));
+    for upstream in site.upstreams.values() {
+        upstream.set(Manner::Good, Duration::from_millis(800));
     }
     let message = Group { remaining: 2_000_000, gather: Some(1_500_000), ..group(&site) };
     let executor: Rc<LocalExecutor<'static>> = Rc::default();
@@ -331,12 +331,12 @@
             }
             None
         };
-        let handing = async { Some(peers.delegate(&host, &message, Duration::from_secs(5)).await) };
-        assert!(handing.or(running).await.is_none(), "the group is abandoned while its upstreams run it");
+        let delegation = async { Some(peers.delegate(&host, &message, Duration::from_secs(5)).await) };
+        assert!(delegation.or(running).await.is_none(), "the group is abandoned while its upstreams run it");
         Timer::after(Duration::from_millis(1500)).await;
     };
     async_io::block_on(executor.run(gone));
-    let finished = site.searchers.values().any(|s| s.finished().iter().any(|run| run == "g1"));
+    let finished = site.upstreams.values().any(|s| s.finished().iter().any(|run| run == "g1"));
     assert!(!finished, "no upstream continues for a daemon that abandoned the group");
 }
 
@@ -351,7 +351,7 @@
     assert_eq!(send(&site, post(900, &"x".repeat(900)).as_bytes()).status, 200);
     assert_eq!(send(&site, post(900, "too little").as_bytes()).status, 408, "the body is incomplete");
     let long = format!("X-Long: {}\r\n", "x".repeat(3000));
-    assert_eq!(ask(site.daemon.addresses.callers, "/one/x", &long).status, 431);
+    assert_eq!(send_request(site.daemon.addresses.callers, "/one/x", &long).status, 431);
     assert_eq!(send(&site, b"no request at all\r\n\r\n").status, 400);
     assert_eq!(site.runs("big"), 1, "the refused requests did not run");
 }
--- a/crates/harefield/tests/processes/site_accounts.rs
+++ b/crates/harefield/tests/processes/site_accounts.rs
@@ -10,8 +10,8 @@
 
 use crate::site_support::Answer;
 use crate::site_support::Site;
-use crate::site_support::ask;
 use crate::site_support::routes;
+use crate::site_support::send_request;
 use crate::support::Daemon;
 use crate::support::await_true;
 
@@ -35,8 +35,8 @@
     site.publish_for(version, routes, Some(accounts));
     let key = accounts.iter().find_map(|account| account["apiKeys"][0].as_str()).unwrap_or("none");
     let serves = |daemon: &Daemon| {
-        let asked = ask_with(daemon, "/all/probe", "").status == 401;
-        asked && ask_with(daemon, "/all/probe", &bearer(key)).status == 200
+        let asked = request_with(daemon, "/all/probe", "").status == 401;
+        asked && request_with(daemon, "/all/probe", &bearer(key)).status == 200
     };
     await_true("the version is in force", || site.daemons().all(serves));
 }
@@ -45,21 +45,21 @@
     format!("Authorization: Bearer {key}\r\n")
 }
 
-fn ask_with(daemon: &Daemon, path: &str, headers: &str) -> Answer {
+fn request_with(daemon: &Daemon, path: &str, headers: &str) -> Answer {
     let head = format!("Attempt-Id: r1\r\nDeadline-Remaining: 2000\r\n{headers}");
-    ask(daemon.addresses.callers, path, &head)
+    send_request(daemon.addresses.callers, path, &head)
 }
 
 /// Returns the headers that upstreams received with the request `id`, one map for each run.
 fn heads(site: &Site, id: &str) -> Vec<BTreeMap<String, Vec<String>>> {
-    let all = site.searchers.values().flat_map(standin::SignedSearcher::heads);
+    let all = site.upstreams.values().flat_map(standin::SignedSearcher::heads);
     all.filter(|head| head.get("attempt-id").is_some_and(|ids| ids == &[id.to_owned()])).collect()
 }
 
 #[test]
 fn key_required() {
     let site = start();
-    assert_eq!(ask_with(&site.daemon, "/all/x", &bearer("key-a")).status, 200);
+    assert_eq!(request_with(&site.daemon, "/all/x", &bearer("key-a")).status, 200);
     let before = site.runs("r1");
     let refused = [
         ("no key", String::new()),
@@ -74,7 +74,7 @@
     ];
     for (what, headers) in refused {
         for path in ["/all/x", "/one/x", "/one/once/x"] {
-            let answer = ask_with(&site.daemon, path, &headers);
+            let answer = request_with(&site.daemon, path, &headers);
             assert_eq!(answer.status, 401, "{what} at {path}");
             let text = String::from_utf8_lossy(&answer.body).into_owned();
             assert!(text.contains("HF1013") || text.contains("HF1014"), "{what}: {text}");
@@ -88,16 +88,16 @@
 fn scheme_any_case() {
     let site = start();
     for headers in ["authorization: bearer key-a\r\n", "AUTHORIZATION: BEARER key-a\r\n"] {
-        assert_eq!(ask_with(&site.daemon, "/one/x", headers).status, 200, "{headers}");
+        assert_eq!(request_with(&site.daemon, "/one/x", headers).status, 200, "{headers}");
     }
 }
 
 /// Sends a request with the key of `apex` and forged account headers, and checks that upstreams
 /// receive the true account and no key.
-fn assert_named(site: &Site, daemon: &Daemon, path: &str, id: &str) {
+fn assert_account_sent(site: &Site, daemon: &Daemon, path: &str, id: &str) {
     let forged = "Tenant: birch\r\nTENANT: cedar\r\n";
     let head = format!("Attempt-Id: {id}\r\nDeadline-Remaining: 2000\r\n{}{forged}", bearer("key-a"));
-    assert_eq!(ask(daemon.addresses.callers, path, &head).status, 200, "{path}");
+    assert_eq!(send_request(daemon.addresses.callers, path, &head).status, 200, "{path}");
     let heads = heads(site, id);
     assert!(!heads.is_empty(), "{path} ran nowhere");
     for head in heads {
@@ -110,7 +110,7 @@
 fn account_named_upstream() {
     let site = start();
     for path in ["/all/x", "/one/x", "/one/once/x"] {
-        assert_named(&site, &site.daemon, path, &path.replace('/', "-"));
+        assert_account_sent(&site, &site.daemon, path, &path.replace('/', "-"));
     }
 }
 
@@ -120,7 +120,7 @@
     publish(&site, 2, &[account("apex", &["key-a"])]);
     for (number, daemon) in site.daemons().enumerate() {
         for path in ["/all/x", "/one/x"] {
-            assert_named(&site, daemon, path, &format!("m{number}{}", path.replace('/', "-")));
+            assert_account_sent(&site, daemon, path, &format!("m{number}{}", path.replace('/', "-")));
         }
     }
 }
@@ -131,23 +131,25 @@
     let mut routes = routes();
     routes[1]["public"] = json!(true);
     publish_routes(&site, 2, &routes, &[account("apex", &["key-a"])]);
-    assert_eq!(ask_with(&site.daemon, "/all/x", "").status, 401);
+    assert_eq!(request_with(&site.daemon, "/all/x", "").status, 401);
     let head = "Attempt-Id: p1\r\nDeadline-Remaining: 2000\r\nTenant: birch\r\n";
-    assert_eq!(ask(site.daemon.addresses.callers, "/one/x", head).status, 200);
+    assert_eq!(send_request(site.daemon.addresses.callers, "/one/x", head).status, 200);
     let heads = heads(&site, "p1");
     assert!(!heads.is_empty() && heads.iter().all(|head| !head.contains_key("tenant")), "{heads:?}");
-    assert_eq!(ask_with(&site.daemon, "/one/x", &bearer("key-x")).status, 401);
+    assert_eq!(request_with(&site.daemon, "/one/x", &bearer("key-x")).status, 401);
 }
 
 #[test]
 fn key_taken_away() {
     let site = start();
     publish(&site, 3, &[account("birch", &["key-b"]), account("apex", &[])]);
-    await_true("the key is refused", || ask_with(&site.daemon, "/one/x", &bearer("key-a")).status == 401);
+    await_true("the key is refused", || request_with(&site.daemon, "/one/x", &bearer("key-a")).status == 401);
     // Removing the last key, and with it the last account, does not open access to all.
     site.publish_for(4, &routes(), Some(&[]));
-    await_true("every key is refused", || ask_with(&site.daemon, "/one/x", &bearer("key-b")).status == 401);
-    assert_eq!(ask_with(&site.daemon, "/one/x", "").status, 401);
+    await_true("every key is refused", || {
+        request_with(&site.daemon, "/one/x", &bearer("key-b")).status == 401
+    });
+    assert_eq!(request_with(&site.daemon, "/one/x", "").status, 401);
 }
 
 #[test]
@@ -156,7 +158,7 @@
     publish(&site, 3, &[account("birch", &["key-b", "key-a"]), account("apex", &["key-c"])]);
     let head = format!("Attempt-Id: v1\r\nDeadline-Remaining: 2000\r\n{}", bearer("key-a"));
     await_true("the key belongs to the other account", || {
-        ask(site.daemon.addresses.callers, "/one/x", &head);
+        send_request(site.daemon.addresses.callers, "/one/x", &head);
         heads(&site, "v1").last().is_some_and(|head| head.get("tenant") == Some(&vec!["birch".to_owned()]))
     });
 }
@@ -169,7 +171,7 @@
         let key = format!("key-{number}");
         site.publish_for(3 + number, &routes(), Some(&[account("apex", &["key-a", &key])]));
         for daemon in site.daemons() {
-            assert_eq!(ask_with(daemon, "/one/x", &bearer(&key)).status, 200, "{key}");
+            assert_eq!(request_with(daemon, "/one/x", &bearer(&key)).status, 200, "{key}");
         }
     }
 }
@@ -178,15 +180,15 @@
 fn keys_nowhere_shown() {
     let site = start();
     for key in ["key-a", "key-x"] {
-        ask_with(&site.daemon, "/all/x", &bearer(key));
+        request_with(&site.daemon, "/all/x", &bearer(key));
     }
     let paths = ["/metrics", "/v1/status", "/v1/timeline", "/v1/resources/accounts"];
     for path in paths {
-        let shown = ask(site.daemon.addresses.operators, path, "");
+        let shown = send_request(site.daemon.addresses.operators, path, "");
         let text = String::from_utf8_lossy(&shown.body).into_owned();
         assert!(!text.contains("key-a") && !text.contains("key-x"), "{path}");
     }
-    let listed = ask(site.daemon.addresses.operators, "/v1/resources/accounts", "");
+    let listed = send_request(site.daemon.addresses.operators, "/v1/resources/accounts", "");
     assert_eq!(listed.status, 200);
     assert!(String::from_utf8_lossy(&listed.body).contains("accounts/apex"));
 }
@@ -195,7 +197,7 @@
 fn without_accounts_unchanged() {
     let site = Site::start();
     let head = format!("Attempt-Id: w1\r\nDeadline-Remaining: 2000\r\nTenant: own\r\n{}", bearer("k"));
-    assert_eq!(ask(site.daemon.addresses.callers, "/one/x", &head).status, 200);
+    assert_eq!(send_request(site.daemon.addresses.callers, "/one/x", &head).status, 200);
     let heads = heads(&site, "w1");
     assert_eq!(heads[0].get("tenant"), Some(&vec!["own".to_owned()]));
     assert_eq!(heads[0].get("authorization"), Some(&vec!["Bearer k".to_owned()]));
@@ -220,7 +222,7 @@
     site.publish_for(2, &routes(), Some(&accounts));
     // A daemon holds its part of the limits once it knows the others, 3 s after its start.
     std::thread::sleep(Duration::from_millis(3500));
-    let granted = |daemon: &Daemon| ask_with(daemon, "/one/probe", &bearer("key-a")).status == 200;
+    let granted = |daemon: &Daemon| request_with(daemon, "/one/probe", &bearer("key-a")).status == 200;
     await_true("the limits are distributed", || site.daemons().all(granted));
     site
 }
@@ -236,7 +238,7 @@
         }
         let asked = Instant::now();
         let head = format!("Attempt-Id: {key}-{number}\r\nDeadline-Remaining: 2000\r\n{}", bearer(key));
-        let answer = ask(daemon.addresses.callers, "/one/x", &head);
+        let answer = send_request(daemon.addresses.callers, "/one/x", &head);
         answers.push((asked.elapsed(), answer));
         std::thread::sleep(pause);
     }
@@ -244,8 +246,8 @@
 }
 
 /// Returns the maximum number of runs for a key within any two seconds.
-fn busiest(site: &Site, key: &str) -> usize {
-    let arrivals = site.searchers["i-one"].arrivals();
+fn peak_runs(site: &Site, key: &str) -> usize {
+    let arrivals = site.upstreams["i-one"].arrivals();
     let times: Vec<Instant> =
         arrivals.into_iter().filter(|(_, id)| id.starts_with(key)).map(|(at, _)| at).collect();
     let within = |first: &Instant| times.iter().filter(|at| **at >= *first && **at < *first + WINDOW).count();
@@ -262,7 +264,7 @@
     let refused: Vec<_> = answers.iter().filter(|(_, answer)| answer.status == 429).collect();
     assert_eq!(served + refused.len(), answers.len(), "every answer is 200 or 429");
     // (10 a second over 2 s and a burst of 5) plus a quarter, plus 4.
-    assert!(busiest(&site, "key-a") <= 35, "{} within a window", busiest(&site, "key-a"));
+    assert!(peak_runs(&site, "key-a") <= 35, "{} within a window", peak_runs(&site, "key-a"));
     // No request within the limit is refused: 10 a second over 5 s.
     assert!(served >= 50, "{served} served");
     for (took, answer) in &refused {
@@ -283,8 +285,11 @@
     while Instant::now() < end {
         flood(&site, "key-a", Duration::from_millis(500), Duration::from_millis(2));
     }
-    assert!(busiest(&site, "key-a") <= 35, "{} within a window", busiest(&site, "key-a"));
-    assert!(ask_with(&site.daemon, "/one/x", &bearer("key-b")).status == 200, "requests are served again");
+    assert!(peak_runs(&site, "key-a") <= 35, "{} within a window", peak_runs(&site, "key-a"));
+    assert!(
+        request_with(&site.daemon, "/one/x", &bearer("key-b")).status == 200,
+        "requests are served again"
+    );
 }
 
 #[test]
--- a/crates/harefield/tests/processes/site_cells.rs
+++ b/crates/harefield/tests/processes/site_cells.rs
@@ -9,9 +9,9 @@
 use standin::Manner;
 
 use crate::site_support::Site;
-use crate::site_support::ask_at;
 use crate::site_support::begin;
 use crate::site_support::records;
+use crate::site_support::request_at;
 use crate::support::Daemon;
 use crate::support::await_true;
 use harefield::adapters::http::Traffic;
@@ -39,27 +39,27 @@
     await_true("each upstream is used by one daemon only", || {
         let held = site.daemons().map(upstreams).collect::<Vec<_>>();
         let all = held.iter().flatten().collect::<BTreeSet<_>>();
-        all.len() == site.searchers.len() && held.iter().map(BTreeSet::len).sum::<usize>() == all.len()
+        all.len() == site.upstreams.len() && held.iter().map(BTreeSet::len).sum::<usize>() == all.len()
     });
     for (number, daemon) in site.daemons().enumerate() {
         let id = format!("w{number}");
-        let answer = ask_at(daemon, "/all/x", &id, 2000);
+        let answer = request_at(daemon, "/all/x", &id, 2000);
         assert_eq!((answer.status, answer.header("missing-parts")), (200, "0"));
         assert_eq!(answer.body, records(&[9, 8, 7, 3]));
         assert_eq!(answer.header("part-seals").split(", ").count(), 3);
         assert_eq!(site.runs(&id), 3, "each shard runs the request once");
-        let answer = ask_at(daemon, "/one/x", &format!("o{number}"), 2000);
+        let answer = request_at(daemon, "/one/x", &format!("o{number}"), 2000);
         assert_eq!((answer.status, answer.header("x-own")), (200, "kept"));
         assert_eq!(answer.body, records(&[5, 5]));
     }
 }
 
 #[test]
-fn partial_when_forwarded() {
+fn partial_when_handed() {
     let site = Site::start_cells(3, 1);
-    site.searchers["i-s2"].set(Manner::Shed, Duration::ZERO);
+    site.upstreams["i-s2"].set(Manner::Shed, Duration::ZERO);
     for (number, daemon) in site.daemons().enumerate() {
-        let answer = ask_at(daemon, "/all/x", &format!("p{number}"), 2000);
+        let answer = request_at(daemon, "/all/x", &format!("p{number}"), 2000);
         let said = String::from_utf8_lossy(&answer.body);
         assert_eq!((answer.status, answer.header("missing-parts")), (200, "1"), "daemon {number}: {said}");
         assert_eq!(answer.body, records(&[9, 7, 3, 1]));
@@ -69,12 +69,12 @@
 #[test]
 fn unsafe_forwarded_once() {
     let site = Site::start_cells(3, 1);
-    for searcher in site.searchers.values() {
-        searcher.set(Manner::Good, Duration::from_millis(600));
+    for upstream in site.upstreams.values() {
+        upstream.set(Manner::Good, Duration::from_millis(600));
     }
     for (number, daemon) in site.daemons().enumerate() {
         let id = format!("u{number}");
-        assert_eq!(ask_at(daemon, "/one/once/x", &id, 900).status, 200);
+        assert_eq!(request_at(daemon, "/one/once/x", &id, 900).status, 200);
         assert_eq!(site.runs(&id), 1);
     }
 }
@@ -87,15 +87,15 @@
     for id in ["i-one2", "i-one3"] {
         site.add("one", id, &[5, 5]);
     }
-    for searcher in site.searchers.values() {
-        searcher.set(Manner::Good, Duration::from_secs(3));
+    for upstream in site.upstreams.values() {
+        upstream.set(Manner::Good, Duration::from_secs(3));
     }
     for (number, daemon) in site.daemons().enumerate() {
         let id = format!("a{number}");
-        assert_eq!(ask_at(daemon, "/one/x", &id, 900).status, 504);
+        assert_eq!(request_at(daemon, "/one/x", &id, 900).status, 504);
         assert!(site.runs(&id) <= 2, "{} runs", site.runs(&id));
         let id = format!("b{number}");
-        assert_eq!(ask_at(daemon, "/all/x", &id, 900).status, 504);
+        assert_eq!(request_at(daemon, "/all/x", &id, 900).status, 504);
         assert_eq!(site.runs(&id), 3, "the request runs once at the only upstream of each shard");
     }
 }
@@ -104,18 +104,18 @@
 fn caller_gone_stops_member() {
     // A forwarded request is cancelled at the member too when its caller disconnects.
     let site = Site::start_cells(3, 1);
-    for searcher in site.searchers.values() {
-        searcher.set(Manner::Good, Duration::from_millis(800));
+    for upstream in site.upstreams.values() {
+        upstream.set(Manner::Good, Duration::from_millis(800));
     }
     for (number, daemon) in site.daemons().enumerate() {
         let id = format!("gone-{number}");
         let stream = begin(daemon, "/all/x", &id);
-        await_true("it runs", || site.runs(&id) > 0);
+        await_true("the request runs", || site.runs(&id) > 0);
         drop(stream);
     }
     std::thread::sleep(Duration::from_millis(1500));
     let finished = |run: &String| run.starts_with("gone-");
-    let any = site.searchers.values().any(|searcher| searcher.finished().iter().any(finished));
+    let any = site.upstreams.values().any(|upstream| upstream.finished().iter().any(finished));
     assert!(!any, "no upstream continues for callers that disconnected, whichever daemon they used");
 }
 
--- a/crates/harefield/tests/processes/site_drill.rs
+++ b/crates/harefield/tests/processes/site_drill.rs
@@ -20,10 +20,10 @@
 use standin::Away;
 
 use crate::site_support::Site;
-use crate::site_support::ask_at;
+use crate::site_support::request_at;
 use crate::site_versions::IN_FORCE;
-use crate::site_versions::READING;
-use crate::site_versions::confirm;
+use crate::site_versions::STORE_SETTINGS;
+use crate::site_versions::confirm_version;
 use crate::site_versions::expect_in_force;
 use crate::site_versions::expect_kept;
 use crate::site_versions::is_in_force;
@@ -31,16 +31,16 @@
 use crate::support::await_true;
 
 /// How long the store is unavailable.
-const AWAY: Duration = Duration::from_secs(1);
+const OUTAGE: Duration = Duration::from_secs(1);
 
 /// The minimum time for which an upstream that is missing from the copy stays in use: three
 /// heartbeats of 1.2 s each.
-const HEARTBEATS: Duration = Duration::from_millis(3600);
+const MIN_RETENTION: Duration = Duration::from_millis(3600);
 
 /// Publishes versions one after the other, and waits until each is in force on all daemons.
 fn publish(site: &Site, versions: impl IntoIterator<Item = u64>) {
     for version in versions {
-        let confirmed = confirm(site, version);
+        let confirmed = confirm_version(site, version);
         expect_in_force(site.daemons(), version, confirmed);
     }
 }
@@ -48,7 +48,7 @@
 /// Starts daemons and publishes the versions 2 to 5; returns a copy of the store that lacks the
 /// last three.
 fn start(count: usize) -> (Site, u64) {
-    let site = Site::start_reading(count, READING);
+    let site = Site::start_reading(count, STORE_SETTINGS);
     publish(&site, [2]);
     let copy = site.store.copy();
     publish(&site, 3..=5);
@@ -60,7 +60,7 @@
     for count in [1, 3] {
         for away in [Away::Silent, Away::Down] {
             let (site, copy) = start(count);
-            site.store.drill(copy, away, AWAY);
+            site.store.drill(copy, away, OUTAGE);
             publish(&site, 6..=10);
         }
     }
@@ -69,7 +69,7 @@
 #[test]
 fn written_again_after_copy() {
     let (site, copy) = start(3);
-    site.store.drill(copy, Away::Silent, AWAY);
+    site.store.drill(copy, Away::Silent, OUTAGE);
     expect_kept(&site, 5, Duration::from_millis(500));
     site.store.write_again();
     expect_kept(&site, 5, Duration::from_millis(500));
@@ -79,18 +79,18 @@
 #[test]
 fn copies_in_a_row() {
     let (site, copy) = start(3);
-    site.store.drill(copy, Away::Silent, AWAY);
-    confirm(&site, 6);
-    confirm(&site, 7);
+    site.store.drill(copy, Away::Silent, OUTAGE);
+    confirm_version(&site, 6);
+    confirm_version(&site, 7);
     // The second copy is older than the first one.
-    site.store.drill(copy - 1, Away::Down, AWAY);
+    site.store.drill(copy - 1, Away::Down, OUTAGE);
     publish(&site, 8..=10);
 }
 
 #[test]
 fn copy_beside_forgotten_history() {
     let (site, copy) = start(3);
-    site.store.drill(copy, Away::Silent, AWAY);
+    site.store.drill(copy, Away::Silent, OUTAGE);
     site.store.forget();
     publish(&site, 6..=7);
     site.store.forget();
@@ -102,7 +102,7 @@
     // Pages from two eras do not make up a listing of either one.
     let (mut site, copy) = start(1);
     site.store.restore_after_page(copy);
-    site.add_daemon(READING);
+    site.add_daemon(STORE_SETTINGS);
     await_true("the new daemon serves", || site.daemons().all(|daemon| is_in_force(daemon, 5)));
     publish(&site, 6..=7);
 }
@@ -111,10 +111,10 @@
 fn starts_beside_copy() {
     // A daemon that starts reads the store, which has version 2, and daemons with a newer one.
     let (mut site, copy) = start(2);
-    site.store.drill(copy, Away::Silent, AWAY);
-    site.add_daemon(READING);
+    site.store.drill(copy, Away::Silent, OUTAGE);
+    site.add_daemon(STORE_SETTINGS);
     let new = site.others.last().expect("the daemon was started");
-    await_true("the new daemon serves", || ask_at(new, "/one/x", "r0", 2000).status == 200);
+    await_true("the new daemon serves", || request_at(new, "/one/x", "r0", 2000).status == 200);
     assert!(is_in_force(new, 5), "the new daemon serves by an outdated version");
     expect_kept(&site, 5, Duration::from_secs(2));
     publish(&site, 6..=7);
@@ -126,10 +126,10 @@
     let frozen = &site.others[0];
     frozen.signal("STOP");
     for version in [6, 8] {
-        site.store.drill(copy, Away::Down, AWAY);
-        confirm(&site, version);
+        site.store.drill(copy, Away::Down, OUTAGE);
+        confirm_version(&site, version);
     }
-    let confirmed = confirm(&site, 9);
+    let confirmed = confirm_version(&site, 9);
     frozen.signal("CONT");
     expect_in_force(site.daemons(), 9, confirmed);
     publish(&site, 10..=11);
@@ -144,7 +144,7 @@
     std::thread::sleep(Duration::from_secs(2));
     site.store.restore(copy);
     for version in 6..=8 {
-        confirm(&site, version);
+        confirm_version(&site, version);
     }
     site.store.set_silent(false);
     expect_in_force(site.daemons(), 8, Instant::now());
@@ -157,7 +157,7 @@
     // listing from it. Each daemon may call the store once and have its watch rejected.
     let (site, copy) = start(3);
     let (pages, gone) = (site.store.pages(), site.store.gone());
-    site.store.drill(copy, Away::Silent, AWAY);
+    site.store.drill(copy, Away::Silent, OUTAGE);
     std::thread::sleep(IN_FORCE);
     let (pages, gone) = (site.store.pages() - pages, site.store.gone() - gone);
     assert!(pages <= 2, "{pages} pages were read");
@@ -168,24 +168,24 @@
 fn upstream_lacking_in_copy() {
     // An upstream that the copy lacks stays in use until it has had time to write its entry
     // again; if it does not, it is removed.
-    let site = Site::start_reading(3, READING);
+    let site = Site::start_reading(3, STORE_SETTINGS);
     let (key, entry) = {
-        let own = &site.searchers["i-one"];
+        let own = &site.upstreams["i-one"];
         (own.key(), own.entry("one", "ready"))
     };
     site.store.put(&key, None);
     let copy = site.store.copy();
     site.store.put(&key, Some(&entry));
-    let serves = |daemon: &Daemon| ask_at(daemon, "/one/x", "r0", 2000).status == 200;
+    let serves = |daemon: &Daemon| request_at(daemon, "/one/x", "r0", 2000).status == 200;
     await_true("the upstream is known", || site.daemons().all(serves));
-    site.store.drill(copy, Away::Silent, AWAY);
+    site.store.drill(copy, Away::Silent, OUTAGE);
     let back = Instant::now();
-    while back.elapsed() < HEARTBEATS {
+    while back.elapsed() < MIN_RETENTION {
         assert!(site.daemons().all(serves), "the upstream was removed {:?} after the return", back.elapsed());
         std::thread::sleep(Duration::from_millis(20));
     }
     await_true("the upstream is removed", || !site.daemons().any(serves));
-    assert!(back.elapsed() < 3 * HEARTBEATS, "the upstream was used for {:?}", back.elapsed());
+    assert!(back.elapsed() < 3 * MIN_RETENTION, "the upstream was used for {:?}", back.elapsed());
     site.store.put(&key, Some(&entry));
     await_true("the upstream is used again", || site.daemons().all(serves));
 }
@@ -194,27 +194,27 @@
 fn upstream_back_in_copy() {
     // An upstream that had left is not used until it writes its entry again, though the copy has
     // its entry.
-    let mut site = Site::start_reading(3, READING);
+    let mut site = Site::start_reading(3, STORE_SETTINGS);
     site.store.put("servers/i-one", None);
     site.add("one", "i-left", &[5, 5]);
-    let left = site.searchers["i-left"].clone();
-    let ask_all = |site: &Site| {
+    let left = site.upstreams["i-left"].clone();
+    let request_all = |site: &Site| {
         for daemon in site.daemons() {
-            ask_at(daemon, "/one/x", "r1", 2000);
+            request_at(daemon, "/one/x", "r1", 2000);
         }
     };
     await_true("the upstream is used", || {
-        ask_all(&site);
+        request_all(&site);
         !left.runs().is_empty()
     });
     let copy = site.store.copy();
     site.store.put(&left.key(), None);
     // New requests may still reach the upstream for a moment.
     std::thread::sleep(Duration::from_secs(1));
-    site.store.drill(copy, Away::Silent, AWAY);
+    site.store.drill(copy, Away::Silent, OUTAGE);
     let (back, runs) = (Instant::now(), left.runs().len());
     while back.elapsed() < Duration::from_secs(3) {
-        ask_all(&site);
+        request_all(&site);
         assert_eq!(
             left.runs().len(),
             runs,
@@ -224,7 +224,7 @@
     }
     site.store.put(&left.key(), Some(&left.entry("one", "ready")));
     await_true("the upstream is used again", || {
-        ask_all(&site);
+        request_all(&site);
         left.runs().len() > runs
     });
 }
@@ -234,7 +234,7 @@
     // No daemon is left that knows more than the copy. Later changes are in force in time.
     let (mut site, copy) = start(3);
     site.store.set_silent(true);
-    site.restart_all(READING);
+    site.restart_all(STORE_SETTINGS);
     site.store.restore(copy);
     site.store.set_silent(false);
     site.store.write_again();
--- a/crates/harefield/tests/processes/site_editions.rs
+++ b/crates/harefield/tests/processes/site_editions.rs
@@ -16,8 +16,8 @@
 use serde_json::json;
 
 use crate::site_support::Site;
-use crate::site_support::ask;
 use crate::site_support::routes;
+use crate::site_support::send_request;
 use crate::support::await_true;
 use harefield::domain::code::Code;
 use harefield::domain::hlc::Stamp;
@@ -33,7 +33,7 @@
 
 /// A fake daemon that answers gossip and forwarded requests with fixed replies.
 #[derive(Clone, Default)]
-struct Other {
+struct FakeDaemon {
     /// The minimum editions of the requests forwarded to it.
     editions: Arc<Mutex<Vec<u64>>>,
     gone: Arc<AtomicBool>,
@@ -41,7 +41,7 @@
 
 /// The reply to a forwarded request in its wire format.
 #[derive(Serialize)]
-enum Travelling {
+enum WireReply {
     Json(ByteBuf),
 }
 
@@ -49,10 +49,10 @@
     Stamp { micros: 0, count: 0 }
 }
 
-impl Other {
+impl FakeDaemon {
     fn start(&self) -> SocketAddr {
         let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a port is free");
-        let address = listener.local_addr().expect("it is bound");
+        let address = listener.local_addr().expect("the listener is bound");
         let this = self.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -86,8 +86,8 @@
         let message: Forward = rmp_serde::from_slice(body).expect("the body is a forwarded request");
         self.editions.lock().expect("nobody panicked").push(message.edition);
         let answer = Answer::empty(&message.request, Outcome::MayHaveRun, Code::ReplyLost);
-        let json = ByteBuf::from(serde_json::to_vec(&answer).expect("it is JSON"));
-        rmp_serde::to_vec(&(stamp(), NEWER, Travelling::Json(json)))
+        let json = ByteBuf::from(serde_json::to_vec(&answer).expect("the body is JSON"));
+        rmp_serde::to_vec(&(stamp(), NEWER, WireReply::Json(json)))
     }
 }
 
@@ -131,50 +131,50 @@
 }
 
 #[test]
-fn edition_never_older() {
-    let other = Other::default();
+fn seen_stays_seen() {
+    let other = FakeDaemon::default();
     let site = Site::start_beside(other.start(), 1);
     let editions = || other.editions.lock().expect("nobody panicked").clone();
     await_true("the other daemon is the member", || {
-        site.ask("/all/x", "e1");
+        site.request("/all/x", "e1");
         !editions().is_empty()
     });
     assert_eq!(editions()[0], 1, "the edition in force on the daemon");
-    site.ask("/all/x", "e2");
+    site.request("/all/x", "e2");
     assert_eq!(editions().last(), Some(&NEWER), "the edition that callers have seen through the daemon");
     other.gone.store(true, Ordering::SeqCst);
     // The daemon becomes the member itself, and refuses rather than answer under its own, older
     // edition.
     await_true("the daemon refuses the request", || {
-        let answer = site.ask("/all/x", "e3");
+        let answer = site.request("/all/x", "e3");
         String::from_utf8_lossy(&answer.body).contains(&Code::OlderView.to_string())
     });
     assert_eq!(site.runs("e3"), 0, "nothing ran under the older edition");
     site.publish(NEWER, &routes());
-    await_true("the daemon serves", || site.ask("/all/x", "e4").status == 200);
+    await_true("the daemon serves", || site.request("/all/x", "e4").status == 200);
 }
 
 #[test]
 fn keys_of_seen_edition() {
     // Keys are checked under no older edition than callers have seen through this daemon, even
     // if another daemon runs the request.
-    let other = Other::default();
+    let other = FakeDaemon::default();
     let site = Site::start_beside(other.start(), 1);
     let account = json!({ "name": "apex", "apiKeys": ["key-a"], "ratePerS": 0 });
     site.publish_for(2, &routes(), Some(&[account]));
     let editions = || other.editions.lock().expect("nobody panicked").clone();
     let key = "Attempt-Id: k1\r\nDeadline-Remaining: 2000\r\nAuthorization: Bearer key-a\r\n";
-    let ask_with_key = || ask(site.daemon.addresses.callers, "/all/x", key);
-    await_true("a key is required", || site.ask("/all/x", "k0").status == 401);
+    let request_with_key = || send_request(site.daemon.addresses.callers, "/all/x", key);
+    await_true("a key is required", || site.request("/all/x", "k0").status == 401);
     let before = editions().len();
     await_true("the other daemon runs it", || {
-        ask_with_key();
+        request_with_key();
         editions().len() > before
     });
     let seen = editions().len();
-    let answer = ask_with_key();
+    let answer = request_with_key();
     assert!(String::from_utf8_lossy(&answer.body).contains(&Code::OlderView.to_string()), "{answer:?}");
     assert_eq!(editions().len(), seen, "the request was not forwarded under the older edition");
     site.publish_for(NEWER, &routes(), Some(&[]));
-    await_true("the key is refused", || ask_with_key().status == 401);
+    await_true("the key is refused", || request_with_key().status == 401);
 }
--- a/crates/harefield/tests/processes/site_foreign.rs
+++ b/crates/harefield/tests/processes/site_foreign.rs
@@ -10,9 +10,9 @@
 use crate::support::await_true;
 
 /// Makes an upstream's entry invalid.
-type Spoil = fn(&mut Value);
+type Corruption = fn(&mut Value);
 
-const SPOILS: [(&str, Spoil); 13] = [
+const CORRUPTIONS: [(&str, Corruption); 13] = [
     ("no zone", |entry| drop(entry.as_object_mut().map(|fields| fields.remove("zone")))),
     ("no slots", |entry| drop(entry.as_object_mut().map(|fields| fields.remove("slots")))),
     ("no state", |entry| drop(entry.as_object_mut().map(|fields| fields.remove("state")))),
@@ -31,31 +31,31 @@
 #[test]
 fn entries_of_others() {
     let mut site = Site::start();
-    let foreign: Vec<(&str, SignedSearcher)> = SPOILS
+    let foreign: Vec<(&str, SignedSearcher)> = CORRUPTIONS
         .iter()
         .enumerate()
-        .map(|(number, (name, spoil))| {
-            let searcher = SignedSearcher::start(&format!("i-foreign-{number}"), &[5, 5]);
-            let mut entry = searcher.entry("one", "ready");
-            spoil(&mut entry);
-            site.store.put(&searcher.key(), Some(&entry));
-            (*name, searcher)
+        .map(|(number, (name, corrupt))| {
+            let upstream = SignedSearcher::start(&format!("i-foreign-{number}"), &[5, 5]);
+            let mut entry = upstream.entry("one", "ready");
+            corrupt(&mut entry);
+            site.store.put(&upstream.key(), Some(&entry));
+            (*name, upstream)
         })
         .collect();
     // A valid entry written after them shows that they were read.
     site.add("one", "i-later", &[5, 5]);
-    let later = |site: &Site| site.ask("/one/x", "r").header("server-seal").starts_with("i-later");
+    let later = |site: &Site| site.request("/one/x", "r").header("server-seal").starts_with("i-later");
     await_true("the upstream of the later entry is used", || later(&site));
     for number in 0..60 {
-        assert_eq!(site.ask("/one/x", &format!("q{number}")).status, 200);
-        assert_eq!(site.ask("/all/x", &format!("a{number}")).header("missing-parts"), "0");
+        assert_eq!(site.request("/one/x", &format!("q{number}")).status, 200);
+        assert_eq!(site.request("/all/x", &format!("a{number}")).header("missing-parts"), "0");
     }
-    for (name, searcher) in &foreign {
-        assert!(searcher.runs().is_empty(), "{name}: the upstream got requests");
+    for (name, upstream) in &foreign {
+        assert!(upstream.runs().is_empty(), "{name}: the upstream got requests");
     }
     let known: Vec<String> = known(&site).into_iter().filter(|name| name.contains("foreign")).collect();
     assert!(known.is_empty(), "{known:?} are treated as upstreams");
-    assert!(site.metric("harefield_entries_left_out 13"), "ignored entries are counted");
+    assert!(site.has_metric("harefield_entries_left_out 13"), "ignored entries are counted");
 }
 
 #[test]
@@ -66,11 +66,11 @@
     site.add("one", "i-other", &[5, 5]);
     let knows = |name: &str| known(&site).iter().any(|held| held == name);
     await_true("both upstreams are known", || knows("i-other") && knows("i-one"));
-    let searcher = &site.searchers["i-other"];
-    site.store.put(&searcher.key(), Some(&json!({ "service": "one", "note": "mine" })));
+    let upstream = &site.upstreams["i-other"];
+    site.store.put(&upstream.key(), Some(&json!({ "service": "one", "note": "mine" })));
     await_true("the overwritten upstream is removed", || !knows("i-other"));
     assert!(knows("i-one"), "the other upstream stays");
-    site.store.put(&searcher.key(), Some(&searcher.entry("one", "ready")));
+    site.store.put(&upstream.key(), Some(&upstream.entry("one", "ready")));
     await_true("the upstream is known again", || knows("i-other"));
 }
 
--- a/crates/harefield/tests/processes/site_outage.rs
+++ b/crates/harefield/tests/processes/site_outage.rs
@@ -15,15 +15,15 @@
 use std::time::Instant;
 
 use crate::site_support::Site;
-use crate::site_support::ask_at;
-use crate::site_versions::READING;
-use crate::site_versions::confirm;
+use crate::site_support::request_at;
+use crate::site_versions::STORE_SETTINGS;
+use crate::site_versions::confirm_version;
 use crate::site_versions::expect_in_force;
 use crate::support::Daemon;
 use crate::support::await_true;
 
 /// Stops the store's answers and waits until it has received a call that it does not answer.
-fn silence(site: &Site) {
+fn silence_store(site: &Site) {
     site.store.set_silent(true);
     await_true("the store has received a call without answering", || site.store.swallowed() > 0);
 }
@@ -31,11 +31,11 @@
 #[test]
 fn series_after_silence() {
     for count in [1, 3] {
-        let site = Site::start_reading(count, READING);
-        silence(&site);
+        let site = Site::start_reading(count, STORE_SETTINGS);
+        silence_store(&site);
         site.store.set_silent(false);
         for version in 2..6 {
-            let confirmed = confirm(&site, version);
+            let confirmed = confirm_version(&site, version);
             expect_in_force(site.daemons(), version, confirmed);
         }
     }
@@ -43,30 +43,30 @@
 
 #[test]
 fn restarted_in_silence() {
-    let mut site = Site::start_reading(3, READING);
+    let mut site = Site::start_reading(3, STORE_SETTINGS);
     site.store.set_silent(true);
     site.others.clear();
-    site.add_daemon(READING);
-    site.add_daemon(READING);
-    let serves = |daemon: &Daemon| ask_at(daemon, "/one/x", "r0", 2000).status == 200;
+    site.add_daemon(STORE_SETTINGS);
+    site.add_daemon(STORE_SETTINGS);
+    let serves = |daemon: &Daemon| request_at(daemon, "/one/x", "r0", 2000).status == 200;
     await_true("new daemons have the configuration of the remaining one", || site.daemons().all(serves));
-    silence(&site);
+    silence_store(&site);
     // Changes that waited for the store are confirmed together when it is back, then one more.
     site.store.set_silent(false);
     for version in 2..6 {
-        confirm(&site, version);
+        confirm_version(&site, version);
     }
     std::thread::sleep(Duration::from_millis(300));
-    let confirmed = confirm(&site, 6);
+    let confirmed = confirm_version(&site, 6);
     expect_in_force(site.daemons(), 6, confirmed);
 }
 
 #[test]
 fn joins_among_changes() {
-    let mut site = Site::start_reading(2, READING);
+    let mut site = Site::start_reading(2, STORE_SETTINGS);
     for version in 2..5 {
-        let confirmed = confirm(&site, version);
-        site.add_daemon(READING);
+        let confirmed = confirm_version(&site, version);
+        site.add_daemon(STORE_SETTINGS);
         expect_in_force(site.daemons(), version, confirmed);
     }
 }
@@ -74,11 +74,11 @@
 #[test]
 fn frozen_reader() {
     // Whichever daemon reads the store for the others, pausing it does not delay them.
-    let site = Site::start_reading(3, READING);
+    let site = Site::start_reading(3, STORE_SETTINGS);
     for (version, frozen) in (2..).zip(0..3) {
         let daemons: Vec<&Daemon> = site.daemons().collect();
         daemons[frozen].signal("STOP");
-        let confirmed = confirm(&site, version);
+        let confirmed = confirm_version(&site, version);
         let others = daemons.iter().enumerate().filter(|(number, _)| *number != frozen);
         expect_in_force(others.map(|(_, daemon)| *daemon), version, confirmed);
         daemons[frozen].signal("CONT");
@@ -89,11 +89,11 @@
 #[test]
 fn stopping_reader() {
     // A daemon that is stopped as planned passes the reading of the store on to another one.
-    let mut site = Site::start_reading(3, READING);
+    let mut site = Site::start_reading(3, STORE_SETTINGS);
     for version in 2..4 {
         let leaving = site.others.pop().expect("another daemon is left");
         leaving.signal("TERM");
-        let confirmed = confirm(&site, version);
+        let confirmed = confirm_version(&site, version);
         expect_in_force(site.daemons(), version, confirmed);
         drop(leaving);
     }
@@ -104,9 +104,9 @@
     // Only an answer of the store counts as its return.
     let site = Site::start_reading(1, "watch-ms = 500\nreaders = 1\n");
     site.store.set_silent(true);
-    await_true("the outage is noticed", || site.metric("harefield_events_total{kind=\"platform-lost\"}"));
+    await_true("the outage is noticed", || site.has_metric("harefield_events_total{kind=\"platform-lost\"}"));
     std::thread::sleep(Duration::from_secs(2));
-    assert!(!site.metric("harefield_events_total{kind=\"platform-regained\"}"));
+    assert!(!site.has_metric("harefield_events_total{kind=\"platform-regained\"}"));
     site.store.set_silent(false);
-    await_true("the store is back", || site.metric("harefield_events_total{kind=\"platform-regained\"}"));
+    await_true("the store is back", || site.has_metric("harefield_events_total{kind=\"platform-regained\"}"));
 }
--- a/crates/harefield/tests/processes/site_regions.rs
+++ b/crates/harefield/tests/processes/site_regions.rs
@@ -10,16 +10,16 @@
 use standin::entry_at;
 
 use crate::site_support::Answer;
-use crate::site_support::ask;
-use crate::site_support::ask_at;
 use crate::site_support::limits;
+use crate::site_support::request_at;
+use crate::site_support::send_request;
 use crate::support::Daemon;
 use crate::support::await_true;
 
 const REGIONS: &str = "[host.regions]\nn1 = \"north\"\nn2 = \"north\"\ns1 = \"south\"\n";
 
 /// A store, upstreams and daemons in several regions.
-pub struct Regions {
+pub struct RegionalSite {
     pub store: SiteStore,
     pub daemons: Vec<Daemon>,
     upstreams: BTreeMap<String, SignedSearcher>,
@@ -28,7 +28,7 @@
     pub cold_per_s: f64,
 }
 
-impl Regions {
+impl RegionalSite {
     /// Starts a daemon in each of `zones`, the first one being the seed of the others, and the
     /// shards `s1` to `s3` and the service `one` with one upstream each in `n1` and in `s1`.
     pub fn start(zones: &[&str], cell: usize) -> Self {
@@ -37,7 +37,7 @@
             regions.add_daemon(zone, cell);
         }
         let known = |daemon: &Daemon| daemon.status().peers.len() == zones.len();
-        await_true("they know each other", || regions.daemons.iter().all(known));
+        await_true("all daemons know each other", || regions.daemons.iter().all(known));
         regions.await_all("/one/", 200);
         regions
     }
@@ -94,7 +94,7 @@
     }
 
     /// Rewrites the entries of a zone's upstreams, which are now cold for `millis`.
-    pub fn chill(&self, zone: &str, millis: u64) {
+    pub fn set_cold(&self, zone: &str, millis: u64) {
         for (name, upstream) in self.upstreams.iter().filter(|(name, _)| self.zones[*name] == zone) {
             let service = name.split('-').next().expect("the id starts with a service");
             let mut entry = entry_at(upstream.address(), zone, service, "ready");
@@ -110,8 +110,8 @@
     }
 
     /// Sends a request to the daemon with an index.
-    pub fn ask(&self, daemon: usize, path: &str, id: &str) -> Answer {
-        ask_at(&self.daemons[daemon], path, id, 2000)
+    pub fn request(&self, daemon: usize, path: &str, id: &str) -> Answer {
+        request_at(&self.daemons[daemon], path, id, 2000)
     }
 
     /// Waits until all daemons answer a path with a status.
@@ -119,7 +119,7 @@
         let path = format!("{path}probe");
         let says = |daemon: &Daemon| {
             let head = "Attempt-Id: probe\r\nDeadline-Remaining: 2000\r\n";
-            ask(daemon.addresses.callers, &path, head).status == status
+            send_request(daemon.addresses.callers, &path, head).status == status
         };
         await_true("all daemons answer with the status", || self.daemons.iter().all(says));
     }
@@ -130,7 +130,7 @@
         await_true("requests go to these zones only", || {
             number += 1;
             let id = format!("only-{daemon}-{number}");
-            self.ask(daemon, path, &id);
+            self.request(daemon, path, &id);
             self.zones_of(&id).iter().all(|zone| zones.contains(&zone.as_str()))
         });
     }
--- a/crates/harefield/tests/processes/site_store.rs
+++ b/crates/harefield/tests/processes/site_store.rs
@@ -5,21 +5,21 @@
 use serde_json::json;
 
 use crate::site_support::Site;
-use crate::site_support::ask;
-use crate::site_support::ask_at;
+use crate::site_support::request_at;
 use crate::site_support::routes;
+use crate::site_support::send_request;
 use crate::support::Daemon;
 use crate::support::await_true;
 
 #[test]
 fn unknown_told_apart() {
-    let site = Site::bare();
-    assert_eq!(site.ask("/all/x", "r1").status, 503, "the daemon has no configuration yet");
+    let site = Site::unconfigured();
+    assert_eq!(site.request("/all/x", "r1").status, 503, "the daemon has no configuration yet");
     assert!(!site.is_ready());
     drop(site);
     let site = Site::start();
-    assert_eq!(site.ask("/none/x", "r1").status, 404);
-    let nameless = ask(site.daemon.addresses.callers, "/all/x", "");
+    assert_eq!(site.request("/none/x", "r1").status, 404);
+    let nameless = send_request(site.daemon.addresses.callers, "/all/x", "");
     assert_eq!(nameless.status, 400, "a request without an id");
 }
 
@@ -29,7 +29,7 @@
     let mut site = Site::start();
     let before = site.store.pages();
     site.join(6, "");
-    let serves = |daemon: &Daemon| ask_at(daemon, "/all/x", "r0", 2000).status == 200;
+    let serves = |daemon: &Daemon| request_at(daemon, "/all/x", "r0", 2000).status == 200;
     await_true("all have the configuration", || site.daemons().all(serves));
     assert_eq!(site.store.pages(), before, "no new daemon read the store");
 }
@@ -39,7 +39,7 @@
     // A seed that is down does not delay the start for long.
     let gone = std::net::TcpListener::bind("127.0.0.1:0").and_then(|held| held.local_addr());
     let site = Site::start_beside(gone.expect("a port is free"), 2);
-    await_true("the daemon has the configuration", || site.ask("/all/x", "r1").status == 200);
+    await_true("the daemon has the configuration", || site.request("/all/x", "r1").status == 200);
     assert!(site.store.pages() > 0);
 }
 
@@ -54,29 +54,29 @@
     }));
     site.publish(2, &more);
     await_true("the new route is in force", || {
-        site.ask("/all/deep/x", "r1").header("server-seal") == "i-s9.r1"
+        site.request("/all/deep/x", "r1").header("server-seal") == "i-s9.r1"
     });
     site.publish(3, &routes()[1..]);
-    await_true("a dropped route is gone", || site.ask("/all/x", "r2").status == 404);
+    await_true("a dropped route is gone", || site.request("/all/x", "r2").status == 404);
 }
 
 #[test]
-fn draining_gets_nothing() {
+fn draining_left_alone() {
     let mut site = Site::start();
     site.add("one", "i-two", &[5]);
-    let leaving = site.searchers["i-one"].clone();
+    let leaving = site.upstreams["i-one"].clone();
     site.store.put(&leaving.key(), Some(&leaving.entry("one", "draining")));
     await_true("only the other upstream serves", || {
         let before = leaving.runs().len();
-        (0..10).all(|_| site.ask("/one/x", "r1").status == 200) && leaving.runs().len() == before
+        (0..10).all(|_| site.request("/one/x", "r1").status == 200) && leaving.runs().len() == before
     });
     let before = leaving.runs().len();
     for _ in 0..20 {
-        assert_eq!(site.ask("/one/x", "r2").status, 200);
+        assert_eq!(site.request("/one/x", "r2").status, 200);
     }
     assert_eq!(leaving.runs().len(), before);
     site.store.put("servers/i-two", None);
-    await_true("no upstream is left", || site.ask("/one/x", "r3").status == 503);
+    await_true("no upstream is left", || site.request("/one/x", "r3").status == 503);
 }
 
 #[test]
@@ -84,13 +84,13 @@
     let site = Site::start();
     site.store.set_down(true);
     for _ in 0..20 {
-        assert_eq!(site.ask("/all/x", "r1").status, 200);
+        assert_eq!(site.request("/all/x", "r1").status, 200);
         std::thread::sleep(Duration::from_millis(20));
     }
     assert!(site.is_ready());
     site.store.set_down(false);
     site.publish(2, &routes()[1..]);
-    await_true("changes of the store arrive again", || site.ask("/all/x", "r2").status == 404);
+    await_true("changes of the store arrive again", || site.request("/all/x", "r2").status == 404);
 }
 
 #[test]
@@ -99,25 +99,25 @@
     // after its return, and stay in use until then.
     let site = Site::start();
     site.store.set_down(true);
-    await_true("the outage is noticed", || site.metric("harefield_events_total{kind=\"platform-lost\"}"));
+    await_true("the outage is noticed", || site.has_metric("harefield_events_total{kind=\"platform-lost\"}"));
     for id in ["i-s1", "i-s2", "i-s3", "i-one"] {
-        site.store.put(&site.searchers[id].key(), None);
+        site.store.put(&site.upstreams[id].key(), None);
     }
     site.store.set_down(false);
-    await_true("the store is back", || site.metric("harefield_events_total{kind=\"platform-regained\"}"));
+    await_true("the store is back", || site.has_metric("harefield_events_total{kind=\"platform-regained\"}"));
     for number in 0..20 {
-        assert_eq!(site.ask("/all/x", &format!("r{number}")).header("missing-parts"), "0", "{number}");
+        assert_eq!(site.request("/all/x", &format!("r{number}")).header("missing-parts"), "0", "{number}");
         std::thread::sleep(Duration::from_millis(40));
     }
     for id in ["i-s1", "i-s2", "i-s3"] {
-        let searcher = &site.searchers[id];
+        let upstream = &site.upstreams[id];
         let service = id.trim_start_matches("i-");
-        site.store.put(&searcher.key(), Some(&searcher.entry(service, "ready")));
+        site.store.put(&upstream.key(), Some(&upstream.entry(service, "ready")));
     }
     await_true("an upstream that did not write again is removed", || {
-        site.ask("/one/x", "late").status == 503
+        site.request("/one/x", "late").status == 503
     });
-    assert_eq!(site.ask("/all/x", "last").header("missing-parts"), "0");
+    assert_eq!(site.request("/all/x", "last").header("missing-parts"), "0");
 }
 
 #[test]
@@ -125,11 +125,11 @@
     let mut site = Site::start();
     site.add("one", "i-two", &[5]);
     site.store.put("servers/i-one", None);
-    let gone = site.searchers["i-one"].clone();
+    let gone = site.upstreams["i-one"].clone();
     std::thread::sleep(Duration::from_secs(1));
     let before = gone.runs().len();
     for _ in 0..20 {
-        assert_eq!(site.ask("/one/x", "r1").status, 200);
+        assert_eq!(site.request("/one/x", "r1").status, 200);
     }
     assert_eq!(
         gone.runs().len(),
@@ -144,14 +144,16 @@
     // noticed, even if the first one vanished alone.
     let site = Site::start();
     for id in ["i-s1", "i-s2", "i-s3"] {
-        site.store.put(&site.searchers[id].key(), None);
+        site.store.put(&site.upstreams[id].key(), None);
         std::thread::sleep(Duration::from_millis(100));
     }
     std::thread::sleep(Duration::from_millis(300));
     for number in 0..10 {
-        assert_eq!(site.ask("/all/x", &format!("r{number}")).header("missing-parts"), "0", "{number}");
+        assert_eq!(site.request("/all/x", &format!("r{number}")).header("missing-parts"), "0", "{number}");
     }
-    await_true("upstreams that do not write again are removed", || site.ask("/all/x", "late").status == 503);
+    await_true("upstreams that do not write again are removed", || {
+        site.request("/all/x", "late").status == 503
+    });
 }
 
 #[test]
@@ -160,7 +162,7 @@
     await_true("the configuration is proven current", || age(&site).is_some_and(|age| age < 3.0));
     site.store.set_down(true);
     await_true("the configuration is no longer proven current", || {
-        site.metric("harefield_events_total{kind=\"config-behind\"} 1")
+        site.has_metric("harefield_events_total{kind=\"config-behind\"} 1")
     });
     assert!(age(&site) > Some(3.0));
 }
@@ -168,7 +170,7 @@
 /// Returns the age of the daemon's configuration in seconds: the longest time for which it may
 /// lack a confirmed change. None if it has no finite age.
 fn age(site: &Site) -> Option<f64> {
-    let answer = ask(site.daemon.addresses.operators, "/metrics", "");
+    let answer = send_request(site.daemon.addresses.operators, "/metrics", "");
     let text = String::from_utf8_lossy(&answer.body).into_owned();
     let line = text.lines().find_map(|line| line.strip_prefix("harefield_config_age_seconds "));
     line.and_then(|number| number.parse().ok()).filter(|age: &f64| age.is_finite())
--- a/crates/harefield/tests/processes/site_support.rs
+++ b/crates/harefield/tests/processes/site_support.rs
@@ -14,7 +14,7 @@
 use standin::SiteStore;
 
 use crate::support::Daemon;
-use crate::support::PATIENCE;
+use crate::support::TIMEOUT;
 use crate::support::await_true;
 
 /// An HTTP response as received, with header names in lower case.
@@ -37,7 +37,7 @@
 /// A store, upstreams by id, and daemons, the first of which gets the requests.
 pub struct Site {
     pub store: SiteStore,
-    pub searchers: BTreeMap<String, SignedSearcher>,
+    pub upstreams: BTreeMap<String, SignedSearcher>,
     pub daemon: Daemon,
     /// All daemons but the first.
     pub others: Vec<Daemon>,
@@ -45,35 +45,35 @@
 
 impl Site {
     /// Starts a daemon beside an empty store, without a configuration.
-    pub fn bare() -> Self {
-        Self::bare_with("", "")
+    pub fn unconfigured() -> Self {
+        Self::unconfigured_with("", "")
     }
 
-    fn bare_with(platform: &str, routing: &str) -> Self {
+    fn unconfigured_with(platform: &str, routing: &str) -> Self {
         let store = SiteStore::start();
         let daemon = Daemon::start(&settings(&store, platform, "", routing));
-        Self { daemon, store, searchers: BTreeMap::new(), others: Vec::new() }
+        Self { daemon, store, upstreams: BTreeMap::new(), others: Vec::new() }
     }
 
     /// Starts a daemon that closes a connection whose peer reads nothing for `stall`.
     pub fn start_stalling(stall: Duration) -> Self {
         let store = SiteStore::start();
         let daemon = Daemon::start(&settings_of(&store, "", "", "", stall));
-        let mut site = Self { daemon, store, searchers: BTreeMap::new(), others: Vec::new() };
+        let mut site = Self { daemon, store, upstreams: BTreeMap::new(), others: Vec::new() };
         site.fill();
-        let serves = || ask_at(&site.daemon, "/all/x", "r0", 2000).status == 200;
+        let serves = || request_at(&site.daemon, "/all/x", "r0", 2000).status == 200;
         await_true("the daemon has the configuration", serves);
         site
     }
 
     /// Starts `count` daemons with further settings of the section `platform`.
     pub fn start_reading(count: usize, platform: &str) -> Self {
-        let mut site = Self::bare_with(platform, "");
+        let mut site = Self::unconfigured_with(platform, "");
         for _ in 1..count {
             site.add_daemon(platform);
         }
         site.add_all();
-        let serves = |daemon: &Daemon| ask_at(daemon, "/all/x", "r0", 2000).status == 200;
+        let serves = |daemon: &Daemon| request_at(daemon, "/all/x", "r0", 2000).status == 200;
         await_true("all have the configuration", || site.daemons().all(serves));
         site
     }
@@ -108,12 +108,12 @@
     /// Starts `count` daemons that know each other, with further settings of the section
     /// `routing` or further sections.
     pub fn start_with(count: usize, section: &str) -> Self {
-        let mut site = Self::bare_with("", section);
+        let mut site = Self::unconfigured_with("", section);
         site.join(count - 1, section);
         site.fill();
         let known = |daemon: &Daemon| daemon.status().peers.len() == count;
-        await_true("they know each other", || site.daemons().all(known));
-        let serves = |daemon: &Daemon| ask_at(daemon, "/all/x", "r0", 2000).status == 200;
+        await_true("all daemons know each other", || site.daemons().all(known));
+        let serves = |daemon: &Daemon| request_at(daemon, "/all/x", "r0", 2000).status == 200;
         await_true("all have the configuration", || site.daemons().all(serves));
         site
     }
@@ -128,7 +128,7 @@
 
     /// Starts a daemon with the shards `s1` to `s3` and the service `one`, one upstream each.
     pub fn start() -> Self {
-        let mut site = Self::bare();
+        let mut site = Self::unconfigured();
         site.fill();
         site
     }
@@ -143,7 +143,7 @@
         let store = SiteStore::start();
         let seed = format!("seeds = [\"{other}\"]\n");
         let daemon = Daemon::start(&settings(&store, "", &seed, &format!("cell-size = {members}\n")));
-        let mut site = Self { daemon, store, searchers: BTreeMap::new(), others: Vec::new() };
+        let mut site = Self { daemon, store, upstreams: BTreeMap::new(), others: Vec::new() };
         site.add_all();
         site
     }
@@ -167,9 +167,9 @@
     }
 
     pub fn add(&mut self, service: &str, id: &str, records: &[u8]) {
-        let searcher = SignedSearcher::start(id, records);
-        self.store.put(&searcher.key(), Some(&searcher.entry(service, "ready")));
-        self.searchers.insert(id.to_owned(), searcher);
+        let upstream = SignedSearcher::start(id, records);
+        self.store.put(&upstream.key(), Some(&upstream.entry(service, "ready")));
+        self.upstreams.insert(id.to_owned(), upstream);
     }
 
     pub fn publish(&self, version: u64, routes: &[Value]) {
@@ -190,27 +190,27 @@
         self.store.put("op/config", Some(&config));
     }
 
-    pub fn ask(&self, path: &str, id: &str) -> Answer {
-        ask_at(&self.daemon, path, id, 2000)
+    pub fn request(&self, path: &str, id: &str) -> Answer {
+        request_at(&self.daemon, path, id, 2000)
     }
 
     pub fn is_ready(&self) -> bool {
-        ask(self.daemon.addresses.operators, "/ready", "").status == 200
+        send_request(self.daemon.addresses.operators, "/ready", "").status == 200
     }
 
     pub fn await_ready(&self) {
         await_true("the daemon is ready and serves", || {
-            self.is_ready() && self.ask("/all/x", "r0").status == 200
+            self.is_ready() && self.request("/all/x", "r0").status == 200
         });
     }
 
-    pub fn metric(&self, name: &str) -> bool {
-        let answer = ask(self.daemon.addresses.operators, "/metrics", "");
+    pub fn has_metric(&self, name: &str) -> bool {
+        let answer = send_request(self.daemon.addresses.operators, "/metrics", "");
         String::from_utf8_lossy(&answer.body).contains(name)
     }
 
     pub fn runs(&self, id: &str) -> usize {
-        self.searchers.values().map(|s| s.runs().iter().filter(|run| *run == id).count()).sum()
+        self.upstreams.values().map(|s| s.runs().iter().filter(|run| *run == id).count()).sum()
     }
 }
 
@@ -253,15 +253,19 @@
 }
 
 /// Sends a request to a daemon with `millis` left until its deadline.
-pub fn ask_at(daemon: &Daemon, path: &str, id: &str, millis: u64) -> Answer {
-    ask(daemon.addresses.callers, path, &format!("Attempt-Id: {id}\r\nDeadline-Remaining: {millis}\r\n"))
+pub fn request_at(daemon: &Daemon, path: &str, id: &str, millis: u64) -> Answer {
+    send_request(
+        daemon.addresses.callers,
+        path,
+        &format!("Attempt-Id: {id}\r\nDeadline-Remaining: {millis}\r\n"),
+    )
 }
 
-pub fn ask(to: SocketAddr, path: &str, headers: &str) -> Answer {
-    let mut stream = TcpStream::connect(to).expect("it listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a timeout can be set");
+pub fn send_request(to: SocketAddr, path: &str, headers: &str) -> Answer {
+    let mut stream = TcpStream::connect(to).expect("the listener accepts connections");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout can be set");
     let head = format!("GET {path} HTTP/1.1\r\nHost: x.example\r\n{headers}Connection: close\r\n\r\n");
-    stream.write_all(head.as_bytes()).expect("it is sent");
+    stream.write_all(head.as_bytes()).expect("the bytes are sent");
     read_answer(stream)
 }
 
@@ -272,22 +276,22 @@
 
 /// Sends a request with some headers, and does not wait for its answer.
 pub fn begin_with(daemon: &Daemon, path: &str, headers: &str) -> TcpStream {
-    let mut stream = TcpStream::connect(daemon.addresses.callers).expect("it listens");
+    let mut stream = TcpStream::connect(daemon.addresses.callers).expect("the listener accepts connections");
     let head = format!("GET {path} HTTP/1.1\r\nHost: x.example\r\n{headers}\r\n");
-    stream.write_all(head.as_bytes()).expect("it is sent");
+    stream.write_all(head.as_bytes()).expect("the bytes are sent");
     stream
 }
 
 pub fn read_answer(mut stream: TcpStream) -> Answer {
     let mut bytes = Vec::new();
-    stream.read_to_end(&mut bytes).expect("it is answered");
-    let end = bytes.windows(4).position(|four| four == b"\r\n\r\n").expect("it has a head");
+    stream.read_to_end(&mut bytes).expect("a response arrives");
+    let end = bytes.windows(4).position(|four| four == b"\r\n\r\n").expect("the response has a head");
     let head = String::from_utf8_lossy(&bytes[..end]).into_owned();
     let mut lines = head.split("\r\n");
     let status = lines.next().and_then(|line| line.split(' ').nth(1)).and_then(|text| text.parse().ok());
     let headers = lines.filter_map(|line| line.split_once(": "));
     Answer {
-        status: status.expect("it has a status"),
+        status: status.expect("the response has a status"),
         headers: headers.map(|(name, value)| (name.to_ascii_lowercase(), value.to_owned())).collect(),
         body: bytes[end + 4..].to_vec(),
     }
@@ -299,8 +303,9 @@
 
 /// Sends the bytes of a request and keeps the connection open.
 pub fn send(site: &Site, bytes: &[u8]) -> Answer {
-    let mut stream = TcpStream::connect(site.daemon.addresses.callers).expect("it listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a timeout can be set");
-    stream.write_all(bytes).expect("it is sent");
+    let mut stream =
+        TcpStream::connect(site.daemon.addresses.callers).expect("the listener accepts connections");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout can be set");
+    stream.write_all(bytes).expect("the bytes are sent");
     read_answer(stream)
 }
--- a/crates/harefield/tests/processes/site_versions.rs
+++ b/crates/harefield/tests/processes/site_versions.rs
@@ -8,12 +8,12 @@
 use serde_json::json;
 
 use crate::site_support::Site;
-use crate::site_support::ask_at;
+use crate::site_support::request_at;
 use crate::site_support::routes;
 use crate::support::Daemon;
 
 /// Settings of the users' daemons for the store: one daemon of a zone reads it.
-pub const READING: &str = "watch-ms = 4000\nreaders = 1\n";
+pub const STORE_SETTINGS: &str = "watch-ms = 4000\nreaders = 1\n";
 
 /// The time limit for a confirmed change to be in force: 3 s, and 500 ms more for a busy machine.
 pub const IN_FORCE: Duration = Duration::from_millis(3000 + 500);
@@ -30,13 +30,13 @@
     routes().into_iter().chain((2..=version).map(own)).collect()
 }
 
-pub fn confirm(site: &Site, version: u64) -> Instant {
+pub fn confirm_version(site: &Site, version: u64) -> Instant {
     site.publish(version, &routes_of(version));
     Instant::now()
 }
 
 pub fn is_in_force(daemon: &Daemon, version: u64) -> bool {
-    ask_at(daemon, &format!("/v{version}/x"), "probe", 2000).status == 200
+    request_at(daemon, &format!("/v{version}/x"), "probe", 2000).status == 200
 }
 
 /// Checks that a version is in force on each daemon in time and stays so.
--- a/crates/harefield/tests/processes/slow_peers.rs
+++ b/crates/harefield/tests/processes/slow_peers.rs
@@ -17,17 +17,17 @@
 
 use crate::site_support::STALL;
 use crate::site_support::Site;
-use crate::site_support::ask_at;
 use crate::site_support::read_answer;
+use crate::site_support::request_at;
 use crate::site_support::routes;
-use crate::support::PATIENCE;
+use crate::support::TIMEOUT;
 use crate::support::await_true;
 
 /// The number of records in an answer of one megabyte.
 const RECORDS: usize = 65_536;
 
 /// The maximum number of waves of ten requests until one of them is refused for lack of memory.
-const MOST_WAVES: u32 = 300;
+const MAX_WAVES: u32 = 300;
 
 /// Starts a daemon and an upstream of the service `one` that answers with one megabyte.
 fn start() -> Site {
@@ -38,9 +38,9 @@
 fn start_stalling(stall: Duration) -> Site {
     let mut site = Site::start_stalling(stall);
     site.store.put("servers/i-one", None);
-    site.searchers.remove("i-one");
+    site.upstreams.remove("i-one");
     site.add("one", "i-large", &vec![7; RECORDS]);
-    let large = || site.ask("/one/x", "l0").body.len() == RECORDS * 16;
+    let large = || site.request("/one/x", "l0").body.len() == RECORDS * 16;
     await_true("large answers are returned", large);
     site
 }
@@ -50,13 +50,13 @@
     let socket = socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket can be opened");
     // With a larger buffer the kernel takes the whole answer and the daemon holds none of it.
     set_socket_recv_buffer_size(&socket, 4096).expect("the option can be set");
-    connect(&socket, &to).expect("it listens");
+    connect(&socket, &to).expect("the listener accepts connections");
     let mut stream = TcpStream::from(socket);
-    stream.set_read_timeout(Some(PATIENCE)).expect("a timeout can be set");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout can be set");
     let head = format!(
         "GET /one/x HTTP/1.1\r\nHost: x.example\r\nAttempt-Id: s{number}\r\nDeadline-Remaining: 2000\r\n\r\n"
     );
-    stream.write_all(head.as_bytes()).expect("it is sent");
+    stream.write_all(head.as_bytes()).expect("the bytes are sent");
     stream
 }
 
@@ -88,7 +88,7 @@
             break;
         }
         let asked = Instant::now();
-        let answer = ask_at(&site.daemon, "/all/x", &format!("o{number}"), 2000);
+        let answer = request_at(&site.daemon, "/all/x", &format!("o{number}"), 2000);
         assert_eq!(answer.status, 200, "{}", String::from_utf8_lossy(&answer.body));
         slowest = slowest.max(asked.elapsed());
         std::thread::sleep(Duration::from_millis(10));
@@ -97,7 +97,7 @@
 }
 
 /// Returns whether a connection ends before the whole answer has arrived.
-fn is_ended(stream: &mut TcpStream) -> bool {
+fn ends_early(stream: &mut TcpStream) -> bool {
     let mut bytes = Vec::new();
     let read = stream.read_to_end(&mut bytes);
     read.is_err() || bytes.len() < RECORDS * 16
@@ -119,7 +119,9 @@
     assert!(peak <= 100, "{peak} MB");
     // By then all large requests were ended or refused, and their memory is free again.
     drop(slow);
-    await_true("large answers are returned again", || site.ask("/one/x", "l1").body.len() == RECORDS * 16);
+    await_true("large answers are returned again", || {
+        site.request("/one/x", "l1").body.len() == RECORDS * 16
+    });
 }
 
 #[test]
@@ -127,10 +129,10 @@
     // A request that does not fit into memory is refused before it begins: it runs on no upstream
     // and the answer has a retry time. A busy machine may need many seconds to fill the memory
     // with answers, so the stall limit is long enough that no connection is closed before.
-    let site = start_stalling(MOST_WAVES * STALL);
+    let site = start_stalling(MAX_WAVES * STALL);
     let callers = site.daemon.addresses.callers;
     let mut slow = Vec::new();
-    for number in 0..MOST_WAVES as usize {
+    for number in 0..MAX_WAVES as usize {
         slow.extend(begin_wave(callers, number));
         if slow.iter().any(is_refused) {
             break;
@@ -159,9 +161,9 @@
     let site = start();
     let mut slow = begin_large(site.daemon.addresses.callers, 0);
     std::thread::sleep(STALL * 2);
-    assert!(is_ended(&mut slow));
+    assert!(ends_early(&mut slow));
     await_true("the closed connection is counted", || {
-        site.metric("harefield_connections_ended_total{kind=\"stalled\"} 1")
+        site.has_metric("harefield_connections_ended_total{kind=\"stalled\"} 1")
     });
 }
 
@@ -182,43 +184,45 @@
 #[test]
 fn slow_body_ended() {
     let site = start();
-    let mut stream = TcpStream::connect(site.daemon.addresses.callers).expect("it listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a timeout can be set");
+    let mut stream =
+        TcpStream::connect(site.daemon.addresses.callers).expect("the listener accepts connections");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout can be set");
     let head = "POST /one/x HTTP/1.1\r\nHost: x.example\r\nAttempt-Id: b1\r\nDeadline-Remaining: 2000\r\n\
                 Content-Length: 900\r\nConnection: close\r\n\r\n";
-    stream.write_all(head.as_bytes()).expect("it is sent");
+    stream.write_all(head.as_bytes()).expect("the bytes are sent");
     let start = Instant::now();
-    stream.write_all(b"slow").expect("it is sent");
+    stream.write_all(b"slow").expect("the bytes are sent");
     assert_eq!(read_answer(stream).status, 408);
     assert!(start.elapsed() < Duration::from_secs(3));
 }
 
 /// Returns a listener that accepts connections and never reads from them.
-fn deaf_upstream() -> TcpListener {
+fn stalled_upstream() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").expect("a port is free")
 }
 
 #[test]
-fn deaf_upstream_bounded() {
+fn stalled_upstream_bounded() {
     // Request bodies for an upstream that reads nothing are held only until their deadlines.
     let site = Site::start_with(1, "");
-    let deaf = deaf_upstream();
+    let deaf = stalled_upstream();
     let address = deaf.local_addr().expect("the listener has an address");
     site.store.put("servers/i-one", None);
     site.store.put("servers/i-deaf", Some(&entry_at(address, "hall", "one", "ready")));
     site.publish(2, &routes());
-    await_true("the stalled upstream is used", || site.ask("/one/x", "d0").status != 200);
+    await_true("the stalled upstream is used", || site.request("/one/x", "d0").status != 200);
     let slowest = std::thread::scope(|scope| {
         for number in 0..20 {
             let site = &site;
             scope.spawn(move || {
-                let mut stream = TcpStream::connect(site.daemon.addresses.callers).expect("it listens");
+                let mut stream = TcpStream::connect(site.daemon.addresses.callers)
+                    .expect("the listener accepts connections");
                 let head = format!(
                     "POST /one/x HTTP/1.1\r\nHost: x.example\r\nAttempt-Id: d{number}\r\n\
                      Deadline-Remaining: 2000\r\nContent-Length: 1000\r\nConnection: close\r\n\r\n{}",
                     "b".repeat(1000)
                 );
-                stream.write_all(head.as_bytes()).expect("it is sent");
+                stream.write_all(head.as_bytes()).expect("the bytes are sent");
                 assert!(read_answer(stream).status >= 500);
             });
         }
--- a/crates/harefield/tests/processes/support.rs
+++ b/crates/harefield/tests/processes/support.rs
@@ -27,7 +27,7 @@
 use harefield::telemetry::Status;
 
 /// Upper limit on every wait for an expected event; far longer than any of them takes.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The addresses that a daemon prints at startup.
 #[derive(Clone, Copy, Debug, Deserialize)]
@@ -60,7 +60,7 @@
             .spawn()
             .expect("the daemon starts");
         let out = child.stdout.take().expect("its output is piped");
-        let mut lines = BufReader::new(out).lines().map(|line| line.expect("it is text"));
+        let mut lines = BufReader::new(out).lines().map(|line| line.expect("the body is UTF-8"));
         // Log lines precede and follow the line with the addresses.
         let ready = lines.find_map(|line| serde_json::from_str(&line).ok());
         let addresses = ready.expect("the daemon prints its addresses");
@@ -73,13 +73,13 @@
     /// Sends a signal by its name without `SIG`, such as `STOP`.
     pub fn signal(&self, name: &str) {
         let command = format!("kill -{name} {}", self.child.id());
-        let status = Command::new("sh").args(["-c", &command]).status().expect("sh runs");
+        let status = Command::new("sh").args(["-c", &command]).status().expect("sh can be started");
         assert!(status.success(), "kill -{name}");
     }
 
     /// Waits for the process to exit and returns its exit code, or none if a signal ended it.
     pub fn wait(&mut self) -> Option<i32> {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TIMEOUT;
         while Instant::now() < until {
             if let Some(status) = self.child.try_wait().expect("the process is a child") {
                 return status.code();
@@ -100,7 +100,7 @@
 
     /// Returns the daemon's status from its operators' address.
     pub fn status(&self) -> Status {
-        let reply = Client::once(self.addresses.operators, "GET", "/v1/status", "", PATIENCE);
+        let reply = Client::once(self.addresses.operators, "GET", "/v1/status", "", TIMEOUT);
         let (_, body) = reply.expect("operators are answered");
         serde_json::from_slice(&body).expect("the body is a status")
     }
@@ -108,7 +108,7 @@
     /// Returns the events of the time line that match a query string.
     pub fn timeline(&self, query: &str) -> Vec<Record> {
         let path = format!("/v1/timeline?{query}");
-        let reply = Client::once(self.addresses.operators, "GET", &path, "", PATIENCE);
+        let reply = Client::once(self.addresses.operators, "GET", &path, "", TIMEOUT);
         let (_, body) = reply.expect("operators are answered");
         serde_json::from_slice(&body).expect("the body is a list of records")
     }
@@ -123,15 +123,15 @@
 
 /// A platform, upstreams and daemons.
 #[derive(Debug)]
-pub struct World {
+pub struct Cluster {
     pub platform: Platform,
-    pub searchers: Searchers,
+    pub upstreams: Searchers,
     pub layout: Layout,
     pub daemons: Vec<Daemon>,
     pub extra: String,
 }
 
-impl World {
+impl Cluster {
     /// Starts a small deployment with `count` daemons; `extra` is appended to their settings.
     pub fn start(count: usize, extra: &str) -> Self {
         Self::start_with(count, extra, 1)
@@ -142,24 +142,24 @@
         let free = SocketAddr::from(([127, 0, 0, 1], 0));
         let layout = Layout::new(Deployment::Small);
         let specs = layout.searchers.iter().map(|s| (s.name.clone(), free, s.behaviour.clone()));
-        let searchers = Searchers::start(specs.collect());
+        let upstreams = Searchers::start(specs.collect());
         let platform = Platform::start(&vec![free; copies]);
-        platform.publish("config", layout.resources(|name| searchers.address(name)));
-        let mut world = Self { platform, searchers, layout, daemons: Vec::new(), extra: extra.to_owned() };
-        let rows = world.searchers.names().into_iter().map(|name| {
+        platform.publish("config", layout.resources(|name| upstreams.address(name)));
+        let mut cluster = Self { platform, upstreams, layout, daemons: Vec::new(), extra: extra.to_owned() };
+        let rows = cluster.upstreams.names().into_iter().map(|name| {
             (
-                format!("hosts/{}", world.searchers.address(&name)),
+                format!("hosts/{}", cluster.upstreams.address(&name)),
                 Some(json!({ "role": "upstream", "state": "live" })),
             )
         });
         let rows = rows.collect();
-        world.platform.publish("hosts", rows);
+        cluster.platform.publish("hosts", rows);
         for _ in 0..count {
-            world.add_daemon();
+            cluster.add_daemon();
         }
-        let revision = world.hosts_revision();
-        world.await_hosts(revision);
-        world
+        let revision = cluster.hosts_revision();
+        cluster.await_hosts(revision);
+        cluster
     }
 
     /// Starts one more daemon, lists it as live and returns its index.
@@ -191,8 +191,8 @@
     }
 
     /// Publishes the row of an upstream's host as live or leaving and returns the revision.
-    pub fn list_searcher(&self, name: &str, state: &str) -> u64 {
-        let key = format!("hosts/{}", self.searchers.address(name));
+    pub fn list_upstream(&self, name: &str, state: &str) -> u64 {
+        let key = format!("hosts/{}", self.upstreams.address(name));
         self.platform.publish("hosts", vec![(key, Some(json!({ "role": "upstream", "state": state })))])
     }
 
@@ -219,10 +219,10 @@
 
     /// Waits until every daemon's status satisfies `good` and returns the time taken.
     pub fn await_all(&self, what: &str, good: impl Fn(&Status) -> bool) -> Duration {
-        let begun = Instant::now();
-        while begun.elapsed() < PATIENCE {
+        let start = Instant::now();
+        while start.elapsed() < TIMEOUT {
             if self.daemons.iter().all(|daemon| good(&daemon.status())) {
-                return begun.elapsed();
+                return start.elapsed();
             }
             std::thread::sleep(Duration::from_millis(20));
         }
@@ -230,33 +230,33 @@
     }
 
     /// Sends a lookup to the daemon with an index.
-    pub fn ask(&self, daemon: usize, lookup: &str, body: &Value) -> Answer {
-        ask(self.daemons[daemon].addresses.callers, lookup, body).expect("an answer")
+    pub fn lookup(&self, daemon: usize, lookup: &str, body: &Value) -> Answer {
+        send_lookup(self.daemons[daemon].addresses.callers, lookup, body).expect("an answer")
     }
 
     /// Sends the small lookup `parcels` to the daemon with an index.
     pub fn query(&self, daemon: usize) -> Answer {
-        self.ask(daemon, "parcels", &json!({ "query": 1 }))
+        self.lookup(daemon, "parcels", &json!({ "query": 1 }))
     }
 
     /// Changes the behaviour of every replica of a shard's service.
     pub fn change_service(&self, service: &str, change: impl Fn(&mut standin::Behaviour)) {
-        for name in self.searchers.names().iter().filter(|name| name.starts_with(service)) {
-            self.searchers.change(name, &change);
+        for name in self.upstreams.names().iter().filter(|name| name.starts_with(service)) {
+            self.upstreams.change(name, &change);
         }
     }
 }
 
 /// Sends a lookup to an address; returns none without a well-formed answer.
-pub fn ask(to: SocketAddr, lookup: &str, body: &Value) -> Option<Answer> {
+pub fn send_lookup(to: SocketAddr, lookup: &str, body: &Value) -> Option<Answer> {
     let path = format!("/v1/lookups/{lookup}");
-    let (_, reply) = Client::once(to, "POST", &path, &body.to_string(), PATIENCE)?;
+    let (_, reply) = Client::once(to, "POST", &path, &body.to_string(), TIMEOUT)?;
     serde_json::from_slice(&reply).ok()
 }
 
 /// Polls until a condition holds; `what` describes it if that times out.
 pub fn await_true(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     while !holds() {
         assert!(Instant::now() < until, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(5));
--- a/crates/harefield/tests/processes/time_line.rs
+++ b/crates/harefield/tests/processes/time_line.rs
@@ -6,11 +6,12 @@
 
 use standin::Fault;
 
-use crate::support::World;
+use crate::support::Cluster;
 
 /// Runs the program and returns its exit code and output.
 fn run(arguments: &[&str]) -> (Option<i32>, String) {
-    let output = Command::new(env!("CARGO_BIN_EXE_harefield")).args(arguments).output().expect("it runs");
+    let output =
+        Command::new(env!("CARGO_BIN_EXE_harefield")).args(arguments).output().expect("the program runs");
     let text =
         String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr);
     (output.status.code(), text)
@@ -18,11 +19,11 @@
 
 #[test]
 fn explain_partial() {
-    let world = World::start(3, "[routing]\ncell-size = 1\n");
-    world.change_service("parcels-01", |b| b.fault = Fault::RefuseBegun);
-    let answer = world.query(1);
+    let cluster = Cluster::start(3, "[routing]\ncell-size = 1\n");
+    cluster.change_service("parcels-01", |b| b.fault = Fault::RefuseBegun);
+    let answer = cluster.query(1);
     thread::sleep(Duration::from_millis(200));
-    let from = world.daemons[0].addresses.operators.to_string();
+    let from = cluster.daemons[0].addresses.operators.to_string();
     let (code, text) = run(&["explain", &answer.request, "--from", &from]);
     assert_eq!(code, Some(0));
     for word in ["admitted", "snapshot-chosen", "attempt-failed", "shard-missing", "parcels-01/0", "answered"]
@@ -33,10 +34,10 @@
 
 #[test]
 fn report_file() {
-    let world = World::start(2, "");
-    let answer = world.query(0);
+    let cluster = Cluster::start(2, "");
+    let answer = cluster.query(0);
     thread::sleep(Duration::from_millis(200));
-    let from = world.daemons[1].addresses.operators.to_string();
+    let from = cluster.daemons[1].addresses.operators.to_string();
     let out = std::env::temp_dir().join(format!("harefield-report-{}.html", std::process::id()));
     let path = out.to_str().expect("the path is UTF-8");
     assert_eq!(run(&["report", &answer.request, "--from", &from, "--out", path]).0, Some(0));
@@ -49,12 +50,12 @@
 
 #[test]
 fn merged_in_order() {
-    let world = World::start(3, "");
+    let cluster = Cluster::start(3, "");
     for daemon in 0..3 {
-        world.query(daemon);
+        cluster.query(daemon);
     }
     thread::sleep(Duration::from_millis(200));
-    let from = world.daemons[2].addresses.operators.to_string();
+    let from = cluster.daemons[2].addresses.operators.to_string();
     let (code, text) = run(&["timeline", "--from", &from, "--json"]);
     assert_eq!(code, Some(0));
     let records: Vec<harefield::domain::event::Record> =
@@ -68,12 +69,12 @@
 
 #[test]
 fn silent_named() {
-    let mut world = World::start(2, "");
-    let gone = world.daemons[1].addresses.operators.to_string();
-    let from = world.daemons[0].addresses.operators.to_string();
-    world.await_all("they know each other", |status| status.peers.len() == 2);
-    world.daemons[1].signal("KILL");
-    world.daemons[1].wait();
+    let mut cluster = Cluster::start(2, "");
+    let gone = cluster.daemons[1].addresses.operators.to_string();
+    let from = cluster.daemons[0].addresses.operators.to_string();
+    cluster.await_all("all daemons know each other", |status| status.peers.len() == 2);
+    cluster.daemons[1].signal("KILL");
+    cluster.daemons[1].wait();
     let (code, text) = run(&["timeline", "--from", &from, "--kind", "started"]);
     assert_eq!(code, Some(0));
     assert!(text.contains(&format!("did not answer: {gone}")), "{text}");
@@ -81,8 +82,8 @@
 
 #[test]
 fn status_names_older() {
-    let world = World::start(2, "");
-    let from = world.daemons[0].addresses.operators.to_string();
+    let cluster = Cluster::start(2, "");
+    let from = cluster.daemons[0].addresses.operators.to_string();
     let (code, text) = run(&["status", "--from", &from]);
     assert_eq!(code, Some(0));
     assert_eq!(text.matches("revision 1").count(), 2, "{text}");
