--- a/crates/harefield/tests/processes/crashing.rs
+++ b/crates/harefield/tests/processes/crashing.rs
@@ -138,7 +138,7 @@
         }
     });
     // A request that waited for the first trial may be run as the second one, which decides.
-    let trials: Vec<Instant> = fleet.fatal_attempts().iter().skip(before).map(|begun| begun.at).collect();
+    let trials: Vec<Instant> = fleet.fatal_attempts().iter().skip(before).map(|attempt| attempt.at).collect();
     assert!((1..=2).contains(&trials.len()), "{} trials", trials.len());
     let apart = trials.windows(2).all(|two| two[1] - two[0] >= Duration::from_millis(250));
     assert!(apart, "two trials overlapped");
--- a/crates/harefield/tests/processes/crashing_support.rs
+++ b/crates/harefield/tests/processes/crashing_support.rs
@@ -109,9 +109,9 @@
     /// Returns the attempts of fatal requests that upstreams began, by time.
     pub fn fatal_attempts(&self) -> Vec<Begun> {
         let all = self.upstreams.iter().flat_map(MortalSearcher::begun);
-        let mut begun: Vec<Begun> = all.filter(|begun| begun.target.contains(FATAL)).collect();
-        begun.sort_by_key(|begun| begun.at);
-        begun
+        let mut attempts: Vec<Begun> = all.filter(|attempt| attempt.target.contains(FATAL)).collect();
+        attempts.sort_by_key(|attempt| attempt.at);
+        attempts
     }
 
     /// Returns the times of all crashes in order.
@@ -124,7 +124,7 @@
     /// Returns how many fatal attempts began after the whole fleet had to know of the third crash.
     pub fn late_sends(&self) -> usize {
         let Some(third) = self.ends().get(2).copied() else { return 0 };
-        self.fatal_attempts().iter().filter(|begun| begun.at > third + PROPAGATION_TIME).count()
+        self.fatal_attempts().iter().filter(|attempt| attempt.at > third + PROPAGATION_TIME).count()
     }
 }
 
--- a/crates/harefield/tests/processes/hot_requests.rs
+++ b/crates/harefield/tests/processes/hot_requests.rs
@@ -34,20 +34,20 @@
     // When it is repeated, it is tried on one upstream, succeeds, and is served.
     let fleet = Fleet::start(FleetOptions::default());
     std::thread::scope(|scope| {
-        let asked = scope.spawn(|| request_at(&fleet.daemons[0], "/all/unlucky", "u1", 2000));
-        let begun = || fleet.upstreams.iter().flat_map(standin::MortalSearcher::begun);
+        let request = scope.spawn(|| request_at(&fleet.daemons[0], "/all/unlucky", "u1", 2000));
+        let attempts = || fleet.upstreams.iter().flat_map(standin::MortalSearcher::begun);
         await_true("the request runs", || {
-            begun().filter(|begun| begun.target == "/all/unlucky").count() >= 12
+            attempts().filter(|attempt| attempt.target == "/all/unlucky").count() >= 12
         });
         fleet.upstreams.iter().for_each(standin::MortalSearcher::end);
-        asked.join().expect("the request is answered");
+        request.join().expect("the request is answered");
     });
     std::thread::sleep(DOWNTIME);
     let serves = |daemon: &Daemon| request_at(daemon, "/all/other", "o", 2000).header("missing-parts") == "0";
     await_true("others are served", || fleet.daemons.iter().all(serves));
     for (number, daemon) in fleet.daemons.iter().enumerate().rev() {
         let answer = request_at(daemon, "/all/unlucky", &format!("v{number}"), 2000);
-        let said = String::from_utf8_lossy(&answer.body);
-        assert_eq!((answer.status, answer.header("missing-parts")), (200, "0"), "daemon {number}: {said}");
+        let body = String::from_utf8_lossy(&answer.body);
+        assert_eq!((answer.status, answer.header("missing-parts")), (200, "0"), "daemon {number}: {body}");
     }
 }
--- a/crates/harefield/tests/processes/leaving.rs
+++ b/crates/harefield/tests/processes/leaving.rs
@@ -51,9 +51,9 @@
 /// Asserts that an upstream receives no request after the grace period.
 fn assert_no_requests(cluster: &Cluster, name: &str, since: Instant) {
     thread::sleep(GRACE_PERIOD.saturating_sub(since.elapsed()));
-    let taken = cluster.upstreams.tally_of(name).taken;
+    let received = cluster.upstreams.tally_of(name).taken;
     thread::sleep(Duration::from_millis(700));
-    assert_eq!(cluster.upstreams.tally_of(name).taken, taken, "new requests for {name}");
+    assert_eq!(cluster.upstreams.tally_of(name).taken, received, "new requests for {name}");
 }
 
 #[test]
@@ -102,7 +102,7 @@
     cluster.daemons[0].signal("STOP");
     cluster.list_upstream("parcels-00-0", "leaving");
     thread::sleep(GRACE_PERIOD);
-    let taken = cluster.upstreams.tally_of("parcels-00-0").taken;
+    let received = cluster.upstreams.tally_of("parcels-00-0").taken;
     // Requests wait in the daemon's socket when it resumes.
     let to = cluster.daemons[0].addresses.callers;
     let threads: Vec<_> =
@@ -117,7 +117,7 @@
     }
     assert_eq!(
         cluster.upstreams.tally_of("parcels-00-0").taken,
-        taken,
+        received,
         "the resumed daemon used its old host list"
     );
 }
@@ -134,7 +134,7 @@
     // the leaving replica.
     cluster.upstreams.change("parcels-00-1", |b| b.service_ms = 100.0);
     thread::sleep(GRACE_PERIOD.saturating_sub(start.elapsed()));
-    let taken = cluster.upstreams.tally_of("parcels-00-0").taken;
+    let received = cluster.upstreams.tally_of("parcels-00-0").taken;
     for _ in 0..5 {
         cluster.query(0);
     }
@@ -142,7 +142,7 @@
     for _ in 0..5 {
         cluster.query(0);
     }
-    assert_eq!(cluster.upstreams.tally_of("parcels-00-0").taken, taken);
+    assert_eq!(cluster.upstreams.tally_of("parcels-00-0").taken, received);
 }
 
 #[test]
--- a/crates/harefield/tests/processes/not_run.rs
+++ b/crates/harefield/tests/processes/not_run.rs
@@ -21,11 +21,11 @@
     assert_eq!(answer.code, Code::AllRefused);
     assert!(answer.retry_after.is_some(), "the answer has a retry time");
     assert_eq!(cluster.upstreams.tally().ran, 0);
-    let taken = cluster.upstreams.tally().taken;
+    let received = cluster.upstreams.tally().taken;
     cluster.query(0);
     assert_eq!(
         cluster.upstreams.tally().taken,
-        taken,
+        received,
         "an upstream that sheds load is not retried before its retry time"
     );
 }
--- a/crates/harefield/tests/processes/silent_connections.rs
+++ b/crates/harefield/tests/processes/silent_connections.rs
@@ -37,7 +37,7 @@
 struct Listener {
     address: String,
     /// The number of connections accepted so far.
-    taken: Arc<AtomicUsize>,
+    accepted: Arc<AtomicUsize>,
     /// Connections with numbers below this one no longer answer.
     silent: Arc<AtomicUsize>,
 }
@@ -46,8 +46,8 @@
     fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
         let address = listener.local_addr().expect("the listener is bound").to_string();
-        let (taken, silent) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
-        let counts = (Arc::clone(&taken), Arc::clone(&silent));
+        let (accepted, silent) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
+        let counts = (Arc::clone(&accepted), Arc::clone(&silent));
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 let number = counts.0.fetch_add(1, Ordering::SeqCst);
@@ -55,16 +55,16 @@
                 std::thread::spawn(move || answer(stream, number, &silent));
             }
         });
-        Self { address, taken, silent }
+        Self { address, accepted, silent }
     }
 
-    fn taken(&self) -> usize {
-        self.taken.load(Ordering::SeqCst)
+    fn accepted(&self) -> usize {
+        self.accepted.load(Ordering::SeqCst)
     }
 
     /// Silences all connections accepted so far.
     fn silence(&self) {
-        self.silent.store(self.taken(), Ordering::SeqCst);
+        self.silent.store(self.accepted(), Ordering::SeqCst);
     }
 }
 
@@ -128,9 +128,9 @@
     let daemon = Listener::start();
     with_peers(async |peers| {
         delegate(&peers, &daemon).await.expect("the daemon answers");
-        assert_eq!(daemon.taken(), 2, "one connection for the group and a spare one");
+        assert_eq!(daemon.accepted(), 2, "one connection for the group and a spare one");
         delegate(&peers, &daemon).await.expect("the daemon answers");
-        assert_eq!(daemon.taken(), 2, "both connections are idle and reused");
+        assert_eq!(daemon.accepted(), 2, "both connections are idle and reused");
     });
 }
 
@@ -186,7 +186,7 @@
             async move { upstreams.send(call, || true).await }
         });
         Timer::after(Duration::from_millis(500)).await;
-        assert_eq!(upstream.taken(), 3, "a new connection is opened");
+        assert_eq!(upstream.accepted(), 3, "a new connection is opened");
         drop((first, second));
     };
     async_io::block_on(executor.run(test));
--- a/crates/harefield/tests/processes/site_accounts.rs
+++ b/crates/harefield/tests/processes/site_accounts.rs
@@ -35,8 +35,8 @@
     site.publish_for(version, routes, Some(accounts));
     let key = accounts.iter().find_map(|account| account["apiKeys"][0].as_str()).unwrap_or("none");
     let serves = |daemon: &Daemon| {
-        let asked = request_with(daemon, "/all/probe", "").status == 401;
-        asked && request_with(daemon, "/all/probe", &bearer(key)).status == 200
+        let key_required = request_with(daemon, "/all/probe", "").status == 401;
+        key_required && request_with(daemon, "/all/probe", &bearer(key)).status == 200
     };
     await_true("the version is in force", || site.daemons().all(serves));
 }
@@ -236,10 +236,10 @@
         if start.elapsed() >= time {
             break;
         }
-        let asked = Instant::now();
+        let sent = Instant::now();
         let head = format!("Attempt-Id: {key}-{number}\r\nDeadline-Remaining: 2000\r\n{}", bearer(key));
         let answer = send_request(daemon.addresses.callers, "/one/x", &head);
-        answers.push((asked.elapsed(), answer));
+        answers.push((sent.elapsed(), answer));
         std::thread::sleep(pause);
     }
     answers
--- a/crates/harefield/tests/processes/site_cells.rs
+++ b/crates/harefield/tests/processes/site_cells.rs
@@ -60,8 +60,8 @@
     site.upstreams["i-s2"].set(Manner::Shed, Duration::ZERO);
     for (number, daemon) in site.daemons().enumerate() {
         let answer = request_at(daemon, "/all/x", &format!("p{number}"), 2000);
-        let said = String::from_utf8_lossy(&answer.body);
-        assert_eq!((answer.status, answer.header("missing-parts")), (200, "1"), "daemon {number}: {said}");
+        let body = String::from_utf8_lossy(&answer.body);
+        assert_eq!((answer.status, answer.header("missing-parts")), (200, "1"), "daemon {number}: {body}");
         assert_eq!(answer.body, records(&[9, 7, 3, 1]));
     }
 }
--- a/crates/harefield/tests/processes/site_cold.rs
+++ b/crates/harefield/tests/processes/site_cold.rs
@@ -76,8 +76,8 @@
     send_load(&regions, "a");
     expect_limited(&regions, "n1", from);
     expect_limited(&regions, "s1", from);
-    let asked: usize = regions.upstreams("n1").map(|upstream| peak_rate(upstream, from)).sum();
-    assert!(asked > 0, "cold upstreams get some requests");
+    let received: usize = regions.upstreams("n1").map(|upstream| peak_rate(upstream, from)).sum();
+    assert!(received > 0, "cold upstreams get some requests");
 }
 
 #[test]
--- a/crates/harefield/tests/processes/site_foreign.rs
+++ b/crates/harefield/tests/processes/site_foreign.rs
@@ -19,12 +19,12 @@
     ("no version", |entry| drop(entry.as_object_mut().map(|fields| fields.remove("version")))),
     ("no sequence", |entry| drop(entry.as_object_mut().map(|fields| fields.remove("sequence")))),
     ("born as a word", |entry| entry["born"] = json!("yesterday")),
-    ("born in part", |entry| entry["born"] = json!(1.5)),
-    ("slots as a text", |entry| entry["slots"] = json!("2")),
-    ("no slots at all", |entry| entry["slots"] = json!(0)),
+    ("born as a fraction", |entry| entry["born"] = json!(1.5)),
+    ("slots as a string", |entry| entry["slots"] = json!("2")),
+    ("zero slots", |entry| entry["slots"] = json!(0)),
     ("zone as a number", |entry| entry["zone"] = json!(3)),
-    ("another state", |entry| entry["state"] = json!("resting")),
-    ("nowhere", |entry| entry["address"] = json!("10.0.0.1:0")),
+    ("an unknown state", |entry| entry["state"] = json!("resting")),
+    ("port 0", |entry| entry["address"] = json!("10.0.0.1:0")),
     ("a list", |entry| *entry = json!(["s1"])),
 ];
 
--- a/crates/harefield/tests/processes/site_homes.rs
+++ b/crates/harefield/tests/processes/site_homes.rs
@@ -94,10 +94,13 @@
         assert_eq!(regions.request(number % 2, path, &id).status, 200, "{path}");
         for daemon in [0, 1] {
             let events = regions.daemons[daemon].timeline(&format!("request={id}"));
-            let taken = events
+            let accepted = events
                 .iter()
                 .any(|record| matches!(record.event, Event::ForwardTaken { .. } | Event::GroupTaken { .. }));
-            assert!(!taken, "daemon {daemon} is neither in a home region nor the one that the caller used");
+            assert!(
+                !accepted,
+                "daemon {daemon} is neither in a home region nor the one that the caller used"
+            );
         }
     }
 }
--- a/crates/harefield/tests/processes/slow_peers.rs
+++ b/crates/harefield/tests/processes/slow_peers.rs
@@ -87,10 +87,10 @@
         if start.elapsed() >= time {
             break;
         }
-        let asked = Instant::now();
+        let sent = Instant::now();
         let answer = request_at(&site.daemon, "/all/x", &format!("o{number}"), 2000);
         assert_eq!(answer.status, 200, "{}", String::from_utf8_lossy(&answer.body));
-        slowest = slowest.max(asked.elapsed());
+        slowest = slowest.max(sent.elapsed());
         std::thread::sleep(Duration::from_millis(10));
     }
     slowest
