--- a/crates/harefield/tests/processes/crashing_support.rs
+++ b/crates/harefield/tests/processes/crashing_support.rs
@@ -1,5 +1,5 @@
-//! Three daemons in three availability zones beside a sharded index whose upstreams end
-//! while they run certain requests, and callers that ask beside them.
+//! Three daemons in three availability zones with a sharded index whose upstreams crash while
+//! they run certain requests, and callers that send ordinary requests meanwhile.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -19,30 +19,30 @@
 use standin::StartedRequest;
 
 use crate::site_support::Answer;
-use crate::site_support::ask_at;
 use crate::site_support::limits;
+use crate::site_support::request_at;
 use crate::support::Daemon;
 use crate::support::await_true;
 
 pub const SHARDS: usize = 20;
 pub const REPLICAS: usize = 2;
 
-/// How long an upstream that ended is gone.
-pub const GONE: Duration = Duration::from_millis(1800);
+/// How long a crashed upstream is down.
+pub const DOWNTIME: Duration = Duration::from_millis(1800);
 
-/// Within this time every daemon in touch knows what one of them has found.
-pub const KNOWN_WITHIN: Duration = Duration::from_secs(4);
+/// Within this time a suspect found by one daemon is known to every daemon that it can reach.
+pub const PROPAGATION_TIME: Duration = Duration::from_secs(4);
 
 const ZONES: [&str; 3] = ["z1", "z2", "z3"];
 const WORK: Duration = Duration::from_millis(15);
 
-/// What is started.
+/// Variants of the fleet that a test starts.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Shape {
-    /// Whether upstreams are back under the names that they had.
-    pub same: bool,
-    /// How many upstreams the service `one` has.
-    pub ones: usize,
+pub struct FleetOptions {
+    /// Whether restarted upstreams keep their names.
+    pub keep_names: bool,
+    /// The number of upstreams of the service `one`, which has a single shard.
+    pub single_upstreams: usize,
 }
 
 pub struct Fleet {
@@ -52,17 +52,17 @@
 }
 
 impl Fleet {
-    pub fn start(shape: Shape) -> Self {
+    pub fn start(options: FleetOptions) -> Self {
         let store = SiteStore::start();
         let mut upstreams = Vec::new();
-        let mut add = |service: &str, number: usize, at: usize| {
+        let mut add = |service: &str, number: usize, zone: usize| {
             let spec = CrashingSpec {
                 id: format!("i-{service}-{number}"),
                 service: service.to_owned(),
-                zone: ZONES[at % ZONES.len()].to_owned(),
+                zone: ZONES[zone % ZONES.len()].to_owned(),
                 work: WORK,
-                downtime: GONE,
-                keeps_name: shape.same,
+                downtime: DOWNTIME,
+                keeps_name: options.keep_names,
             };
             upstreams.push(CrashingSearcher::start(spec, store.clone()));
         };
@@ -71,7 +71,7 @@
                 add(&format!("s{shard}"), replica, shard + replica);
             }
         }
-        for number in 0..shape.ones {
+        for number in 0..options.single_upstreams {
             add("one", number, number);
         }
         store.put("op/config", Some(&configuration()));
@@ -79,57 +79,56 @@
         for zone in ZONES {
             fleet.join(zone);
         }
-        fleet.await_serving(shape);
+        fleet.await_serving(options);
         fleet
     }
 
-    /// Starts one more daemon, which knows the first one.
+    /// Starts one more daemon, whose seed is the first one.
     pub fn join(&mut self, zone: &str) {
         let seed = self.daemons.first().map(|daemon| format!("\"{}\"", daemon.addresses.peers));
         let settings = settings(&self.store, zone, &seed.unwrap_or_default());
         self.daemons.push(Daemon::start(&settings));
     }
 
-    fn await_serving(&self, shape: Shape) {
-        let path = if shape.ones > 0 { "/one/warm" } else { "/all/warm" };
+    fn await_serving(&self, options: FleetOptions) {
+        let path = if options.single_upstreams > 0 { "/one/warm" } else { "/all/warm" };
         let serves = |daemon: &Daemon| {
             ["/all/warm", path].iter().all(|path| {
-                let answer = ask_at(daemon, path, "warm", 2000);
+                let answer = request_at(daemon, path, "warm", 2000);
                 answer.status == 200 && ["", "0"].contains(&answer.header("missing-parts"))
             })
         };
-        await_true("all serve", || self.daemons.iter().all(serves));
+        await_true("all daemons serve", || self.daemons.iter().all(serves));
     }
 
-    /// Asks for one thing that ends upstreams.
-    pub fn ask_fatal(&self, daemon: usize, path: &str, number: usize) -> Answer {
-        ask_at(&self.daemons[daemon], &format!("/{path}{FATAL}"), &format!("fatal-{number}"), 2000)
+    /// Sends a request that crashes every upstream that runs it.
+    pub fn send_fatal(&self, daemon: usize, path: &str, number: usize) -> Answer {
+        request_at(&self.daemons[daemon], &format!("/{path}{FATAL}"), &format!("fatal-{number}"), 2000)
     }
 
-    /// Returns what of the fatal requests upstreams began, by time.
-    pub fn fatal_begun(&self) -> Vec<StartedRequest> {
+    /// Returns the attempts of fatal requests that upstreams began, by time.
+    pub fn fatal_attempts(&self) -> Vec<StartedRequest> {
         let all = self.upstreams.iter().flat_map(CrashingSearcher::started);
-        let mut begun: Vec<StartedRequest> = all.filter(|begun| begun.target.contains(FATAL)).collect();
-        begun.sort_by_key(|begun| begun.at);
-        begun
+        let mut attempts: Vec<StartedRequest> = all.filter(|attempt| attempt.target.contains(FATAL)).collect();
+        attempts.sort_by_key(|attempt| attempt.at);
+        attempts
     }
 
-    /// Returns when upstreams ended, by time.
+    /// Returns the times of all crashes in order.
     pub fn ends(&self) -> Vec<Instant> {
         let mut ends: Vec<Instant> = self.upstreams.iter().flat_map(CrashingSearcher::crash_times).collect();
         ends.sort_unstable();
         ends
     }
 
-    /// Returns how often a fatal request was sent later than the fleet had to know that
-    /// three upstreams had ended.
+    /// Returns how many fatal attempts began after the whole fleet had to know of the third crash.
     pub fn late_sends(&self) -> usize {
         let Some(third) = self.ends().get(2).copied() else { return 0 };
-        self.fatal_begun().iter().filter(|begun| begun.at > third + KNOWN_WITHIN).count()
+        self.fatal_attempts().iter().filter(|attempt| attempt.at > third + PROPAGATION_TIME).count()
     }
 }
 
-/// What callers were answered.
+/// An answer that a caller got, with the time of its request.
 #[derive(Clone, Debug)]
 pub struct Answered {
     pub at: Instant,
@@ -137,7 +136,7 @@
     pub code: String,
 }
 
-/// Callers that ask one path after another until they are stopped.
+/// Callers that send requests one after another until they are stopped.
 pub struct Callers {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
@@ -145,7 +144,8 @@
 }
 
 impl Callers {
-    /// Lets callers ask each daemon every `pause`; `path` makes the path of each number.
+    /// Starts a caller for each daemon that pauses for `pause` between requests; `path` returns
+    /// the path of the request with a number.
     pub fn start(
         fleet: &Fleet,
         pause: Duration,
@@ -153,7 +153,7 @@
     ) -> Self {
         let stop: Arc<AtomicBool> = Arc::default();
         let answers: Arc<Mutex<Vec<Answered>>> = Arc::default();
-        let threads = fleet.daemons.iter().enumerate().map(|(place, daemon)| {
+        let threads = fleet.daemons.iter().enumerate().map(|(index, daemon)| {
             let (stop, answers, path, to) =
                 (Arc::clone(&stop), Arc::clone(&answers), path.clone(), daemon.addresses);
             std::thread::spawn(move || {
@@ -163,8 +163,8 @@
                     }
                     let path = path(number);
                     let at = Instant::now();
-                    let headers = format!("Attempt-Id: c{place}-{number}\r\nDeadline-Remaining: 1000\r\n");
-                    let answer = crate::site_support::ask(to.callers, &path, &headers);
+                    let headers = format!("Attempt-Id: c{index}-{number}\r\nDeadline-Remaining: 1000\r\n");
+                    let answer = crate::site_support::send_request(to.callers, &path, &headers);
                     let answered = Answered { at, status: answer.status, code: code(&answer) };
                     answers.lock().unwrap_or_else(PoisonError::into_inner).push(answered);
                     std::thread::sleep(pause);
@@ -175,15 +175,15 @@
         Self { stop, threads, answers }
     }
 
-    /// Stops them; returns what they were answered.
+    /// Stops the callers and returns all answers.
     pub fn stop(self) -> Vec<Answered> {
         self.stop.store(true, Ordering::SeqCst);
-        self.threads.into_iter().for_each(|thread| thread.join().expect("a caller ends"));
+        self.threads.into_iter().for_each(|thread| thread.join().expect("the caller does not panic"));
         self.answers.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
-/// Returns the number of the result of an answer that is none of an upstream's.
+/// Returns the result code of an answer that a daemon made itself; empty for an upstream's.
 pub fn code(answer: &Answer) -> String {
     let body: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
     body["code"].as_str().unwrap_or_default().to_owned()
--- a/crates/harefield/tests/processes/site_support.rs
+++ b/crates/harefield/tests/processes/site_support.rs
@@ -1,5 +1,5 @@
-//! A daemon on the users' machines, beside stand-ins of their store and of
-//! upstreams that sign their replies, told what to do by a test.
+//! Daemons in the users' environment: a simulated store and simulated upstreams that sign their
+//! replies, controlled by a test.
 
 use std::collections::BTreeMap;
 use std::io::Read;
@@ -14,10 +14,10 @@
 use standin::SiteStore;
 
 use crate::support::Daemon;
-use crate::support::PATIENCE;
+use crate::support::TIMEOUT;
 use crate::support::await_true;
 
-/// An answer as it came.
+/// An HTTP response as received, with header names in lower case.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -31,59 +31,59 @@
     }
 }
 
-/// A connection ends that takes nothing for this long.
+/// The daemons close a connection whose peer reads nothing for this long.
 pub const STALL: Duration = Duration::from_millis(1500);
 
-/// A store, upstreams by service, and daemons, the first of which is asked.
+/// A store, upstreams by id, and daemons, the first of which gets the requests.
 pub struct Site {
     pub store: SiteStore,
-    pub searchers: BTreeMap<String, SignedSearcher>,
+    pub upstreams: BTreeMap<String, SignedSearcher>,
     pub daemon: Daemon,
-    /// Daemons beside the first.
+    /// All daemons but the first.
     pub others: Vec<Daemon>,
 }
 
 impl Site {
-    /// Starts a daemon that knows no configuration yet.
-    pub fn bare() -> Self {
-        Self::bare_with("", "")
+    /// Starts a daemon beside an empty store, without a configuration.
+    pub fn unconfigured() -> Self {
+        Self::unconfigured_with("", "")
     }
 
-    fn bare_with(platform: &str, routing: &str) -> Self {
+    fn unconfigured_with(platform: &str, routing: &str) -> Self {
         let store = SiteStore::start();
         let daemon = Daemon::start(&settings(&store, platform, "", routing));
-        Self { daemon, store, searchers: BTreeMap::new(), others: Vec::new() }
+        Self { daemon, store, upstreams: BTreeMap::new(), others: Vec::new() }
     }
 
-    /// Starts a daemon that ends a connection which takes nothing for `stall`.
+    /// Starts a daemon that closes a connection whose peer reads nothing for `stall`.
     pub fn start_stalling(stall: Duration) -> Self {
         let store = SiteStore::start();
         let daemon = Daemon::start(&settings_of(&store, "", "", "", stall));
-        let mut site = Self { daemon, store, searchers: BTreeMap::new(), others: Vec::new() };
+        let mut site = Self { daemon, store, upstreams: BTreeMap::new(), others: Vec::new() };
         site.fill();
-        let serves = || ask_at(&site.daemon, "/all/x", "r0", 2000).status == 200;
-        await_true("it has the configuration", serves);
+        let serves = || request_at(&site.daemon, "/all/x", "r0", 2000).status == 200;
+        await_true("the daemon has the configuration", serves);
         site
     }
 
-    /// Starts as many daemons, which read the store as `platform` says.
+    /// Starts `count` daemons with further settings of the section `platform`.
     pub fn start_reading(count: usize, platform: &str) -> Self {
-        let mut site = Self::bare_with(platform, "");
+        let mut site = Self::unconfigured_with(platform, "");
         for _ in 1..count {
             site.add_daemon(platform);
         }
         site.add_all();
-        let serves = |daemon: &Daemon| ask_at(daemon, "/all/x", "r0", 2000).status == 200;
+        let serves = |daemon: &Daemon| request_at(daemon, "/all/x", "r0", 2000).status == 200;
         await_true("all have the configuration", || site.daemons().all(serves));
         site
     }
 
-    /// Ends all daemons at once, and starts as many, which know nothing.
+    /// Kills all daemons and starts as many new ones without any state.
     pub fn restart_all(&mut self, platform: &str) {
         self.restart_all_with(platform, "");
     }
 
-    /// The same, with a further section of settings.
+    /// Does the same with a further section of settings.
     pub fn restart_all_with(&mut self, platform: &str, section: &str) {
         let count = self.others.len();
         self.daemons().for_each(|daemon| daemon.signal("KILL"));
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Starts one more daemon, which knows the first one and reads the store as
-    /// `platform` says.
+    /// Starts one more daemon, whose seed is the first one, with further settings of the section
+    /// `platform`.
     pub fn add_daemon(&mut self, platform: &str) {
         self.add_daemon_with(platform, "");
     }
@@ -105,56 +105,55 @@
         self.others.push(Daemon::start(&settings(&self.store, platform, &seed, routing)));
     }
 
-    /// Starts as many daemons that know each other, with further settings of their routing, or
-    /// sections behind it.
+    /// Starts `count` daemons that know each other, with further settings of the section
+    /// `routing` or further sections.
     pub fn start_with(count: usize, section: &str) -> Self {
-        let mut site = Self::bare_with("", section);
+        let mut site = Self::unconfigured_with("", section);
         site.join(count - 1, section);
         site.fill();
         let known = |daemon: &Daemon| daemon.status().peers.len() == count;
-        await_true("they know each other", || site.daemons().all(known));
-        let serves = |daemon: &Daemon| ask_at(daemon, "/all/x", "r0", 2000).status == 200;
+        await_true("all daemons know each other", || site.daemons().all(known));
+        let serves = |daemon: &Daemon| request_at(daemon, "/all/x", "r0", 2000).status == 200;
         await_true("all have the configuration", || site.daemons().all(serves));
         site
     }
 
-    /// Starts daemons beside the first, which know it and have further settings of
-    /// their routing.
+    /// Starts more daemons, whose seed is the first one, with further settings of the section
+    /// `routing`.
     pub fn join(&mut self, count: usize, routing: &str) {
         for _ in 0..count {
             self.add_daemon_with("", routing);
         }
     }
 
-    /// Starts three shards `s1` to `s3`, one upstream each, and a service `one`.
+    /// Starts a daemon with the shards `s1` to `s3` and the service `one`, one upstream each.
     pub fn start() -> Self {
-        let mut site = Self::bare();
+        let mut site = Self::unconfigured();
         site.fill();
         site
     }
 
-    /// Starts as many daemons, of which `members` may ask the upstreams of an index.
+    /// Starts `count` daemons, of which `members` may send to the upstreams of an index.
     pub fn start_cells(count: usize, members: usize) -> Self {
         Self::start_with(count, &format!("cell-size = {members}\n"))
     }
 
-    /// Starts one daemon that knows another one as its seed, with a cell of so many
-    /// members.
+    /// Starts a daemon whose seed is `other`, with cells of `members` daemons.
     pub fn start_beside(other: std::net::SocketAddr, members: usize) -> Self {
         let store = SiteStore::start();
         let seed = format!("seeds = [\"{other}\"]\n");
         let daemon = Daemon::start(&settings(&store, "", &seed, &format!("cell-size = {members}\n")));
-        let mut site = Self { daemon, store, searchers: BTreeMap::new(), others: Vec::new() };
+        let mut site = Self { daemon, store, upstreams: BTreeMap::new(), others: Vec::new() };
         site.add_all();
         site
     }
 
-    /// Returns all daemons, the first one first.
+    /// Returns all daemons in the order of their start.
     pub fn daemons(&self) -> impl Iterator<Item = &Daemon> {
         std::iter::once(&self.daemon).chain(&self.others)
     }
 
-    /// Starts the upstreams, and publishes the first version.
+    /// Starts the upstreams, publishes the first version and waits until the daemon serves.
     fn fill(&mut self) {
         self.add_all();
         self.await_ready();
@@ -168,16 +167,16 @@
     }
 
     pub fn add(&mut self, service: &str, id: &str, records: &[u8]) {
-        let searcher = SignedSearcher::start(id, records);
-        self.store.put(&searcher.key(), Some(&searcher.entry(service, "ready")));
-        self.searchers.insert(id.to_owned(), searcher);
+        let upstream = SignedSearcher::start(id, records);
+        self.store.put(&upstream.key(), Some(&upstream.entry(service, "ready")));
+        self.upstreams.insert(id.to_owned(), upstream);
     }
 
     pub fn publish(&self, version: u64, routes: &[Value]) {
         self.publish_for(version, routes, None);
     }
 
-    /// Publishes a version with client accounts; without where there are none.
+    /// Publishes a version of the configuration with client accounts, if any are given.
     pub fn publish_for(&self, version: u64, routes: &[Value], accounts: Option<&[Value]>) {
         let services: Vec<Value> = ["s1", "s2", "s3", "one"]
             .iter()
@@ -191,25 +190,27 @@
         self.store.put("op/config", Some(&config));
     }
 
-    pub fn ask(&self, path: &str, id: &str) -> Answer {
-        ask_at(&self.daemon, path, id, 2000)
+    pub fn request(&self, path: &str, id: &str) -> Answer {
+        request_at(&self.daemon, path, id, 2000)
     }
 
     pub fn is_ready(&self) -> bool {
-        ask(self.daemon.addresses.operators, "/ready", "").status == 200
+        send_request(self.daemon.addresses.operators, "/ready", "").status == 200
     }
 
     pub fn await_ready(&self) {
-        await_true("it is ready and serves", || self.is_ready() && self.ask("/all/x", "r0").status == 200);
+        await_true("the daemon is ready and serves", || {
+            self.is_ready() && self.request("/all/x", "r0").status == 200
+        });
     }
 
-    pub fn metric(&self, name: &str) -> bool {
-        let answer = ask(self.daemon.addresses.operators, "/metrics", "");
+    pub fn has_metric(&self, name: &str) -> bool {
+        let answer = send_request(self.daemon.addresses.operators, "/metrics", "");
         String::from_utf8_lossy(&answer.body).contains(name)
     }
 
     pub fn runs(&self, id: &str) -> usize {
-        self.searchers.values().map(|s| s.runs().iter().filter(|run| *run == id).count()).sum()
+        self.upstreams.values().map(|s| s.runs().iter().filter(|run| *run == id).count()).sum()
     }
 }
 
@@ -228,7 +229,7 @@
     )
 }
 
-/// Bounds on callers' requests, as published.
+/// Returns the published limits on callers' requests.
 pub fn limits() -> Value {
     json!({ "headerBytes": 2048, "bodyBytes": 1000, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000 })
 }
@@ -251,16 +252,20 @@
     ]
 }
 
-/// Asks a daemon as a caller that has some milliseconds left.
-pub fn ask_at(daemon: &Daemon, path: &str, id: &str, millis: u64) -> Answer {
-    ask(daemon.addresses.callers, path, &format!("Attempt-Id: {id}\r\nDeadline-Remaining: {millis}\r\n"))
+/// Sends a request to a daemon with `millis` left until its deadline.
+pub fn request_at(daemon: &Daemon, path: &str, id: &str, millis: u64) -> Answer {
+    send_request(
+        daemon.addresses.callers,
+        path,
+        &format!("Attempt-Id: {id}\r\nDeadline-Remaining: {millis}\r\n"),
+    )
 }
 
-pub fn ask(to: SocketAddr, path: &str, headers: &str) -> Answer {
-    let mut stream = TcpStream::connect(to).expect("it listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a timeout can be set");
+pub fn send_request(to: SocketAddr, path: &str, headers: &str) -> Answer {
+    let mut stream = TcpStream::connect(to).expect("the listener accepts connections");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout can be set");
     let head = format!("GET {path} HTTP/1.1\r\nHost: x.example\r\n{headers}Connection: close\r\n\r\n");
-    stream.write_all(head.as_bytes()).expect("it is sent");
+    stream.write_all(head.as_bytes()).expect("the bytes are sent");
     read_answer(stream)
 }
 
@@ -271,22 +276,22 @@
 
 /// Sends a request with some headers, and does not wait for its answer.
 pub fn begin_with(daemon: &Daemon, path: &str, headers: &str) -> TcpStream {
-    let mut stream = TcpStream::connect(daemon.addresses.callers).expect("it listens");
+    let mut stream = TcpStream::connect(daemon.addresses.callers).expect("the listener accepts connections");
     let head = format!("GET {path} HTTP/1.1\r\nHost: x.example\r\n{headers}\r\n");
-    stream.write_all(head.as_bytes()).expect("it is sent");
+    stream.write_all(head.as_bytes()).expect("the bytes are sent");
     stream
 }
 
 pub fn read_answer(mut stream: TcpStream) -> Answer {
     let mut bytes = Vec::new();
-    stream.read_to_end(&mut bytes).expect("it is answered");
-    let end = bytes.windows(4).position(|four| four == b"\r\n\r\n").expect("it has a head");
+    stream.read_to_end(&mut bytes).expect("a response arrives");
+    let end = bytes.windows(4).position(|four| four == b"\r\n\r\n").expect("the response has a head");
     let head = String::from_utf8_lossy(&bytes[..end]).into_owned();
     let mut lines = head.split("\r\n");
     let status = lines.next().and_then(|line| line.split(' ').nth(1)).and_then(|text| text.parse().ok());
     let headers = lines.filter_map(|line| line.split_once(": "));
     Answer {
-        status: status.expect("it has a status"),
+        status: status.expect("the response has a status"),
         headers: headers.map(|(name, value)| (name.to_ascii_lowercase(), value.to_owned())).collect(),
         body: bytes[end + 4..].to_vec(),
     }
@@ -298,8 +303,9 @@
 
 /// Sends the bytes of a request and keeps the connection open.
 pub fn send(site: &Site, bytes: &[u8]) -> Answer {
-    let mut stream = TcpStream::connect(site.daemon.addresses.callers).expect("it listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a timeout can be set");
-    stream.write_all(bytes).expect("it is sent");
+    let mut stream =
+        TcpStream::connect(site.daemon.addresses.callers).expect("the listener accepts connections");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout can be set");
+    stream.write_all(bytes).expect("the bytes are sent");
     read_answer(stream)
 }
