--- a/crates/harefield/src/control/freshness.rs
+++ b/crates/harefield/src/control/freshness.rs
@@ -7,6 +7,10 @@
 
 use async_channel::Sender;
 
+use super::confirm::QueryRound;
+use super::confirm::ROUND_PEERS;
+use super::confirm::ROUND_TIMEOUT;
+use super::duty::Control;
 use crate::domain::event::Event;
 use crate::domain::freshness::Freshness;
 use crate::domain::ids::HostId;
@@ -18,10 +22,6 @@
 use crate::ports::Peers;
 use crate::ports::Platform;
 use crate::ports::Space;
-use super::confirm::QueryRound;
-use super::confirm::ROUND_PEERS;
-use super::confirm::ROUND_TIMEOUT;
-use super::duty::Control;
 
 /// How long a refresh may take, since a caller waits for it.
 const REFRESH_TIMEOUT: Duration = Duration::from_millis(500);
--- a/crates/harefield/src/control/publish.rs
+++ b/crates/harefield/src/control/publish.rs
@@ -6,6 +6,8 @@
 
 use log::warn;
 
+use super::duty::Control;
+use super::recently_removed::GRACE;
 use crate::domain::announcement::NamedAnnouncement;
 use crate::domain::cell::Candidate;
 use crate::domain::event::Event;
@@ -20,8 +22,6 @@
 use crate::ports::Platform;
 use crate::ports::Space;
 use crate::telemetry::ConfigStatus;
-use super::duty::Control;
-use super::recently_removed::GRACE;
 
 impl<F: Platform, P: Peers, C: Clock> Control<F, P, C> {
     /// Computes the view and sends it to the workers.
--- a/crates/harefield/src/daemon/threads.rs
+++ b/crates/harefield/src/daemon/threads.rs
@@ -13,11 +13,16 @@
 use async_io::Timer;
 use futures_lite::future;
 
+use super::context::AcceptedConnection;
+use super::context::Context;
+use super::context::Side;
+use super::protocols::HttpWorker;
+use super::protocols::Protocols;
 use crate::adapters::callers::RequestLimits;
 use crate::adapters::clock::SystemClock;
 use crate::adapters::http;
-use crate::adapters::peer_server::PeerServer;
 use crate::adapters::peer_server;
+use crate::adapters::peer_server::PeerServer;
 use crate::adapters::peers::HttpPeers;
 use crate::adapters::settings::PlatformKind;
 use crate::adapters::upstreams::HttpUpstreams;
@@ -35,11 +40,6 @@
 use crate::engine::ToWorker;
 use crate::engine::Worker;
 use crate::engine::WorkerSettings;
-use super::context::AcceptedConnection;
-use super::context::Context;
-use super::context::Side;
-use super::protocols::HttpWorker;
-use super::protocols::Protocols;
 
 /// How often a stopping worker checks whether its requests and connections have ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
--- a/crates/harefield/tests/processes/crashing_support.rs
+++ b/crates/harefield/tests/processes/crashing_support.rs
@@ -109,7 +109,8 @@
     /// Returns the attempts of fatal requests that upstreams began, by time.
     pub fn fatal_attempts(&self) -> Vec<StartedRequest> {
         let all = self.upstreams.iter().flat_map(CrashingSearcher::started);
-        let mut attempts: Vec<StartedRequest> = all.filter(|attempt| attempt.target.contains(FATAL)).collect();
+        let mut attempts: Vec<StartedRequest> =
+            all.filter(|attempt| attempt.target.contains(FATAL)).collect();
         attempts.sort_by_key(|attempt| attempt.at);
         attempts
     }
--- a/crates/harefield/tests/processes/snapshot.rs
+++ b/crates/harefield/tests/processes/snapshot.rs
@@ -54,7 +54,8 @@
             cluster.upstreams.change(&name, |b| b.held.push(version));
             thread::sleep(Duration::from_millis(10));
         }
-        let index = cluster.layout.index_resource("parcels", &[version, version - 1]).expect("the index exists");
+        let index =
+            cluster.layout.index_resource("parcels", &[version, version - 1]).expect("the index exists");
         let revision = cluster.publish("indexes/parcels", index);
         cluster.await_revision(revision);
         thread::sleep(Duration::from_millis(50));
