--- a/crates/harefield/tests/decisions/groups.rs
+++ b/crates/harefield/tests/decisions/groups.rs
@@ -273,8 +273,8 @@
         let far: ShardId = "s/002".into();
         (0..100).take_while(|_| world.router.budget(&far).spend_retry()).count()
     };
-    let (handed, direct) = (retries(true), retries(false));
-    assert!(handed < direct, "{handed} {direct}");
+    let (delegated, direct) = (retries(true), retries(false));
+    assert!(delegated < direct, "{delegated} {direct}");
 }
 
 #[test]
